--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -13,22 +13,30 @@
     v = static_cast<T>((v << 8) | static_cast<unsigned char>(b[at + i]));
   return v;
 }
-std::uint8_t get8(std::string_view b, std::size_t at) { return static_cast<std::uint8_t>(b[at]); }
+std::uint8_t get8(std::string_view b, std::size_t at) {
+  return static_cast<std::uint8_t>(b[at]);
+}
 double get_f64(std::string_view b, std::size_t at) {
   return std::bit_cast<double>(get<std::uint64_t>(b, at));
 }
-float get_f32(std::string_view b, std::size_t at) { return std::bit_cast<float>(get<std::uint32_t>(b, at)); }
+float get_f32(std::string_view b, std::size_t at) {
+  return std::bit_cast<float>(get<std::uint32_t>(b, at));
+}
 
 template <typename T>
 void put(char* to, T v) {
-  for (std::size_t i = sizeof(T); i-- > 0; v = static_cast<T>(v >> 8)) to[i] = static_cast<char>(v & 0xff);
+  for (std::size_t i = sizeof(T); i-- > 0; v = static_cast<T>(v >> 8))
+    to[i] = static_cast<char>(v & 0xff);
+}
+void put_f64(char* to, double v) {
+  put(to, std::bit_cast<std::uint64_t>(v));
 }
-void put_f64(char* to, double v) { put(to, std::bit_cast<std::uint64_t>(v)); }
 
 LoadReport read_report(std::string_view r, std::size_t at) {
   LoadReport report;
   report.count = std::min<int>(get8(r, at), 4);
-  for (std::size_t i = 0; i < 4; ++i) report.values[i] = get_f32(r, at + 1 + 4 * i);
+  for (std::size_t i = 0; i < 4; ++i)
+    report.values[i] = get_f32(r, at + 1 + 4 * i);
   return report;
 }
 
@@ -74,7 +82,8 @@
         addressed = true;
         continue;
       }
-      if (!addressed) fault("event before any 'about'");
+      if (!addressed)
+        fault("event before any 'about'");
       all.push_back({instance, record()});
     }
     return all;
@@ -88,12 +97,15 @@
   std::string_view tail(std::size_t at, std::size_t unit) const {
     std::uint64_t offset = get<std::uint32_t>(r_, at);
     std::uint64_t bytes = static_cast<std::uint64_t>(get<std::uint32_t>(r_, at + 4)) * unit;
-    if (offset > tail_.size() || bytes > tail_.size() - offset) fault("tail field out of bounds");
+    if (offset > tail_.size() || bytes > tail_.size() - offset)
+      fault("tail field out of bounds");
     return tail_.substr(offset, bytes);
   }
 
   Record record() const {
-    auto id = [&](std::size_t at) { return get<std::uint32_t>(r_, at); };
+    auto id = [&](std::size_t at) {
+      return get<std::uint32_t>(r_, at);
+    };
     switch (int code = get8(r_, 0)) {
       case 90:
         return Spawn{get<std::uint64_t>(r_, 1), std::string(tail(9, 1))};
@@ -118,7 +130,8 @@
       case 100:
         return Event(StreamBegun{id(1)});
       case 30: {
-        if (get8(r_, 10) != 1) return Ignored{};
+        if (get8(r_, 10) != 1)
+          return Ignored{};
         return Event(Started{id(1), get8(r_, 5)});
       }
       case 80:
@@ -128,7 +141,8 @@
       case 20:
         return Event(PeerMessage{static_cast<int>(id(1) & 0x7fffffffu), std::string(tail(5, 1))});
       case 10:
-        return Event(ProbeResult{id(1), get<std::uint16_t>(r_, 5) == 0, get_f64(r_, 7), read_report(r_, 15)});
+        return Event(ProbeResult{id(1), get<std::uint16_t>(r_, 5) == 0, get_f64(r_, 7),
+                                 read_report(r_, 15)});
       case 120: {
         Outcome o;
         o.request = id(1);
@@ -166,8 +180,10 @@
     for (std::size_t i = 0; i < entries.size(); i += kEntrySize) {
       std::string_view e = entries.substr(i, kEntrySize);
       int phase = get8(e, 8);
-      if (phase > 2) fault("unknown worker phase " + std::to_string(phase));
-      list.entries.push_back({get<std::uint32_t>(e, 0), get8(e, 4), get8(e, 5), get<std::uint16_t>(e, 6),
+      if (phase > 2)
+        fault("unknown worker phase " + std::to_string(phase));
+      list.entries.push_back({get<std::uint32_t>(e, 0), get8(e, 4), get8(e, 5),
+                              get<std::uint16_t>(e, 6),
                               phase == 1   ? WorkerState::ready
                               : phase == 2 ? WorkerState::draining
                                            : WorkerState::gone,
@@ -206,7 +222,9 @@
   tail_ += text;
 }
 
-void ReplyWriter::instance(std::uint32_t id) { put(record(130) + 1, id); }
+void ReplyWriter::instance(std::uint32_t id) {
+  put(record(130) + 1, id);
+}
 
 void ReplyWriter::action(const Action& action) {
   struct Visitor {
--- a/adapter/instances.cpp
+++ b/adapter/instances.cpp
@@ -10,7 +10,8 @@
   bool named = false;
   std::uint32_t current = 0;
   auto address = [&](std::uint32_t id) {
-    if (!named || current != id) reply.instance(id);
+    if (!named || current != id)
+      reply.instance(id);
     named = true;
     current = id;
   };
@@ -28,25 +29,31 @@
       table_.erase(event.instance);
     } else if (const auto* unknown = std::get_if<Unknown>(&event.record)) {
       bool& logged = table_[event.instance].unknown_logged[unknown->code];
-      if (!logged) log += "reedlb_adapter: event code " + std::to_string(unknown->code) + " skipped\n";
+      if (!logged)
+        log += "reedlb_adapter: event code " + std::to_string(unknown->code) + " skipped\n";
       logged = true;
     } else if (const auto* input = std::get_if<Event>(&event.record)) {
       auto it = table_.find(event.instance);
-      if (it == table_.end() || !it->second.dispatcher) continue;  // not started: nothing to decide for
+      if (it == table_.end() || !it->second.dispatcher)
+        continue;  // not started: nothing to decide for
       actions.clear();
       try {
         it->second.dispatcher->handle(header.now, *input, actions);
         std::vector<Event> told;
-        if (auto homes = it->second.homes->after(*input)) told.push_back(std::move(*homes));
+        if (auto homes = it->second.homes->after(*input))
+          told.push_back(std::move(*homes));
         it->second.turns->after(header.now, *input, *it->second.dispatcher, told, actions);
-        for (const Event& one : told) it->second.dispatcher->handle(header.now, one, actions);
+        for (const Event& one : told)
+          it->second.dispatcher->handle(header.now, one, actions);
       } catch (const std::exception& fault) {
         address(event.instance);
         reply.give_in(fault.what());
         continue;
       }
-      if (!actions.empty()) address(event.instance);
-      for (const Action& action : actions) reply.action(action);
+      if (!actions.empty())
+        address(event.instance);
+      for (const Action& action : actions)
+        reply.action(action);
     }
   }
   return reply.finish();
--- a/adapter/instances.h
+++ b/adapter/instances.h
@@ -14,8 +14,9 @@
 
 class Instances {
  public:
-  // Plays one batch and returns the reply frame. Throws WireError or SettingsError on malformed input; an
-  // exception of a dispatcher becomes a give_in record. Lines for the operator go to `log`.
+  // Plays one batch and returns the reply frame. Throws WireError or SettingsError on malformed
+  // input; an exception of a dispatcher becomes a give_in record. Lines for the operator go to
+  // `log`.
   std::string play(const Header& header, std::string_view body, std::string& log);
 
  private:
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// The body is read in pieces, so that a header with an absurd length costs no memory before the bytes are
-// there.
+// The body is read in pieces, so that a header with an absurd length costs no memory before the
+// bytes are there.
 bool read_bytes(std::string& into, std::size_t want) {
   constexpr std::size_t kPiece = 1 << 20;
   into.clear();
@@ -30,16 +30,20 @@
   std::string head, body, log;
   while (true) {
     if (!read_bytes(head, kBatchHeader)) {
-      if (head.empty()) return 0;
-      throw WireError("input ends within a batch header, after " + std::to_string(head.size()) + " bytes");
+      if (head.empty())
+        return 0;
+      throw WireError("input ends within a batch header, after " + std::to_string(head.size()) +
+                      " bytes");
     }
     Header header = read_header(head);
     if (!read_bytes(body, header.body_bytes))
-      throw WireError("input ends within a batch body, after " + std::to_string(body.size()) + " of " +
-                      std::to_string(header.body_bytes) + " bytes");
+      throw WireError("input ends within a batch body, after " + std::to_string(body.size()) +
+                      " of " + std::to_string(header.body_bytes) + " bytes");
     std::string reply = instances.play(header, body, log);
-    if (!log.empty()) std::fputs(log.c_str(), stderr), log.clear();
-    if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
+    if (!log.empty())
+      std::fputs(log.c_str(), stderr), log.clear();
+    if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
+        std::fflush(stdout) != 0)
       throw WireError("standard output is closed");
   }
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -16,8 +16,10 @@
       auto end = text.find('\n');
       std::string_view line = text.substr(0, end);
       text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
-      if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-      if (line.empty()) continue;
+      if (!line.empty() && line.back() == '\r')
+        line.remove_suffix(1);
+      if (line.empty())
+        continue;
       auto eq = line.find('=');
       if (eq == std::string_view::npos)
         throw SettingsError("settings: no '=' in line '" + std::string(line) + "'");
@@ -27,13 +29,15 @@
 
   std::optional<std::string_view> find(const std::string& key) const {
     auto it = values_.find(key);
-    if (it == values_.end()) return std::nullopt;
+    if (it == values_.end())
+      return std::nullopt;
     return it->second;
   }
 
   std::string_view text(const std::string& key) const {
     auto v = find(key);
-    if (!v) throw SettingsError("settings: '" + key + "' is missing");
+    if (!v)
+      throw SettingsError("settings: '" + key + "' is missing");
     return *v;
   }
 
@@ -56,10 +60,13 @@
     return static_cast<int>(d);
   }
   int integer(const std::string& key) const { return to_int(key, number(key)); }
-  int integer(const std::string& key, int otherwise) const { return to_int(key, number(key, otherwise)); }
+  int integer(const std::string& key, int otherwise) const {
+    return to_int(key, number(key, otherwise));
+  }
   bool flag(const std::string& key, bool otherwise) const {
     auto v = find(key);
-    if (!v) return otherwise;
+    if (!v)
+      return otherwise;
     if (*v != "true" && *v != "false")
       throw SettingsError("settings: '" + key + "' is neither true nor false");
     return *v == "true";
@@ -67,11 +74,13 @@
   std::vector<std::string_view> list(const std::string& key) const {
     std::vector<std::string_view> items;
     auto v = find(key);
-    if (!v || v->empty()) return items;
+    if (!v || v->empty())
+      return items;
     for (std::string_view rest = *v;;) {
       auto comma = rest.find(',');
       items.push_back(rest.substr(0, comma));
-      if (comma == std::string_view::npos) return items;
+      if (comma == std::string_view::npos)
+        return items;
       rest.remove_prefix(comma + 1);
     }
   }
@@ -89,15 +98,17 @@
          std::initializer_list<std::pair<std::string_view, T>> choices) {
   auto v = p.text(key);
   for (const auto& [name, value] : choices)
-    if (v == name) return value;
+    if (v == name)
+      return value;
   throw SettingsError("settings: '" + key + "' has an unknown value: '" + std::string(v) + "'");
 }
 
 ClassSettings read_class(const Pairs& p, std::size_t i) {
   std::string at = "classes." + std::to_string(i) + ".";
   ClassSettings c;
-  c.effect = choice<Effect>(p, at + "effect",
-                            {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
+  c.effect = choice<Effect>(
+      p, at + "effect",
+      {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
   if (c.effect == Effect::keyed) {
     c.scope = choice<Scope>(p, at + "key_scope",
                             {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}});
@@ -108,7 +119,8 @@
   c.value = p.number(at + "value", 1);
   c.late_worth = p.number(at + "late_worth", 0);
   c.kind = Pairs::to_int("family_info.class_kind", p.item("family_info.class_kind", i, -1));
-  c.priority = Pairs::to_int("family_info.class_priority", p.item("family_info.class_priority", i, 0));
+  c.priority =
+      Pairs::to_int("family_info.class_priority", p.item("family_info.class_priority", i, 0));
   return c;
 }
 
@@ -132,8 +144,10 @@
   s.zones = std::max(1, static_cast<int>(p.list("dcs").size()));
   s.kinds = std::max(1, static_cast<int>(p.list("kinds").size()));
   auto classes = p.integer("classes.count");
-  if (classes < 0) throw SettingsError("settings: 'classes.count' is negative");
-  for (int i = 0; i < classes; ++i) s.classes.push_back(read_class(p, static_cast<std::size_t>(i)));
+  if (classes < 0)
+    throw SettingsError("settings: 'classes.count' is negative");
+  for (int i = 0; i < classes; ++i)
+    s.classes.push_back(read_class(p, static_cast<std::size_t>(i)));
   int tenants = p.integer("tenants.count", 0);
   for (int i = 0; i < tenants; ++i)
     s.tenant_quota.push_back(p.number("tenants." + std::to_string(i) + ".quota_per_s", 0));
--- a/bench/bench_dispatcher.cpp
+++ b/bench/bench_dispatcher.cpp
@@ -1,4 +1,5 @@
-// The time of one decision: a request arrives, its attempt starts and is served, over fleets of several sizes.
+// The time of one decision: a request arrives, its attempt starts and is served, over fleets of
+// several sizes.
 #include <benchmark/benchmark.h>
 
 #include "reedlb/dispatcher.h"
@@ -13,7 +14,8 @@
   Settings settings;
   settings.dispatchers = 4;
   settings.classes.resize(3);
-  for (ClassSettings& c : settings.classes) c.target_ms = 500;
+  for (ClassSettings& c : settings.classes)
+    c.target_ms = 500;
   settings.classes[1].effect = Effect::keyed;
   settings.classes[1].window_ms = 3000;
   settings.classes[2].effect = Effect::unsafe;
@@ -39,7 +41,8 @@
     arrival.hint = 20 + last % 30;
     dispatcher.handle(now, arrival, actions);
     dispatcher.handle(now, Started{last, 0}, actions);
-    if (last <= kOutstanding) continue;
+    if (last <= kOutstanding)
+      continue;
     Outcome outcome;
     outcome.request = last - kOutstanding;
     outcome.result = Result::ok;
--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -1,5 +1,6 @@
-// What pools cost a request: the choice of its pool, what a move hears of it, and both in the Engine, beside the same
-// without pools. Endpoints answer at once, so that the module and the Engine are all there is.
+// What pools cost a request: the choice of its pool, what a move hears of it, and both in the
+// Engine, beside the same without pools. Endpoints answer at once, so that the module and the
+// Engine are all there is.
 #include <benchmark/benchmark.h>
 
 #include "core/engine.h"
@@ -14,7 +15,8 @@
 reedlb::Settings settings() {
   reedlb::Settings s;
   s.classes.resize(2);
-  for (auto& c : s.classes) c.target_ms = 300, c.stretch = 2;
+  for (auto& c : s.classes)
+    c.target_ms = 300, c.stretch = 2;
   s.classes[1].effect = reedlb::Effect::keyed;
   s.classes[1].window_ms = 7500;
   s.tick_ms = 4;
@@ -27,16 +29,20 @@
 class World final : EndpointPort, TimerPort, Asker {
  public:
   explicit World(Kind kind)
-      : now_(Clock::now()), engine_(settings(), 1, {1000, 0ms}, *this, clock_, counters_),
-        traffic_(*this, clock_, engine_, {Names{{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings()}, counters_),
-        destinations_(loop_, {}, {}, [](reedlb::WorkerList) {}, counters_, 1) {
+      : now_(Clock::now()),
+        engine_(settings(), 1, {1000, 0ms}, *this, clock_, counters_),
+        traffic_(*this, clock_, engine_,
+                 {Names{{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings()}, counters_),
+        destinations_(
+            loop_, {}, {}, [](reedlb::WorkerList) {}, counters_, 1) {
     engine_.connect(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
     std::vector<moves::MoveSpec> moves;
     if (kind != Kind::none) {
       spec.pools = {{"new", {}, {}, {}, {1}}, {"old", {}, {}, {}, {}}};
-      spec.routes = {{"prices", {"price"}, {}, {}, {{"old", 50}, {"new", 50}}, false}, {"all", {}, {}, {}, {{"old", 50}, {"new", 50}}, false}};
+      spec.routes = {{"prices", {"price"}, {}, {}, {{"old", 50}, {"new", 50}}, false},
+                     {"all", {}, {}, {}, {{"old", 50}, {"new", 50}}, false}};
     }
     if (kind == Kind::moving) {
       moves.resize(1);
@@ -46,9 +52,11 @@
     }
     traffic_.configure(spec, moves);
     reedlb::WorkerList list;
-    for (reedlb::WorkerId w = 1; w <= 12; ++w) list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
+    for (reedlb::WorkerId w = 1; w <= 12; ++w)
+      list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
     traffic_.list(std::move(list));
-    if (kind == Kind::moving) traffic_.command("m", "start");
+    if (kind == Kind::moving)
+      traffic_.command("m", "start");
   }
 
   void request(std::uint64_t n) {
@@ -63,7 +71,8 @@
     now_ += 1ms;
     engine_.take(std::move(job), *this);
     for (auto ref = std::exchange(sent_, {}); ref.request;) {
-      engine_.attempt_ended(ref, {.ending = Ending::served, .reach = Reach::accepted, .result = "x"});
+      engine_.attempt_ended(ref,
+                            {.ending = Ending::served, .reach = Reach::accepted, .result = "x"});
       break;
     }
     timers_.run(now_);
@@ -76,7 +85,9 @@
   void give_up_unsent(AttemptRef) override {}
   void probe(WorkerId) override {}
   TimePoint now() const override { return now_; }
-  TimerId at(TimePoint when, std::function<void()> task) override { return timers_.add(when, std::move(task)); }
+  TimerId at(TimePoint when, std::function<void()> task) override {
+    return timers_.add(when, std::move(task));
+  }
   void cancel(TimerId id) override { timers_.cancel(id); }
 
   TimePoint now_;
@@ -93,7 +104,8 @@
 void request(benchmark::State& state, Kind kind) {
   World world(kind);
   std::uint64_t n = 0;
-  for (auto _ : state) world.request(++n);
+  for (auto _ : state)
+    world.request(++n);
 }
 BENCHMARK_CAPTURE(request, without_pools, Kind::none);
 BENCHMARK_CAPTURE(request, with_two_pools, Kind::pools);
@@ -103,10 +115,13 @@
   routes::Spec spec;
   spec.pools = {{"new", {}, {}, {}, {1}}, {"old", {}, {}, {}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"old", 50}, {"new", 50}}, false}};
-  routes::Router router(spec, {{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings().classes, {20'000, 2'000});
+  routes::Router router(spec, {{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings().classes,
+                        {20'000, 2'000});
   reedlb::WorkerList list;
-  for (reedlb::WorkerId w = 1; w <= 12; ++w) list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
-  router.split(list, [](reedlb::WorkerId) { return std::string_view("s"); }, 0);
+  for (reedlb::WorkerId w = 1; w <= 12; ++w)
+    list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
+  router.split(
+      list, [](reedlb::WorkerId) { return std::string_view("s"); }, 0);
   double now = 0;
   std::uint64_t n = 0;
   std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -114,7 +129,8 @@
     routes::Query query;
     query.cls = static_cast<int>(state.range(0));
     query.object = ++n;
-    key[0] = static_cast<char>('a' + n % 26), key[1] = static_cast<char>('a' + n / 26 % 26), key[2] = static_cast<char>('a' + n / 676 % 26);
+    key[0] = static_cast<char>('a' + n % 26), key[1] = static_cast<char>('a' + n / 26 % 26),
+    key[2] = static_cast<char>('a' + n / 676 % 26);
     query.idempotency_key = key;
     benchmark::DoNotOptimize(router.choose(query, now += 1).pool);
   }
--- a/cli/client.h
+++ b/cli/client.h
@@ -1,4 +1,5 @@
-// One call to a running node's admin socket. Blocking, with a time limit: a command line may wait, a node may not.
+// One call to a running node's admin socket. Blocking, with a time limit: a command line may wait,
+// a node may not.
 #pragma once
 
 #include <chrono>
--- a/include/reedlb/dispatcher.h
+++ b/include/reedlb/dispatcher.h
@@ -1,9 +1,10 @@
 // reedlb: the decisions of one dispatcher that pushes jobs to workers.
 //
-// A Dispatcher is told the time and one event per call and appends what it wants done to a list of actions.
-// It has no clock, no threads, no I/O and no globals; the same settings, seed and events always give the same
-// actions. All times are milliseconds on the caller's clock, which only moves forward. Classes, zones, kinds
-// and tenants are positions in the caller's own lists: the library is never told a name.
+// A Dispatcher is told the time and one event per call and appends what it wants done to a list of
+// actions. It has no clock, no threads, no I/O and no globals; the same settings, seed and events
+// always give the same actions. All times are milliseconds on the caller's clock, which only moves
+// forward. Classes, zones, kinds and tenants are positions in the caller's own lists: the library
+// is never told a name.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,7 @@
   safe,
   keyed,
   unsafe
-};                                                    // may be repeated; repeats dropped by a group; never
+};  // may be repeated; repeats dropped by a group; never
 enum class Scope : std::uint8_t { all, zone, cell };  // who drops a keyed class's repeats
 
 enum class ReportField : std::uint8_t {
@@ -40,7 +41,8 @@
   Effect effect = Effect::safe;
   Scope scope = Scope::all;  // keyed only
   double window_ms = 0;      // keyed only: how long repeats are dropped
-  double target_ms = 0;      // an answer is in time within target + stretch x the job's own running time
+  double target_ms =
+      0;  // an answer is in time within target + stretch x the job's own running time
   double stretch = 0;
   double value = 1;  // worth of a job, and the share of it that a late answer still earns
   double late_worth = 0;
@@ -53,7 +55,8 @@
   int dispatchers = 1, rank = 0;       // how many there are, and which one this is
   int zone = 0, zones = 1, kinds = 1;  // own zone, and how many zones and worker kinds exist
   std::vector<ClassSettings> classes;
-  std::vector<double> tenant_quota;  // per tenant: jobs a second within its share, over all dispatchers
+  std::vector<double>
+      tenant_quota;  // per tenant: jobs a second within its share, over all dispatchers
   double over_share_worth = 1;
   double tick_ms = 1;     // events arrive no more often than this
   bool ask_list = false;  // the worker list must be asked for (Subscribe)
@@ -105,7 +108,8 @@
 };
 struct ClientGone {
   RequestId request = 0;
-  bool moved = false;  // unsent, it goes to another Dispatcher with the same TenantShares, which asks for its share anew
+  bool moved = false;  // unsent, it goes to another Dispatcher with the same TenantShares, which
+                       // asks for its share anew
 };
 struct Timer {
   std::uint64_t name = 0;
@@ -124,7 +128,16 @@
   double elapsed_ms = 0;
   LoadReport report;
 };
-enum class Result : std::uint8_t { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
+enum class Result : std::uint8_t {
+  ok,
+  error,
+  full,
+  timeout,
+  connect_failed,
+  reset,
+  cancelled,
+  moot
+};
 struct Outcome {
   RequestId request = 0;
   int attempt = 0;
@@ -133,17 +146,21 @@
   bool final = false;  // the request has ended, with this outcome or before
   LoadReport report;
 };
-// New settings, which `validate` must have passed. Jobs under way keep their class: a number that some of them have
-// must stand for the same class as before, and no list may be shorter. What was learned stays.
+// New settings, which `validate` must have passed. Jobs under way keep their class: a number that
+// some of them have must stand for the same class as before, and no list may be shorter. What was
+// learned stays.
 struct Retune {
   Settings settings;
-  std::vector<int> from;  // by class: the number it learned under until now (its own: the same class), or -1: it is new
+  std::vector<int> from;  // by class: the number it learned under until now (its own: the same
+                          // class), or -1: it is new
 };
-// What a Dispatcher has learned, for one that takes over from it in the same place: told to the fresh one after its list.
+// What a Dispatcher has learned, for one that takes over from it in the same place: told to the
+// fresh one after its list.
 struct Knowledge {
   struct OfWorker {
-    double slow = 1;      // run times here over corrected hints, as if it were warm
-    double cap = 2;       // own slots it may hold; the first one is what is believed before anything is known
+    double slow = 1;  // run times here over corrected hints, as if it were warm
+    double cap =
+        2;  // own slots it may hold; the first one is what is believed before anything is known
     int strikes = 0;      // signs of illness since the last good one
     int faults = 0;       // attempts that failed there since the last that was served
     Time shut_until = 0;  // left alone before this
@@ -161,7 +178,8 @@
     WorkerId worker = 0;
     Time born = 0;  // of another life nothing is believed
     OfWorker of;
-    double load = 0, cold_work = 0;  // own slots in flight; work sent within the last window while cold
+    double load = 0,
+           cold_work = 0;  // own slots in flight; work sent within the last window while cold
   };
   struct OfFleet {
     std::vector<double> start_delay;  // usual time from send to start note, by zone
@@ -173,21 +191,24 @@
   std::vector<OfKind> kinds;
   OfFleet fleet;
 };
-// Whether anything may be sent at present; until the first one comes it may. While not, jobs are held.
+// Whether anything may be sent at present; until the first one comes it may. While not, jobs are
+// held.
 struct SendPermission {
   bool allowed = true;
 };
-// Another process of this same node decides beside this one: each is told (Tell, to the own rank) of what the other
-// sends, and counts it as its own where the rules do.
+// Another process of this same node decides beside this one: each is told (Tell, to the own rank)
+// of what the other sends, and counts it as its own where the rules do.
 struct Twin {
   bool here = false;
 };
-// Which of all dispatchers live, by rank; until the first one comes all do. The living split tenants' shares.
+// Which of all dispatchers live, by rank; until the first one comes all do. The living split
+// tenants' shares.
 struct Members {
   std::vector<bool> lives;
 };
-// Who is at home at the workers that the Dispatcher knows: it prefers those that are home to it, and tells the others
-// there of them where `talk`. While a worker is cold its Turns say so instead. Until the first one comes all are at home.
+// Who is at home at the workers that the Dispatcher knows: it prefers those that are home to it,
+// and tells the others there of them where `talk`. While a worker is cold its Turns say so instead.
+// Until the first one comes all are at home.
 struct Homes {
   struct At {
     WorkerId worker = 0;
@@ -197,18 +218,19 @@
   std::vector<At> workers;
   bool talk = false;
 };
-// Rule 4 holds of what all dispatchers send to a cold worker. Each has a part; until it is told of it, an even one.
+// Rule 4 holds of what all dispatchers send to a cold worker. Each has a part; until it is told of
+// it, an even one.
 struct Turns {
   struct At {
-    Homes::At home;  // while it is cold
-    Time born = 0;   // of another life it says nothing
+    Homes::At home;    // while it is cold
+    Time born = 0;     // of another life it says nothing
     double share = 0;  // of the budget
   };
   std::vector<At> workers;
 };
-// Work that may be sent to a cold worker until that time, of another dispatcher's part (ours: in place of what such a
-// grant had left); or that another one was granted of the own part, which counts as sent then (less than 0: it gave
-// that back).
+// Work that may be sent to a cold worker until that time, of another dispatcher's part (ours: in
+// place of what such a grant had left); or that another one was granted of the own part, which
+// counts as sent then (less than 0: it gave that back).
 struct Grant {
   WorkerId worker = 0;
   Time born = 0;
@@ -216,8 +238,9 @@
   Time until = 0;
   bool ours = false;
 };
-using Event = std::variant<WorkerList, Arrival, StreamBegun, Started, ClientGone, Timer, PeerMessage,
-                           ProbeResult, Outcome, Retune, Knowledge, Twin, Members, Homes, Turns, Grant, SendPermission>;
+using Event = std::variant<WorkerList, Arrival, StreamBegun, Started, ClientGone, Timer,
+                           PeerMessage, ProbeResult, Outcome, Retune, Knowledge, Twin, Members,
+                           Homes, Turns, Grant, SendPermission>;
 
 // ---- actions ----
 
@@ -245,15 +268,17 @@
   WorkerId worker = 0;
 };
 struct Subscribe {};  // ask for the worker list and its changes
-struct Tell {         // a message to the dispatcher of that rank (the own one: the twin); it may come late or never
+struct Tell {  // a message to the dispatcher of that rank (the own one: the twin); it may come late
+               // or never
   int peer = 0;
   std::string bytes;
 };
 using Action = std::variant<Send, Refuse, Fail, Recall, SetTimer, Probe, Subscribe, Tell>;
 using Actions = std::vector<Action>;
 
-// What of their shares tenants have left: a bucket for each. Dispatchers that split one node's traffic between them
-// are given the same one, so that a tenant's share is the same however its requests are split.
+// What of their shares tenants have left: a bucket for each. Dispatchers that split one node's
+// traffic between them are given the same one, so that a tenant's share is the same however its
+// requests are split.
 struct TenantShares {
   struct Bucket {
     double left = 0;
@@ -274,8 +299,10 @@
 
 class Dispatcher {
  public:
-  // Throws std::invalid_argument on impossible settings. Without `shares` it keeps tenants' shares by itself.
-  Dispatcher(const Settings& settings, std::uint64_t seed, std::shared_ptr<TenantShares> shares = nullptr);
+  // Throws std::invalid_argument on impossible settings. Without `shares` it keeps tenants' shares
+  // by itself.
+  Dispatcher(const Settings& settings, std::uint64_t seed,
+             std::shared_ptr<TenantShares> shares = nullptr);
   ~Dispatcher();
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
@@ -286,7 +313,8 @@
   std::size_t held() const;           // jobs waiting here, for monitoring
   Knowledge knowledge(Time now) const;
   ColdRoom cold_room(WorkerId worker, Time now) const;
-  bool avoids(WorkerId worker, Time now) const;  // it is ready and yet left alone, as it looks ill; for monitoring
+  bool avoids(WorkerId worker,
+              Time now) const;  // it is ready and yet left alone, as it looks ill; for monitoring
 
  private:
   struct Impl;
--- a/lab/boxes.h
+++ b/lab/boxes.h
@@ -1,6 +1,7 @@
-// Stand-in boxes, many in one process, which behave as the platform's protocol says: they answer 202, tell starts,
-// progress and ends by call-backs that they repeat until answered, turn away what their queue cannot hold, drop a keyed
-// repeat that their group has served within its window, start cold, and fall over when pushed.
+// Stand-in boxes, many in one process, which behave as the platform's protocol says: they answer
+// 202, tell starts, progress and ends by call-backs that they repeat until answered, turn away what
+// their queue cannot hold, drop a keyed repeat that their group has served within its window, start
+// cold, and fall over when pushed.
 #pragma once
 
 #include <deque>
@@ -23,8 +24,9 @@
   std::string key;
   reedlb::Effect effect = reedlb::Effect::safe;
   Duration window{};
-  double core_ms = 10;  // on a standard core
-  Duration checkpoint{};  // a safe job that is cut off goes on, at any box, from what it had at the last multiple of this
+  double core_ms = 10;    // on a standard core
+  Duration checkpoint{};  // a safe job that is cut off goes on, at any box, from what it had at the
+                          // last multiple of this
 };
 
 struct World {  // what the stand-ins share
@@ -36,19 +38,25 @@
   Duration fall = std::chrono::seconds(2), drain_grace = std::chrono::milliseconds(500 + 50);
   std::unordered_map<std::string, Work> works;  // by request id
   // What groups have served of keyed work: key, then the result and when.
-  std::unordered_map<std::string, std::unordered_map<std::string, std::pair<std::string, TimePoint>>> served;
+  std::unordered_map<std::string,
+                     std::unordered_map<std::string, std::pair<std::string, TimePoint>>>
+      served;
   std::vector<net::Address> nodes;
   DrainRule drains{};
-  Duration progress{};                            // boxes report so often; zero: never
-  std::unordered_map<std::string, double> saved;  // by key: work of cut off jobs that is done, in core milliseconds
-  std::uint64_t reports = 0, resumed = 0;         // progress reports told, jobs that went on from a saved state
-  // Where the network is not loopback alone: its places, by node; and what became of attempts there.
+  Duration progress{};  // boxes report so often; zero: never
+  std::unordered_map<std::string, double>
+      saved;  // by key: work of cut off jobs that is done, in core milliseconds
+  std::uint64_t reports = 0,
+                resumed = 0;  // progress reports told, jobs that went on from a saved state
+  // Where the network is not loopback alone: its places, by node; and what became of attempts
+  // there.
   Network* network = nullptr;
   std::vector<Network::Place> node_places{};
   Network::Place discovery_place = 0;
   std::vector<std::string> node_zones{}, node_regions{};
   std::uint64_t attempts = 0, cross_zone = 0, cross_region = 0, fallen = 0;
-  double cold_fullest = 0;  // work sent to a cold box within the window, over what makes it fall over: the most
+  double cold_fullest =
+      0;  // work sent to a cold box within the window, over what makes it fall over: the most
 };
 
 class Box {
@@ -61,10 +69,13 @@
   const std::string& host() const { return host_; }
   const std::string& group() const { return plan_.site; }
   net::Address dial(std::size_t node) const { return network_ ? ways_[node].there : dials_[node]; }
-  // Its place in the network; every node reaches it, and is reached, through that from here on. Of nodes the addresses.
-  void stand_in(Network& network, Network::Place place, const std::string& region, const std::vector<net::Address>& nodes);
+  // Its place in the network; every node reaches it, and is reached, through that from here on. Of
+  // nodes the addresses.
+  void stand_in(Network& network, Network::Place place, const std::string& region,
+                const std::vector<net::Address>& nodes);
   Network::Place place() const { return place_; }
-  // That node cannot hear it: an attempt there is over for the node once it gives it up, whatever the box does.
+  // That node cannot hear it: an attempt there is over for the node once it gives it up, whatever
+  // the box does.
   void unheard(std::size_t node);
   Health health() const { return health_; }
   bool up() const { return up_; }
--- a/lab/crowd.h
+++ b/lab/crowd.h
@@ -1,5 +1,5 @@
-// Clients: they ask at their own pace whatever becomes of it (an open loop), wait until their deadline, and try again
-// as the answer allows.
+// Clients: they ask at their own pace whatever becomes of it (an open loop), wait until their
+// deadline, and try again as the answer allows.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -32,8 +32,8 @@
   // A node that is being ended: its front brings nothing new.
   void leave(std::size_t node) { left_.at(node) = true; }
   void join(std::size_t node) { left_.at(node) = false; }
-  // From now on, until the `until` that is set later, the node cannot answer: what it owes then is lost with it, which
-  // is no rule broken. Counted.
+  // From now on, until the `until` that is set later, the node cannot answer: what it owes then is
+  // lost with it, which is no rule broken. Counted.
   void faulty(std::size_t node) { faults_[node].push_back({world_.loop.now(), TimePoint::max()}); }
   void faulty_until(std::size_t node, TimePoint until) { faults_[node].back().second = until; }
   std::uint64_t lost_with_node() const { return lost_with_node_; }
@@ -54,7 +54,8 @@
     TimePoint first;
   };
   class Call;
-  using Histogram = decltype(boost::histogram::make_histogram(boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(1, 1, 2)));
+  using Histogram = decltype(boost::histogram::make_histogram(
+      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(1, 1, 2)));
 
   void next();
   void ask(Job job);
@@ -70,7 +71,8 @@
   std::vector<ClassFigures> figures_;
   std::vector<bool> left_;
   std::vector<double> zone_loads_;  // as of now
-  std::map<std::size_t, std::vector<std::pair<TimePoint, TimePoint>>> faults_;  // by node, from when until when
+  std::map<std::size_t, std::vector<std::pair<TimePoint, TimePoint>>>
+      faults_;  // by node, from when until when
   std::uint64_t lost_with_node_ = 0;
   std::vector<std::pair<double, double>> seconds_;
   Histogram latencies_;
--- a/lab/directory.h
+++ b/lab/directory.h
@@ -1,5 +1,5 @@
-// Discovery's stand-in: the list, and a watch of its changes, for each node with the addresses that it is to dial. Its
-// calls fail as an experiment says.
+// Discovery's stand-in: the list, and a watch of its changes, for each node with the addresses that
+// it is to dial. Its calls fail as an experiment says.
 #pragma once
 
 #include <deque>
@@ -29,18 +29,23 @@
 
 class Directory {
  public:
-  // `pushed`: each node asks an agent of its own, which has the list while discovery is up and says nothing while not.
-  Directory(World& world, const std::vector<std::unique_ptr<Box>>& boxes, std::size_t nodes, bool pushed);
+  // `pushed`: each node asks an agent of its own, which has the list while discovery is up and says
+  // nothing while not.
+  Directory(World& world, const std::vector<std::unique_ptr<Box>>& boxes, std::size_t nodes,
+            bool pushed);
   ~Directory();
 
   net::Address address(std::size_t node) const;
-  nlohmann::json known(std::size_t node) const;  // the list as discovery last could have told it to that node
+  nlohmann::json known(
+      std::size_t node) const;   // the list as discovery last could have told it to that node
   void changed(const Box& box);  // written to every watch at once
 
-  void down(bool is);  // asked: watches end, and calls are refused after a while. Pushed: all fall silent
-  void fail_next(std::size_t node, const std::vector<CallFault>& faults);  // the node's next calls, one after another
-  void silence(std::size_t node);                                          // its open watches say nothing any more
-  void reset(std::size_t node);                                            // they are closed
+  void down(
+      bool is);  // asked: watches end, and calls are refused after a while. Pushed: all fall silent
+  void fail_next(std::size_t node,
+                 const std::vector<CallFault>& faults);  // the node's next calls, one after another
+  void silence(std::size_t node);                        // its open watches say nothing any more
+  void reset(std::size_t node);                          // they are closed
 
  private:
   class Desk;   // for one node
--- a/lab/fault_shim.h
+++ b/lab/fault_shim.h
@@ -1,4 +1,5 @@
-// What the lab and the shim that it loads into its nodes share: one small mapped file for each node.
+// What the lab and the shim that it loads into its nodes share: one small mapped file for each
+// node.
 #pragma once
 
 #include <atomic>
--- a/lab/nodes.h
+++ b/lab/nodes.h
@@ -14,7 +14,8 @@
 
 namespace keelflow::lab {
 
-// A port that is free now. Another program could take it before the node does; the node then says so and ends.
+// A port that is free now. Another program could take it before the node does; the node then says
+// so and ends.
 net::Address free_address(int type);  // SOCK_STREAM, SOCK_DGRAM
 
 struct Neighbours {  // what a node is told of the world
@@ -31,16 +32,18 @@
   NodeProcess& operator=(const NodeProcess&) = delete;
 
   void start(const Neighbours& neighbours, std::uint64_t seed);
-  // Under the same name and address, with another seed. `known`: the list that the platform has kept for it, or null.
+  // Under the same name and address, with another seed. `known`: the list that the platform has
+  // kept for it, or null.
   void start_again(std::uint64_t seed, const nlohmann::json& known);
   net::Address address() const { return address_; }
-  void wait_until_up();  // throws std::runtime_error with its log if it does not come up
-  bool up() const;       // it accepts connections
-  void kill();           // SIGKILL
-  void stall(bool on);   // SIGSTOP, SIGCONT
-  void reload();         // SIGHUP
+  void wait_until_up();             // throws std::runtime_error with its log if it does not come up
+  bool up() const;                  // it accepts connections
+  void kill();                      // SIGKILL
+  void stall(bool on);              // SIGSTOP, SIGCONT
+  void reload();                    // SIGHUP
   void step_clock(double seconds);  // its wall clock
-  // System calls of its lives so far that were made to fail or to move one byte; reads of a wall clock.
+  // System calls of its lives so far that were made to fail or to move one byte; reads of a wall
+  // clock.
   std::uint64_t calls_failed() const { return shim_ ? shim_->failed.load() : 0; }
   std::uint64_t calls_shortened() const { return shim_ ? shim_->shortened.load() : 0; }
   void settings(const std::string& text);  // rewrites its file and sends SIGHUP
--- a/lab/plan.h
+++ b/lab/plan.h
@@ -19,7 +19,7 @@
   Duration run = from_ms(40);  // usual running time on a standard core
   double spread = 0.4;         // sigma of its logarithm
   Duration checkpoint{};       // safe classes: see Work
-  double retries = 2;          // further tries after a refusal, or a failure where the class allows it
+  double retries = 2;  // further tries after a refusal, or a failure where the class allows it
 };
 
 struct BoxPlan {  // some boxes that are alike; their hosts are NAME-1, NAME-2, ...
@@ -47,17 +47,21 @@
 struct Plan {
   std::string name;
   double configured = 0;  // processes that each node's settings name; 0: as many as there are
-  double nodes = 2, load = 100, tenants = 4, objects = 5000, rude = 0;  // rude: share of clients that ignore Retry-After
-  double quitters = 0;                        // share of clients that leave before their time is over
-  double failing_calls = 0, short_calls = 0;  // share of the nodes' system calls that fail for a moment, or move one byte
+  double nodes = 2, load = 100, tenants = 4, objects = 5000,
+         rude = 0;      // rude: share of clients that ignore Retry-After
+  double quitters = 0;  // share of clients that leave before their time is over
+  double failing_calls = 0,
+         short_calls =
+             0;  // share of the nodes' system calls that fail for a moment, or move one byte
   Duration lasts = std::chrono::seconds(15), progress = std::chrono::seconds(1);
   double cold_from = 0.14;
   Duration cold = std::chrono::seconds(20);
-  bool pushed = false;   // lists; else nodes ask for them
+  bool pushed = false;  // lists; else nodes ask for them
   Duration ask_within = std::chrono::seconds(10);
-  bool peers = false;   // nodes may send one another datagrams
+  bool peers = false;       // nodes may send one another datagrams
   bool needs_shim = false;  // system calls fail, or wall clocks are stepped
-  bool relays = false;  // links go through the lab's network; always so with zones, peers, or a fault of links
+  bool relays = false;      // links go through the lab's network; always so with zones, peers, or a
+                            // fault of links
   std::vector<ZonePlan> zones;  // in whose order the nodes are numbered; none: nodes know no zones
   std::vector<ClassPlan> classes;
   std::vector<BoxPlan> boxes;
@@ -72,7 +76,8 @@
   std::map<std::string, std::string> values;  // what stands for $NAME
 };
 
-// All variants that the file's (vary NAME VALUE ...) lines make together. Throws ConfigError with all faults.
+// All variants that the file's (vary NAME VALUE ...) lines make together. Throws ConfigError with
+// all faults.
 std::vector<Variant> variants(const std::string& text, const std::string& file);
 Plan read_plan(const std::string& text, const std::string& file, const Variant& variant);
 
--- a/lab/rules.h
+++ b/lab/rules.h
@@ -1,15 +1,16 @@
-// The rules, stated once: told what boxes and clients see, it says what was broken. It looks at both ends only, never
-// into a node.
+// The rules, stated once: told what boxes and clients see, it says what was broken. It looks at
+// both ends only, never into a node.
 //
 //   answer     each request gets exactly one final answer, before its client gives it up
 //   made       an answer of 200 is what a box made for this very request
-//   unsafe     work of an unsafe class runs once at most, whatever its client's tries were called; and a refusal of it
+//   unsafe     work of an unsafe class runs once at most, whatever its client's tries were called;
+//   and a refusal of it
 //              means that it did not run
-//   keyed      work with a key does not run in a second group while its repeats may be dropped by the first
-//   left       nothing is sent on for a client that left more than a moment ago
-//   one        a request has one attempt out at a time
-//   drain      a box that is told to be draining gets nothing new after the grace
-//   cold       a box that has just started is not sent so much that it falls over
+//   keyed      work with a key does not run in a second group while its repeats may be dropped by
+//   the first left       nothing is sent on for a client that left more than a moment ago one a
+//   request has one attempt out at a time drain      a box that is told to be draining gets nothing
+//   new after the grace cold       a box that has just started is not sent so much that it falls
+//   over
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,7 @@
 
 class Rules {
  public:
-  struct Request {  // one try of a client's job
+  struct Request {    // one try of a client's job
     std::string key;  // the same for all tries of one job
     reedlb::Effect effect = reedlb::Effect::safe;
     Duration window{};
@@ -35,10 +36,12 @@
   };
 
   void asked(const std::string& id, std::string key, reedlb::Effect effect, Duration window);
-  void attempt_began(const std::string& id, const std::string& box, TimePoint now = {});  // its last byte reached a box
+  void attempt_began(const std::string& id, const std::string& box,
+                     TimePoint now = {});  // its last byte reached a box
   void client_left(const std::string& id, TimePoint now);
   void attempt_over(const std::string& id);
-  void ran(const std::string& id, const std::string& box, const std::string& group, const std::string& result, TimePoint now);
+  void ran(const std::string& id, const std::string& box, const std::string& group,
+           const std::string& result, TimePoint now);
   void answered(const std::string& id, int status, const std::string& body, bool in_time);
   void unanswered(const std::string& id);
   void drained_box_was_sent(const std::string& id, const std::string& box);
--- a/lab/run.h
+++ b/lab/run.h
@@ -14,8 +14,8 @@
 struct RunSettings {
   std::string program;  // the node
   std::uint64_t seed = 1;
-  bool live = false;    // a line a second
-  bool keep = false;    // the folder with logs and settings
+  bool live = false;  // a line a second
+  bool keep = false;  // the folder with logs and settings
 };
 
 struct Outcome {
@@ -23,7 +23,7 @@
   std::vector<std::string> breaches;      // of the rules, the first few
   std::vector<std::string> missed;        // expectations that do not hold
   std::vector<std::pair<double, double>> seconds;
-  nlohmann::json nodes;                   // the last status of each
+  nlohmann::json nodes;  // the last status of each
   bool good() const { return missed.empty(); }
 };
 
--- a/lab/soak.cpp
+++ b/lab/soak.cpp
@@ -26,7 +26,8 @@
     // A long quiet time before the faults, in some runs.
     double first = chance(0.25) ? last / 2 : kWarmUp;
     drain(uniform(first, last));  // a run without a drain proves nothing
-    for (int i = 0; i < faults; ++i) fault(uniform(first, last));
+    for (int i = 0; i < faults; ++i)
+      fault(uniform(first, last));
     out_.text += "  (expect rules = 0)\n  (expect bad-ends = 0)\n  (expect violations = 0))\n";
     return std::move(out_);
   }
@@ -55,23 +56,29 @@
     int configured =
         chance(0.3) ? options_.processes : std::max(options_.processes, below(kMostConfigured + 1));
     pushed_ = chance(0.35);
-    line("(experiment soak\n  (lists %s) (configured %d) (ask-within %s)\n", pushed_ ? "push" : "ask",
-         configured, chance(0.3) ? "8s" : "30s");
+    line("(experiment soak\n  (lists %s) (configured %d) (ask-within %s)\n",
+         pushed_ ? "push" : "ask", configured, chance(0.3) ? "8s" : "30s");
     line("  (nodes %d) (load %d) (lasts %ds) (rude %.2f) (quitters %.2f)\n", options_.processes,
-         10 * options_.processes, options_.seconds, chance(0.5) ? 0.2 : 0.0, chance(0.5) ? 0.1 : 0.0);
+         10 * options_.processes, options_.seconds, chance(0.5) ? 0.2 : 0.0,
+         chance(0.5) ? 0.1 : 0.0);
     if (chance(0.5)) {
       out_.kinds.insert("syscalls");
-      line("  (failing-calls %.4f) (short-calls %.4f)\n", uniform(0.0005, 0.01), uniform(0.001, 0.05));
+      line("  (failing-calls %.4f) (short-calls %.4f)\n", uniform(0.0005, 0.01),
+           uniform(0.001, 0.05));
     }
     bool short_deadlines = chance(0.4);
-    line("  (class price-check (effect safe) (target 400ms) (stretch 2) (run 20ms) (patience %s))\n",
-         short_deadlines ? "600ms" : "4s");
+    line(
+        "  (class price-check (effect safe) (target 400ms) (stretch 2) (run 20ms) (patience %s))\n",
+        short_deadlines ? "600ms" : "4s");
     line("  (class hold-copy (effect keyed) (window %s) (target 300ms) (run 30ms) (patience %s))\n",
          chance(0.5) ? "1s" : "10s", short_deadlines ? "800ms" : "5s");
-    line("  (class close-sale (effect unsafe) (target 500ms) (run 40ms) (share 0.5) (patience %s))\n",
-         short_deadlines ? "1s" : "8s");
+    line(
+        "  (class close-sale (effect unsafe) (target 500ms) (run 40ms) (share 0.5) (patience "
+        "%s))\n",
+        short_deadlines ? "1s" : "8s");
     for (const std::string& group : kGroups)
-      line("  (boxes %s (site site-%s) (count %d) (cores 4))\n", group.c_str(), group.c_str(), 4 + below(5));
+      line("  (boxes %s (site site-%s) (count %d) (cores 4))\n", group.c_str(), group.c_str(),
+           4 + below(5));
   }
 
   void drain(double when) {
@@ -79,10 +86,11 @@
     const std::string& group = one_of(kGroups);
     bool removed = chance(0.4);
     char what[64];
-    std::snprintf(what, sizeof what, removed ? "(remove %s %.2f)" : "(drain %s %.2f)", group.c_str(),
-                  uniform(0.2, 0.6));
+    std::snprintf(what, sizeof what, removed ? "(remove %s %.2f)" : "(drain %s %.2f)",
+                  group.c_str(), uniform(0.2, 0.6));
     at(when, what);
-    if (!removed && chance(0.5)) at(when + uniform(4, 10), "(ready " + group + ")");
+    if (!removed && chance(0.5))
+      at(when + uniform(4, 10), "(ready " + group + ")");
     out_.kinds.insert(removed ? "remove" : "drain");
   }
 
@@ -114,7 +122,8 @@
     out_.kinds.insert("discovery-down");
     at(when, "(discovery down)");
     at(when + (chance(0.3) ? uniform(8, 14) : uniform(0.5, 5)), "(discovery up)");
-    if (chance(0.7)) drain(when + uniform(0, 6));
+    if (chance(0.7))
+      drain(when + uniform(0, 6));
   }
 
   void calls(double when) {
@@ -124,7 +133,8 @@
     int affected = 1 + below(options_.processes);
     for (int i = 0; i < affected; ++i) {
       std::string what = "(calls " + node();
-      for (int k = 1 + below(5); k > 0; --k) what += " " + one_of(faults);
+      for (int k = 1 + below(5); k > 0; --k)
+        what += " " + one_of(faults);
       at(when, what + ")");
     }
     watches(when + 0.01);
@@ -134,7 +144,8 @@
     bool silent = chance(0.5);
     out_.kinds.insert(silent ? "silence" : "unwatch");
     at(when, (silent ? "(silence " : "(unwatch ") + nodes() + ")");
-    if (chance(0.6)) drain(when + uniform(0, 4));
+    if (chance(0.6))
+      drain(when + uniform(0, 4));
   }
 
   void kill(double when) {
@@ -143,27 +154,32 @@
     double back = when + uniform(0.2, 9);
     for (int i = 0; i < count; ++i) {
       std::string victim = node();
-      if (!killed_.insert(victim).second) continue;
+      if (!killed_.insert(victim).second)
+        continue;
       at(when, "(kill " + victim + ")");
       at(back, "(start " + victim + ")");
     }
-    if (chance(0.7)) drain(uniform(when, back));
+    if (chance(0.7))
+      drain(uniform(when, back));
   }
 
   void stall(double when) {
     out_.kinds.insert("stall");
     static const std::vector<std::string> spans = {"150ms", "150ms", "900ms", "3s", "7s"};
     std::string victim = node();
-    if (killed_.contains(victim) || !stalled_.insert(victim).second) return;
+    if (killed_.contains(victim) || !stalled_.insert(victim).second)
+      return;
     at(when, "(stall " + victim + " " + one_of(spans) + ")");
-    if (chance(0.6)) drain(when + uniform(0, 2));
+    if (chance(0.6))
+      drain(when + uniform(0, 2));
   }
 
   void reload(double when) {
     out_.kinds.insert("reload");
     std::string victim = node();
     int times = 1 + below(4);
-    for (int i = 0; i < times; ++i) at(when + 0.1 * i, "(hup " + victim + ")");
+    for (int i = 0; i < times; ++i)
+      at(when + 0.1 * i, "(hup " + victim + ")");
   }
 
   void clock(double when) {
@@ -190,6 +206,8 @@
 
 }  // namespace
 
-SoakDraw draw_soak(std::uint64_t seed, const SoakOptions& options) { return Draw(seed, options).make(); }
+SoakDraw draw_soak(std::uint64_t seed, const SoakOptions& options) {
+  return Draw(seed, options).make();
+}
 
 }  // namespace keelflow::lab
--- a/lab/soak.h
+++ b/lab/soak.h
@@ -1,5 +1,5 @@
-// The soak: experiments drawn from a seed, with random faults that overlap, round real processes, judged from
-// outside by the rules. The same seed draws the same experiment.
+// The soak: experiments drawn from a seed, with random faults that overlap, round real processes,
+// judged from outside by the rules. The same seed draws the same experiment.
 #pragma once
 
 #include <cstdint>
--- a/lab/views.h
+++ b/lab/views.h
@@ -19,11 +19,12 @@
   void end(double unix_ms) { end_ = unix_ms; }
   void read(int node, const std::string& log);  // whole, of all of its lives
 
-  // The longest time, over all changes of what is true, until those who hear each other hold the same members, and those
-  // who run hold those for dead that do not; s. A change that is
-  // followed by the next counts with the time it had if that was 2.5 s, else not at all.
+  // The longest time, over all changes of what is true, until those who hear each other hold the
+  // same members, and those who run hold those for dead that do not; s. A change that is followed
+  // by the next counts with the time it had if that was 2.5 s, else not at all.
   double agree_s() const;
-  // Of nodes that ran and heard, and were heard by, whoever held them for dead, for three seconds before.
+  // Of nodes that ran and heard, and were heard by, whoever held them for dead, for three seconds
+  // before.
   int false_deaths() const;
 
  private:
--- a/logic/discovery/call_end.h
+++ b/logic/discovery/call_end.h
@@ -13,7 +13,8 @@
   refused,           // answered with another status than 200
   closed,            // closed or reset by discovery after the connection was up
   silent,            // a watch on which nothing came for too long, or an object that did not end
-  unanswered,        // given up for a later call while its connection was up and nothing had been answered
+  unanswered,        // given up for a later call while its connection was up and nothing had been
+                     // answered
   malformed,         // no list, or one with entries that could not be read
   out_of_date,       // its list was older than the one in hand
   superseded,        // another call has become the watch
--- a/logic/discovery/list_lease.cpp
+++ b/logic/discovery/list_lease.cpp
@@ -7,8 +7,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHeldUp = 150ms;    // a process may be held up so long between its check and the write
-constexpr Duration kMovedWithin = 4s;  // after a new configuration a change counts so soon
+constexpr Duration kHeldUp =
+    150ms;  // a process may be held up so long between its check and the write
+constexpr Duration kMovedWithin = 4s;       // after a new configuration a change counts so soon
 constexpr Duration kMostGraceKept = 500ms;  // of the drain's grace, kept as a reserve
 
 }  // namespace
@@ -22,7 +23,9 @@
   until_ = std::max(until_, when + span());
 }
 
-void ListLease::unreachable_as_of(TimePoint when) { until_ = std::max(until_, when + span()); }
+void ListLease::unreachable_as_of(TimePoint when) {
+  until_ = std::max(until_, when + span());
+}
 
 // What an agent has counts at once.
 void ListLease::answered_without_list(TimePoint now) {
@@ -36,7 +39,9 @@
     until_ = std::min(until_, std::max(now, *current_ + terms_.ask_within - kHeldUp));
 }
 
-void ListLease::discovery_moved(TimePoint now) { until_ = std::min(until_, now + kMovedWithin - kHeldUp); }
+void ListLease::discovery_moved(TimePoint now) {
+  until_ = std::min(until_, now + kMovedWithin - kHeldUp);
+}
 
 void ListLease::revoke() {
   current_.reset();
--- a/logic/discovery/outage_presumption.cpp
+++ b/logic/discovery/outage_presumption.cpp
@@ -16,17 +16,26 @@
 }  // namespace
 
 void OutagePresumption::call_refused(TimePoint began, TimePoint now) {
-  if (now - began >= kWaitedInLine) refused_ = std::max(refused_.value_or(began), began);
+  if (now - began >= kWaitedInLine)
+    refused_ = std::max(refused_.value_or(began), began);
 }
 
-void OutagePresumption::peer_has_watch(TimePoint now) { watch_ = now; }
-void OutagePresumption::peer_has_none(TimePoint now) { none_ = now; }
+void OutagePresumption::peer_has_watch(TimePoint now) {
+  watch_ = now;
+}
+void OutagePresumption::peer_has_none(TimePoint now) {
+  none_ = now;
+}
 
-void OutagePresumption::end() { *this = {}; }
+void OutagePresumption::end() {
+  *this = {};
+}
 
 std::optional<TimePoint> OutagePresumption::until(TimePoint now) const {
-  if (!refused_ || !none_) return std::nullopt;
-  if (watch_ && now < *watch_ + kWatchCounts) return std::nullopt;
+  if (!refused_ || !none_)
+    return std::nullopt;
+  if (watch_ && now < *watch_ + kWatchCounts)
+    return std::nullopt;
   TimePoint until = std::min(*refused_ + kRefusalCounts, *none_ + kNoneCounts);
   return now < until ? std::optional(until) : std::nullopt;
 }
@@ -36,8 +45,10 @@
 }
 
 std::optional<WatchMessage> read_watch_message(std::string_view bytes) {
-  if (bytes.size() != 3 || bytes[0] != kTag || bytes[1] != kVersion) return std::nullopt;
-  if (bytes[2] < 1 || bytes[2] > 3) return std::nullopt;
+  if (bytes.size() != 3 || bytes[0] != kTag || bytes[1] != kVersion)
+    return std::nullopt;
+  if (bytes[2] < 1 || bytes[2] > 3)
+    return std::nullopt;
   return WatchMessage{static_cast<WatchMessage::Kind>(bytes[2])};
 }
 
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -9,35 +9,49 @@
 namespace keelflow::fleet {
 namespace {
 
-constexpr double kPingGap = 0.32;     // periods between the pings of one look
-constexpr int kPings = 4;             // of one look: with 30 % loss each way 7 in 100 looks then fail
-constexpr double kAskOthers = 0.6;    // periods after which others are asked to look too
-constexpr double kVerdict = 1.8;      // periods after which a look has failed
-constexpr int kMediators = 3;         // that are asked; as many independent accusers make the shortest suspicion
-constexpr int kVerifiers = 5;         // so many, by lot, look at once at one whom another accuses
-constexpr int kFanout = 4;            // to whom news goes on at once
-constexpr double kTellings = 3;       // times log2 of the members: how often a word rides along
-constexpr std::int64_t kAnyway = 4;   // each so many rounds whoever was heard is asked all the same
-constexpr Time kRemind = 1000;        // ms between looks at somebody dead
-constexpr int kBurst = 8;             // dead ones looked at when one has come back: it rarely comes alone
+constexpr double kPingGap = 0.32;   // periods between the pings of one look
+constexpr int kPings = 4;           // of one look: with 30 % loss each way 7 in 100 looks then fail
+constexpr double kAskOthers = 0.6;  // periods after which others are asked to look too
+constexpr double kVerdict = 1.8;    // periods after which a look has failed
+constexpr int kMediators =
+    3;  // that are asked; as many independent accusers make the shortest suspicion
+constexpr int kVerifiers = 5;        // so many, by lot, look at once at one whom another accuses
+constexpr int kFanout = 4;           // to whom news goes on at once
+constexpr double kTellings = 3;      // times log2 of the members: how often a word rides along
+constexpr std::int64_t kAnyway = 4;  // each so many rounds whoever was heard is asked all the same
+constexpr Time kRemind = 1000;       // ms between looks at somebody dead
+constexpr int kBurst = 8;  // dead ones looked at when one has come back: it rarely comes alone
 constexpr int kMostDoubt = 8, kQuiet = 4;  // from this doubt on nobody is accused aloud
 constexpr std::size_t kMostErrands = 16;
-constexpr double kBudget = 24, kBudgetRate = 0.04;  // news passed on at once: most saved up, and a ms
+constexpr double kBudget = 24,
+                 kBudgetRate = 0.04;  // news passed on at once: most saved up, and a ms
 constexpr Time kAlone = 3;            // periods without a word from anyone
 
 std::uint32_t mark_of(int m, const Membership::Member& of) {
-  if (of.life == Life::unknown) return 0;
-  return static_cast<std::uint32_t>(mix(static_cast<std::uint64_t>(m) << 33 | std::uint64_t{of.life == Life::dead} << 32 | of.incarnation));
+  if (of.life == Life::unknown)
+    return 0;
+  return static_cast<std::uint32_t>(mix(static_cast<std::uint64_t>(m) << 33 |
+                                        std::uint64_t{of.life == Life::dead} << 32 |
+                                        of.incarnation));
 }
 
-std::string name(int m) { return "n" + std::to_string(m); }
+std::string name(int m) {
+  return "n" + std::to_string(m);
+}
 
 }  // namespace
 
 Membership::Membership(const Settings& settings, Time now, std::uint32_t incarnation)
-    : settings_(settings), members_(static_cast<std::size_t>(settings.members)), now_(now), last_heard_(now), dead_due_(now + kRemind),
-      budget_at_(now), incarnation_(incarnation), random_(mix(incarnation ^ static_cast<std::uint64_t>(settings.self) << 32)),
-      budget_(kBudget), living_(settings.members) {
+    : settings_(settings),
+      members_(static_cast<std::size_t>(settings.members)),
+      now_(now),
+      last_heard_(now),
+      dead_due_(now + kRemind),
+      budget_at_(now),
+      incarnation_(incarnation),
+      random_(mix(incarnation ^ static_cast<std::uint64_t>(settings.self) << 32)),
+      budget_(kBudget),
+      living_(settings.members) {
   Output none;
   set(settings.self, Life::alive, incarnation, "", none);
   spread(settings.self);
@@ -47,21 +61,27 @@
   plan();
 }
 
-double Membership::random() { return static_cast<double>((random_ = mix(random_)) >> 11) * 0x1p-53; }
+double Membership::random() {
+  return static_cast<double>((random_ = mix(random_)) >> 11) * 0x1p-53;
+}
 
 int Membership::random_living(int but) {
   for (int tries = 0; tries < 16; ++tries) {
     int m = static_cast<int>(random() * settings_.members);
-    if (is_other(m) && m != but && lives(m)) return m;
+    if (is_other(m) && m != but && lives(m))
+      return m;
   }
   return -1;
 }
 
-bool Membership::alone() const { return now_ - last_heard_ > kAlone * settings_.period; }
+bool Membership::alone() const {
+  return now_ - last_heard_ > kAlone * settings_.period;
+}
 
 // ---- what is held of each ----
 
-void Membership::set(int m, Life life, std::uint32_t incarnation, std::string evidence, Output& out) {
+void Membership::set(int m, Life life, std::uint32_t incarnation, std::string evidence,
+                     Output& out) {
   Member& of = member(m);
   Life before = of.life;
   digest_ ^= mark_of(m, of);
@@ -70,12 +90,15 @@
   of.life = life;
   of.incarnation = incarnation;
   of.left = false;
-  if (life != Life::suspect) of.accusers.clear();
+  if (life != Life::suspect)
+    of.accusers.clear();
   digest_ ^= mark_of(m, of);
-  if (life == before) return;
+  if (life == before)
+    return;
   of.since = now_;
   figures_.deaths += life == Life::dead;
-  if (m != settings_.self) out.changes.push_back({m, before, life, incarnation, std::move(evidence)});
+  if (m != settings_.self)
+    out.changes.push_back({m, before, life, incarnation, std::move(evidence)});
 }
 
 void Membership::spread(int m) {
@@ -84,12 +107,17 @@
 
 std::vector<Rumour> Membership::rumours_of(int m) const {
   const Member& of = at(m);
-  if (of.life == Life::unknown) return {};
-  if (of.life == Life::alive) return {{m, Life::alive, of.incarnation, m}};
-  if (of.left) return {{m, Life::dead, of.incarnation, m}};
+  if (of.life == Life::unknown)
+    return {};
+  if (of.life == Life::alive)
+    return {{m, Life::alive, of.incarnation, m}};
+  if (of.left)
+    return {{m, Life::dead, of.incarnation, m}};
   std::vector<Rumour> out;
-  for (int by : of.accusers) out.push_back({m, of.life, of.incarnation, by});
-  if (out.empty()) out.push_back({m, of.life, of.incarnation, settings_.self});
+  for (int by : of.accusers)
+    out.push_back({m, of.life, of.incarnation, by});
+  if (out.empty())
+    out.push_back({m, of.life, of.incarnation, settings_.self});
   return out;
 }
 
@@ -100,22 +128,29 @@
   word.digest = digest_;
   auto add = [&](int m) {
     for (const Rumour& r : rumours_of(m))
-      if (std::find(word.rumours.begin(), word.rumours.end(), r) == word.rumours.end()) word.rumours.push_back(r);
+      if (std::find(word.rumours.begin(), word.rumours.end(), r) == word.rumours.end())
+        word.rumours.push_back(r);
   };
-  if (at(to).life == Life::suspect || at(to).life == Life::dead) add(to);  // it is the one who can clear itself
-  // In turn: with much to tell, what stands first must not be told over and over before the rest is told once.
+  if (at(to).life == Life::suspect || at(to).life == Life::dead)
+    add(to);  // it is the one who can clear itself
+  // In turn: with much to tell, what stands first must not be told over and over before the rest is
+  // told once.
   for (std::size_t left = to_tell_.size(); left > 0 && word.rumours.size() < kMostRumours; --left) {
     auto it = to_tell_.upper_bound(told_last_);
-    if (it == to_tell_.end()) it = to_tell_.begin();
+    if (it == to_tell_.end())
+      it = to_tell_.begin();
     told_last_ = it->first;
     add(it->first);
-    if (--it->second <= 0) to_tell_.erase(it);
+    if (--it->second <= 0)
+      to_tell_.erase(it);
   }
   for (int i = 0; all && i < settings_.members && word.rumours.size() < kMostRumours; ++i) {
-    if (auto rumours = rumours_of(cursor_); !rumours.empty()) word.rumours.push_back(rumours.front());
+    if (auto rumours = rumours_of(cursor_); !rumours.empty())
+      word.rumours.push_back(rumours.front());
     cursor_ = (cursor_ + 1) % settings_.members;
   }
-  if (word.rumours.size() > kMostRumours) word.rumours.resize(kMostRumours);
+  if (word.rumours.size() > kMostRumours)
+    word.rumours.resize(kMostRumours);
   out.letters.push_back({to, write_word(word)});
   ++figures_.letters;
   figures_.bytes += out.letters.back().bytes.size();
@@ -127,22 +162,33 @@
   budget_ = std::min(kBudget, budget_ + (now_ - budget_at_) * kBudgetRate);
   budget_at_ = now_;
   for (int i = 0; i < kFanout; ++i) {
-    if (budget_ < 1) return void(++figures_.held_back);
+    if (budget_ < 1)
+      return void(++figures_.held_back);
     int to = random_living(m);
-    if (to < 0) return;
+    if (to < 0)
+      return;
     budget_ -= 1;
-    send(to, {.kind = Word::Kind::tell, .number = 0, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = rumours_of(m)}, out);
+    send(to,
+         {.kind = Word::Kind::tell,
+          .number = 0,
+          .incarnation = 0,
+          .digest = 0,
+          .about = settings_.self,
+          .rumours = rumours_of(m)},
+         out);
   }
 }
 
 bool Membership::hear(Time now, int from, std::string_view bytes, Output& out) {
   now_ = std::max(now_, now);
-  if (!is_other(from)) return false;
+  if (!is_other(from))
+    return false;
   auto word = read_word(bytes);
   met(from, word ? word->incarnation : 0, out);
   if (word) {
     for (const Rumour& r : word->rumours)
-      if (r.member >= 0 && r.member < settings_.members && r.by >= 0 && r.by < settings_.members) take(r, out);
+      if (r.member >= 0 && r.member < settings_.members && r.by >= 0 && r.by < settings_.members)
+        take(r, out);
     answer(from, *word, out);
   }
   plan();
@@ -152,114 +198,167 @@
 void Membership::answer(int from, const Word& word, Output& out) {
   bool differs = word.digest != digest_;
   if (word.kind == Word::Kind::ping)
-    return send(from, {.kind = Word::Kind::ack, .number = word.number, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out, differs);
+    return send(from,
+                {.kind = Word::Kind::ack,
+                 .number = word.number,
+                 .incarnation = 0,
+                 .digest = 0,
+                 .about = settings_.self,
+                 .rumours = {}},
+                out, differs);
   if (word.kind == Word::Kind::ask && is_other(word.about) && errands_.size() < kMostErrands)
-    errands_.push_back({from, word.about, word.number, now_ + kVerdict * settings_.period / 2, now_});
+    errands_.push_back(
+        {from, word.about, word.number, now_ + kVerdict * settings_.period / 2, now_});
   auto look = looks_.find(word.about);
   bool mine = look != looks_.end() && look->second.number == word.number;
-  if (word.kind == Word::Kind::nack && mine) look->second.nacked = true;
+  if (word.kind == Word::Kind::nack && mine)
+    look->second.nacked = true;
   if (word.kind == Word::Kind::ack && mine) {  // through another
     looks_.erase(look);
     doubt_ = std::max(0, doubt_ - 1);
   }
   // What they hold differs: the one who asked sends a part of its own, as the one who answered has.
   if (word.kind == Word::Kind::ack && differs)
-    send(from, {.kind = Word::Kind::tell, .number = 0, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out, true);
+    send(from,
+         {.kind = Word::Kind::tell,
+          .number = 0,
+          .incarnation = 0,
+          .digest = 0,
+          .about = settings_.self,
+          .rumours = {}},
+         out, true);
 }
 
-// Who is accused or dead is told so at each datagram of its own, and clears itself by a new incarnation. The datagram
-// alone clears nobody: who cannot hear that it was accused cannot hear anything else, and those whom its datagrams reach
-// would hold it for alive beside others who do not.
+// Who is accused or dead is told so at each datagram of its own, and clears itself by a new
+// incarnation. The datagram alone clears nobody: who cannot hear that it was accused cannot hear
+// anything else, and those whom its datagrams reach would hold it for alive beside others who do
+// not.
 void Membership::met(int from, std::uint32_t incarnation, Output& out) {
-  if (alone()) forgive(out);
+  if (alone())
+    forgive(out);
   last_heard_ = now_;
   Member& m = member(from);
-  if (m.left && incarnation <= m.incarnation) return;
+  if (m.left && incarnation <= m.incarnation)
+    return;
   m.heard = now_;
-  if (looks_.erase(from) > 0) doubt_ = std::max(0, doubt_ - 1);
-  bool of_before = incarnation == 0 && m.life == Life::dead && m.worded < m.since && now_ > m.since + kRemind;
-  if (incarnation > 0) m.worded = now_;
-  if (m.life == Life::dead && (incarnation > m.incarnation || of_before)) came_back_ = true, dead_due_ = now_;
+  if (looks_.erase(from) > 0)
+    doubt_ = std::max(0, doubt_ - 1);
+  bool of_before =
+      incarnation == 0 && m.life == Life::dead && m.worded < m.since && now_ > m.since + kRemind;
+  if (incarnation > 0)
+    m.worded = now_;
+  if (m.life == Life::dead && (incarnation > m.incarnation || of_before))
+    came_back_ = true, dead_due_ = now_;
   if (m.life == Life::unknown || incarnation > m.incarnation) {
     set(from, Life::alive, std::max(incarnation, m.incarnation), "it was heard", out);
     return spread(from);
   }
-  if (m.life == Life::alive) return;
+  if (m.life == Life::alive)
+    return;
   if (incarnation > 0)
-    send(from, {.kind = Word::Kind::tell, .number = 0, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = rumours_of(from)}, out);
-  if (of_before) set(from, Life::alive, m.incarnation, "it was heard itself", out);
+    send(from,
+         {.kind = Word::Kind::tell,
+          .number = 0,
+          .incarnation = 0,
+          .digest = 0,
+          .about = settings_.self,
+          .rumours = rumours_of(from)},
+         out);
+  if (of_before)
+    set(from, Life::alive, m.incarnation, "it was heard itself", out);
 }
 
 // Nobody could be heard until now: what was concluded from that says nothing of the others.
 void Membership::forgive(Output& out) {
   for (int m = 0; m < settings_.members; ++m)
-    if (is_other(m) && !at(m).left && at(m).since >= last_heard_ && (at(m).life == Life::suspect || at(m).life == Life::dead))
+    if (is_other(m) && !at(m).left && at(m).since >= last_heard_ &&
+        (at(m).life == Life::suspect || at(m).life == Life::dead))
       set(m, Life::alive, at(m).incarnation, "this node had heard nobody", out);
   looks_.clear();
 }
 
 void Membership::take(const Rumour& r, Output& out) {
-  if (r.member == settings_.self) return take_of_self(r, out);
+  if (r.member == settings_.self)
+    return take_of_self(r, out);
   Member& m = member(r.member);
-  if (m.life != Life::unknown && r.incarnation < m.incarnation) return;
+  if (m.life != Life::unknown && r.incarnation < m.incarnation)
+    return;
   bool newer = m.life == Life::unknown || r.incarnation > m.incarnation;
   if (r.life == Life::alive) {
-    if (!newer) return;
+    if (!newer)
+      return;
     set(r.member, Life::alive, r.incarnation, "others heard it", out);
     return spread(r.member);
   }
   if (r.life == Life::dead && r.by == r.member) {
-    if (m.left) return;
+    if (m.left)
+      return;
     set(r.member, Life::dead, r.incarnation, "it said that it ends", out);
     m.left = true;
     return pass_on(r.member, out);
   }
-  if (newer) set(r.member, Life::alive, r.incarnation, "others heard it", out);
-  if (m.life == Life::alive) accuse(r.member, r.by, out);
-  else if (m.life == Life::suspect && m.accusers.size() <= kMediators && m.accusers.insert(r.by).second) pass_on(r.member, out);
+  if (newer)
+    set(r.member, Life::alive, r.incarnation, "others heard it", out);
+  if (m.life == Life::alive)
+    accuse(r.member, r.by, out);
+  else if (m.life == Life::suspect && m.accusers.size() <= kMediators &&
+           m.accusers.insert(r.by).second)
+    pass_on(r.member, out);
 }
 
 void Membership::take_of_self(const Rumour& r, Output& out) {
-  if (leaving_ || r.incarnation < incarnation_ || (r.life == Life::alive && r.incarnation == incarnation_)) return;
+  if (leaving_ || r.incarnation < incarnation_ ||
+      (r.life == Life::alive && r.incarnation == incarnation_))
+    return;
   incarnation_ = r.incarnation + 1;
   set(settings_.self, Life::alive, incarnation_, "", out);
   ++figures_.refutations;
-  if (r.life != Life::alive) doubt_ = std::min(kMostDoubt, doubt_ + 1);
+  if (r.life != Life::alive)
+    doubt_ = std::min(kMostDoubt, doubt_ + 1);
   pass_on(settings_.self, out);
 }
 
 void Membership::accuse(int m, int by, Output& out) {
   ++figures_.accusations;
   member(m).accusers = {by};
-  set(m, Life::suspect, at(m).incarnation, by == settings_.self ? "it does not answer" : name(by) + " says that it does not answer", out);
+  set(m, Life::suspect, at(m).incarnation,
+      by == settings_.self ? "it does not answer" : name(by) + " says that it does not answer",
+      out);
   bool own = by == settings_.self;
-  if (!own || (!alone() && doubt_ < kQuiet)) pass_on(m, out);
-  if (!own && random() * living_ < kVerifiers) look_at(m);
+  if (!own || (!alone() && doubt_ < kQuiet))
+    pass_on(m, out);
+  if (!own && random() * living_ < kVerifiers)
+    look_at(m);
 }
 
 // ---- looks ----
 
 void Membership::tick(Time now, Output& out) {
   now_ = std::max(now_, now);
-  if (now_ < next_) return;
+  if (now_ < next_)
+    return;
   notice_stall();
-  if (now_ >= round_due_) begin_round(out);
+  if (now_ >= round_due_)
+    begin_round(out);
   go_on(out);
   run_errands(out);
   bury(out);
-  if (now_ >= dead_due_) remind_dead(out);
+  if (now_ >= dead_due_)
+    remind_dead(out);
   plan();
 }
 
-// Who was stalled knows nothing of the time that passed: all that waits gets it back, and for a while its own looks
-// accuse nobody aloud.
+// Who was stalled knows nothing of the time that passed: all that waits gets it back, and for a
+// while its own looks accuse nobody aloud.
 void Membership::notice_stall() {
   Time late = now_ - next_;
-  if (late < settings_.period) return;
+  if (late < settings_.period)
+    return;
   ++figures_.stalls;
   doubt_ = std::min(kMostDoubt, doubt_ + static_cast<int>(late / settings_.period));
   for (Member& m : members_)
-    if (m.life == Life::suspect) m.since += late;
+    if (m.life == Life::suspect)
+      m.since += late;
   looks_.clear();
   errands_.clear();
   last_heard_ = std::max(last_heard_, now_ - settings_.period);
@@ -268,69 +367,117 @@
 // By the clock that all share everyone is looked at by one other in each round.
 void Membership::begin_round(Output& out) {
   auto round = static_cast<std::int64_t>(std::floor(now_ / settings_.period));
-  round_due_ += settings_.period * std::max(1.0, std::ceil((now_ - round_due_ + 1) / settings_.period));
-  if (settings_.members < 2) return;
+  round_due_ +=
+      settings_.period * std::max(1.0, std::ceil((now_ - round_due_ + 1) / settings_.period));
+  if (settings_.members < 2)
+    return;
   int distance = 1 + static_cast<int>(round % (settings_.members - 1));
   int m = (settings_.self + distance) % settings_.members;
-  for (int i = 0; i < settings_.members && (m == settings_.self || !lives(m)); ++i) m = (m + 1) % settings_.members;
-  // Who was heard need not be asked, but news rides on words: where notes alone are heard none would go round.
+  for (int i = 0; i < settings_.members && (m == settings_.self || !lives(m)); ++i)
+    m = (m + 1) % settings_.members;
+  // Who was heard need not be asked, but news rides on words: where notes alone are heard none
+  // would go round.
   bool spared = heard_of_late(m) && to_tell_.empty() && round % kAnyway != 0;
-  if (is_other(m) && lives(m) && !spared) look_at(m);
+  if (is_other(m) && lives(m) && !spared)
+    look_at(m);
   // Who is accused is told so as long as it lasts: it may clear itself.
   int reminded = 0;
   for (int s = 0; s < settings_.members && reminded < kMediators; ++s)
     if (at(s).life == Life::suspect && !looks_.contains(s)) {
-      send(s, {.kind = Word::Kind::ping, .number = ++last_number_, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out);
+      send(s,
+           {.kind = Word::Kind::ping,
+            .number = ++last_number_,
+            .incarnation = 0,
+            .digest = 0,
+            .about = settings_.self,
+            .rumours = {}},
+           out);
       ++reminded;
     }
 }
 
 void Membership::look_at(int m) {
-  if (looks_.contains(m)) return;
+  if (looks_.contains(m))
+    return;
   looks_[m] = {.begun = now_, .next = now_, .tries = 0, .number = ++last_number_};
 }
 
 void Membership::go_on(Output& out) {
   for (auto it = looks_.begin(); it != looks_.end();)
-    it = now_ >= it->second.next && go_on(it->first, it->second, out) ? looks_.erase(it) : std::next(it);
+    it = now_ >= it->second.next && go_on(it->first, it->second, out) ? looks_.erase(it)
+                                                                      : std::next(it);
 }
 
 bool Membership::go_on(int m, Look& look, Output& out) {
   Time period = settings_.period, verdict = look.begun + kVerdict * period * (1 + doubt_ / 4.0);
   if (now_ >= verdict) {
     // With no word from those who were asked either, the fault may be here.
-    if (look.asked_others && !look.nacked) doubt_ = std::min(kMostDoubt, doubt_ + 1);
+    if (look.asked_others && !look.nacked)
+      doubt_ = std::min(kMostDoubt, doubt_ + 1);
     Member& of = member(m);
-    if (of.life == Life::alive) accuse(m, settings_.self, out);
-    else if (of.life == Life::suspect && !alone() && of.accusers.insert(settings_.self).second) pass_on(m, out);
+    if (of.life == Life::alive)
+      accuse(m, settings_.self, out);
+    else if (of.life == Life::suspect && !alone() && of.accusers.insert(settings_.self).second)
+      pass_on(m, out);
     return true;
   }
   if (look.tries < kPings && now_ >= look.begun + look.tries * kPingGap * period) {
     ++look.tries;
-    send(m, {.kind = Word::Kind::ping, .number = look.number, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out);
+    send(m,
+         {.kind = Word::Kind::ping,
+          .number = look.number,
+          .incarnation = 0,
+          .digest = 0,
+          .about = settings_.self,
+          .rumours = {}},
+         out);
   }
   if (!look.asked_others && now_ >= look.begun + kAskOthers * period) {
     look.asked_others = true;
     for (int i = 0; i < kMediators; ++i)
       if (int other = random_living(m); other >= 0)
-        send(other, {.kind = Word::Kind::ask, .number = look.number, .incarnation = 0, .digest = 0, .about = m, .rumours = {}}, out);
+        send(other,
+             {.kind = Word::Kind::ask,
+              .number = look.number,
+              .incarnation = 0,
+              .digest = 0,
+              .about = m,
+              .rumours = {}},
+             out);
   }
   look.next = verdict;
-  if (look.tries < kPings) look.next = std::min(look.next, look.begun + look.tries * kPingGap * period);
-  if (!look.asked_others) look.next = std::min(look.next, look.begun + kAskOthers * period);
+  if (look.tries < kPings)
+    look.next = std::min(look.next, look.begun + look.tries * kPingGap * period);
+  if (!look.asked_others)
+    look.next = std::min(look.next, look.begun + kAskOthers * period);
   return false;
 }
 
 void Membership::run_errands(Output& out) {
   for (auto it = errands_.begin(); it != errands_.end();) {
-    bool heard = at(it->target).heard >= it->until - kVerdict * settings_.period / 2, over = now_ >= it->until;
+    bool heard = at(it->target).heard >= it->until - kVerdict * settings_.period / 2,
+         over = now_ >= it->until;
     if (heard || over) {
-      send(it->asker, {.kind = heard ? Word::Kind::ack : Word::Kind::nack, .number = it->number, .incarnation = 0, .digest = 0, .about = it->target, .rumours = {}}, out);
+      send(it->asker,
+           {.kind = heard ? Word::Kind::ack : Word::Kind::nack,
+            .number = it->number,
+            .incarnation = 0,
+            .digest = 0,
+            .about = it->target,
+            .rumours = {}},
+           out);
       it = errands_.erase(it);
       continue;
     }
     if (now_ >= it->next) {
-      send(it->target, {.kind = Word::Kind::ping, .number = ++last_number_, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out);
+      send(it->target,
+           {.kind = Word::Kind::ping,
+            .number = ++last_number_,
+            .incarnation = 0,
+            .digest = 0,
+            .about = settings_.self,
+            .rumours = {}},
+           out);
       it->next = now_ + kPingGap * settings_.period;
     }
     ++it;
@@ -340,7 +487,8 @@
 // Suspicion lasts the shorter the more accuse independently of each other.
 Time Membership::patience(const Member& m) const {
   int others = std::min(kMediators, living_ - 2);
-  if (others <= 0) return settings_.most_suspicion;
+  if (others <= 0)
+    return settings_.most_suspicion;
   double agree = std::min<double>(others, static_cast<double>(m.accusers.size()) - 1);
   double share = std::log(agree + 1) / std::log(others + 1);
   return settings_.most_suspicion - (settings_.most_suspicion - settings_.least_suspicion) * share;
@@ -349,14 +497,17 @@
 void Membership::bury(Output& out) {
   for (int m = 0; m < settings_.members; ++m) {
     Member& of = member(m);
-    if (of.life != Life::suspect || now_ < of.since + patience(of)) continue;
+    if (of.life != Life::suspect || now_ < of.since + patience(of))
+      continue;
     std::string evidence = "no answer to";
-    for (int by : of.accusers) evidence += " " + name(by);
+    for (int by : of.accusers)
+      evidence += " " + name(by);
     std::set<int> accusers = of.accusers;
     set(m, Life::dead, of.incarnation, evidence, out);
     of.accusers = std::move(accusers);
     looks_.erase(m);
-    if (!alone()) spread(m);
+    if (!alone())
+      spread(m);
   }
 }
 
@@ -365,8 +516,16 @@
   int left = std::exchange(came_back_, false) ? kBurst : 1;
   for (int i = 0; i < settings_.members && left > 0; ++i) {
     int m = dead_cursor_ = (dead_cursor_ + 1) % settings_.members;
-    if (!is_other(m) || lives(m)) continue;
-    send(m, {.kind = Word::Kind::ping, .number = ++last_number_, .incarnation = 0, .digest = 0, .about = settings_.self, .rumours = {}}, out);
+    if (!is_other(m) || lives(m))
+      continue;
+    send(m,
+         {.kind = Word::Kind::ping,
+          .number = ++last_number_,
+          .incarnation = 0,
+          .digest = 0,
+          .about = settings_.self,
+          .rumours = {}},
+         out);
     --left;
   }
   dead_due_ = now_ + kRemind;
@@ -383,10 +542,15 @@
 
 void Membership::plan() {
   next_ = std::min(round_due_, dead_due_);
-  for (const auto& [m, look] : looks_) next_ = std::min(next_, look.next);
-  for (const Errand& e : errands_) next_ = std::min({next_, e.until, at(e.target).heard >= e.until - kVerdict * settings_.period / 2 ? now_ : e.next});
+  for (const auto& [m, look] : looks_)
+    next_ = std::min(next_, look.next);
+  for (const Errand& e : errands_)
+    next_ =
+        std::min({next_, e.until,
+                  at(e.target).heard >= e.until - kVerdict * settings_.period / 2 ? now_ : e.next});
   for (std::size_t i = 0; suspects_ > 0 && i < members_.size(); ++i)
-    if (const Member& m = members_[i]; m.life == Life::suspect) next_ = std::min(next_, m.since + patience(m));
+    if (const Member& m = members_[i]; m.life == Life::suspect)
+      next_ = std::min(next_, m.since + patience(m));
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -1,15 +1,19 @@
-// Which nodes of the tier live, found out in common: SWIM with the refinements of Lifeguard, on datagrams that may be
-// lost, late, doubled or out of order. Pure: what is heard and the time go in, verdicts and words to tell come out.
+// Which nodes of the tier live, found out in common: SWIM with the refinements of Lifeguard, on
+// datagrams that may be lost, late, doubled or out of order. Pure: what is heard and the time go
+// in, verdicts and words to tell come out.
 //
-// - Each period everyone is looked at by one other, by the clock that all share; who has been heard of late is spared
-//   most of that while there is no news. One that does not answer is asked again through three others, then accused.
-// - Who is accused is told, and clears itself by a new incarnation. Death is never taken over from others: each node
+// - Each period everyone is looked at by one other, by the clock that all share; who has been heard
+// of late is spared
+//   most of that while there is no news. One that does not answer is asked again through three
+//   others, then accused.
+// - Who is accused is told, and clears itself by a new incarnation. Death is never taken over from
+// others: each node
 //   waits out its own time, the shorter the more others accuse independently.
 // - A node that was stalled, or hears nobody, accuses nobody aloud.
 // - Members that were never heard of count as living, as nothing is known.
 //
-// All times are milliseconds on the caller's clock, which only moves forward and is the same at all nodes (a difference
-// costs only evenness of the looks).
+// All times are milliseconds on the caller's clock, which only moves forward and is the same at all
+// nodes (a difference costs only evenness of the looks).
 #pragma once
 
 #include <cstdint>
@@ -50,19 +54,22 @@
   struct Member {
     Life life = Life::unknown;
     std::uint32_t incarnation = 0;
-    Time since = 0;                 // its life is this one
-    Time heard = -1e18, worded = -1e18;  // when a datagram of its own came last, and one that was a word
-    std::set<int> accusers;         // of a suspect
-    bool left = false;              // it said that it ends: only a new life of it counts
+    Time since = 0;  // its life is this one
+    Time heard = -1e18,
+         worded = -1e18;     // when a datagram of its own came last, and one that was a word
+    std::set<int> accusers;  // of a suspect
+    bool left = false;       // it said that it ends: only a new life of it counts
   };
   struct Figures {
-    std::uint64_t letters = 0, bytes = 0, accusations = 0, refutations = 0, deaths = 0, stalls = 0, held_back = 0;
+    std::uint64_t letters = 0, bytes = 0, accusations = 0, refutations = 0, deaths = 0, stalls = 0,
+                  held_back = 0;
   };
 
   // `incarnation`: greater than that of this node's former lives, as Unix seconds are.
   Membership(const Settings& settings, Time now, std::uint32_t incarnation);
 
-  // False: not a word of membership, or from nobody; the sender was heard all the same if it is a member.
+  // False: not a word of membership, or from nobody; the sender was heard all the same if it is a
+  // member.
   bool hear(Time now, int from, std::string_view bytes, Output& out);
   void tick(Time now, Output& out);  // at `next`, or as soon after as can be
   Time next() const { return next_; }
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -10,23 +10,29 @@
 namespace keelflow::fleet {
 namespace {
 
-constexpr double kWanted = 4, kWantedWhereTold = 6;  // home executors for each dispatcher; where dispatchers talk of them
+constexpr double kWanted = 4,
+                 kWantedWhereTold =
+                     6;  // home executors for each dispatcher; where dispatchers talk of them
 constexpr int kTellingFleet = 16;  // dispatchers from which on they do
 constexpr int kFree = 2;           // of its homes a dispatcher has wherever its best pairs fall
-// By how much an executor's dispatchers may lie under and over its part. Narrower bounds move more at each change, and
-// bounds on whole or half numbers, where parts often lie, would all jump with one dispatcher more or less.
+// By how much an executor's dispatchers may lie under and over its part. Narrower bounds move more
+// at each change, and bounds on whole or half numbers, where parts often lie, would all jump with
+// one dispatcher more or less.
 constexpr double kUnder = 1.25, kOver = 1.75, kFew = 4;
-constexpr double kLooked = 5;      // times as many pairs are looked at as are taken, the best ones
+constexpr double kLooked = 5;  // times as many pairs are looked at as are taken, the best ones
 
 struct Pair {
   std::uint64_t score;
   std::uint32_t dispatcher, worker;  // places in the lists
   bool taken = false;
-  auto operator<=>(const Pair& o) const { return std::tie(score, dispatcher, worker) <=> std::tie(o.score, o.dispatcher, o.worker); }
+  auto operator<=>(const Pair& o) const {
+    return std::tie(score, dispatcher, worker) <=> std::tie(o.score, o.dispatcher, o.worker);
+  }
 };
 
 // The best pairs, in order: they are enough, and sorting all would cost most of the time.
-std::vector<Pair> best_pairs(const std::vector<reedlb::WorkerId>& workers, const std::vector<int>& dispatchers, int each) {
+std::vector<Pair> best_pairs(const std::vector<reedlb::WorkerId>& workers,
+                             const std::vector<int>& dispatchers, int each) {
   double share = std::min(1.0, kLooked * (each + 2.0) / static_cast<double>(workers.size()));
   auto most = share >= 1 ? ~std::uint64_t{0} : static_cast<std::uint64_t>(share * 0x1p64);
   std::vector<Pair> pairs;
@@ -34,7 +40,8 @@
     std::uint64_t seed = mix(workers[w]);
     for (std::size_t d = 0; d < dispatchers.size(); ++d) {
       std::uint64_t score = mix(seed + static_cast<std::uint64_t>(dispatchers[d]));
-      if (score <= most) pairs.push_back({score, static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(w)});
+      if (score <= most)
+        pairs.push_back({score, static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(w)});
     }
   }
   std::sort(pairs.begin(), pairs.end());
@@ -43,16 +50,21 @@
 
 }  // namespace
 
-std::vector<std::vector<int>> subsets(const std::vector<reedlb::WorkerId>& workers, const std::vector<int>& dispatchers, int each) {
+std::vector<std::vector<int>> subsets(const std::vector<reedlb::WorkerId>& workers,
+                                      const std::vector<int>& dispatchers, int each) {
   std::vector<std::vector<int>> homes(workers.size());
-  if (workers.empty() || dispatchers.empty()) return homes;
+  if (workers.empty() || dispatchers.empty())
+    return homes;
   each = std::min(each, static_cast<int>(workers.size()));
-  double part = static_cast<double>(each) * static_cast<double>(dispatchers.size()) / static_cast<double>(workers.size());
+  double part = static_cast<double>(each) * static_cast<double>(dispatchers.size()) /
+                static_cast<double>(workers.size());
   std::vector<Pair> pairs = best_pairs(workers, dispatchers, each);
   std::vector<int> has(dispatchers.size());
   auto pass = [&](int most, double bound) {
     for (Pair& p : pairs) {
-      if (p.taken || has[p.dispatcher] >= most || static_cast<double>(homes[p.worker].size()) + 1 > bound) continue;
+      if (p.taken || has[p.dispatcher] >= most ||
+          static_cast<double>(homes[p.worker].size()) + 1 > bound)
+        continue;
       p.taken = true;
       ++has[p.dispatcher];
       homes[p.worker].push_back(dispatchers[p.dispatcher]);
@@ -64,35 +76,48 @@
   pass(each, std::max(1.0, part - under));
   pass(each, part + over);
   pass(each, static_cast<double>(dispatchers.size()));
-  for (auto& of : homes) std::sort(of.begin(), of.end());
+  for (auto& of : homes)
+    std::sort(of.begin(), of.end());
   return homes;
 }
 
-bool talks_of_homes(bool peers, int dispatchers) { return peers && dispatchers >= kTellingFleet; }
-double wanted_homes(bool peers, int dispatchers) { return talks_of_homes(peers, dispatchers) ? kWantedWhereTold : kWanted; }
+bool talks_of_homes(bool peers, int dispatchers) {
+  return peers && dispatchers >= kTellingFleet;
+}
+double wanted_homes(bool peers, int dispatchers) {
+  return talks_of_homes(peers, dispatchers) ? kWantedWhereTold : kWanted;
+}
 
 int homes_at_each(double wanted, int dispatchers, int workers) {
-  return workers == 0 ? 0 : static_cast<int>(std::min<double>(dispatchers, 1 + std::ceil(wanted * dispatchers / workers)));
+  return workers == 0 ? 0
+                      : static_cast<int>(std::min<double>(
+                            dispatchers, 1 + std::ceil(wanted * dispatchers / workers)));
 }
 
 int homes_for_each(double wanted, int dispatchers, int workers) {
-  if (workers == 0) return 0;
+  if (workers == 0)
+    return 0;
   double all = static_cast<double>(homes_at_each(wanted, dispatchers, workers)) * workers;
   return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, workers);
 }
 
 Homes::Homes(const reedlb::Settings& s)
-    : dispatchers_(s.dispatchers), self_(s.rank), peers_(s.peers),
+    : dispatchers_(s.dispatchers),
+      self_(s.rank),
+      peers_(s.peers),
       lives_(static_cast<std::size_t>(std::max(1, s.dispatchers)), true) {}
 
 std::optional<reedlb::Homes> Homes::after(const reedlb::Event& event) {
   if (const auto* list = std::get_if<reedlb::WorkerList>(&event)) {
-    if (!take(*list)) return std::nullopt;
+    if (!take(*list))
+      return std::nullopt;
   } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
-    if (members->lives.size() != lives_.size() || members->lives == lives_) return std::nullopt;
+    if (members->lives.size() != lives_.size() || members->lives == lives_)
+      return std::nullopt;
     lives_ = members->lives;
   } else if (const auto* retune = std::get_if<reedlb::Retune>(&event)) {
-    if (retune->settings.dispatchers == dispatchers_ && retune->settings.peers == peers_) return std::nullopt;
+    if (retune->settings.dispatchers == dispatchers_ && retune->settings.peers == peers_)
+      return std::nullopt;
     dispatchers_ = retune->settings.dispatchers, peers_ = retune->settings.peers;
     lives_.assign(static_cast<std::size_t>(dispatchers_), true);
   } else {
@@ -102,13 +127,18 @@
 }
 
 bool Homes::take(const reedlb::WorkerList& list) {
-  if (list.scope == reedlb::ListScope::failed) return false;
+  if (list.scope == reedlb::ListScope::failed)
+    return false;
   std::set<reedlb::WorkerId> now;
-  if (list.scope == reedlb::ListScope::delta) now = workers_;
+  if (list.scope == reedlb::ListScope::delta)
+    now = workers_;
   for (const reedlb::WorkerEntry& e : list.entries)
-    if (e.state == reedlb::WorkerState::gone) now.erase(e.worker);
-    else now.insert(e.worker);
-  if (now == workers_) return false;
+    if (e.state == reedlb::WorkerState::gone)
+      now.erase(e.worker);
+    else
+      now.insert(e.worker);
+  if (now == workers_)
+    return false;
   workers_ = std::move(now);
   return true;
 }
@@ -117,16 +147,19 @@
   std::vector<reedlb::WorkerId> workers(workers_.begin(), workers_.end());
   std::vector<int> living;
   for (int d = 0; d < dispatchers_; ++d)
-    if (lives_[static_cast<std::size_t>(d)] || d == self_) living.push_back(d);
+    if (lives_[static_cast<std::size_t>(d)] || d == self_)
+      living.push_back(d);
   // By the number of all: who is left keeps as many as before.
-  int each = homes_for_each(wanted_homes(peers_, dispatchers_), dispatchers_, static_cast<int>(workers.size()));
+  int each = homes_for_each(wanted_homes(peers_, dispatchers_), dispatchers_,
+                            static_cast<int>(workers.size()));
   auto homes = subsets(workers, living, each);
   reedlb::Homes out;
   out.talk = talks_of_homes(peers_, dispatchers_);
   for (std::size_t w = 0; w < workers.size(); ++w) {
     auto self = std::find(homes[w].begin(), homes[w].end(), self_);
     bool home = self != homes[w].end();
-    if (home) homes[w].erase(self);
+    if (home)
+      homes[w].erase(self);
     out.workers.push_back({workers[w], home, std::move(homes[w])});
   }
   return out;
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -1,11 +1,11 @@
-// Which executors each dispatcher has as home: from the members and the list alone, so the same at every dispatcher that
-// sees the same. Pure.
+// Which executors each dispatcher has as home: from the members and the list alone, so the same at
+// every dispatcher that sees the same. Pure.
 //
-// Every pair of a dispatcher and an executor has a score by a hash that all share. The best pairs are taken, each
-// dispatcher with exactly as many as the others, in three passes: a few for each wherever they fall; then only at
-// executors that have less than their part; then what is left, at executors that have at most one too many. Without the
-// first pass a change moves nearly everything, without the second some executors stay short: docs/design/fleet.md has
-// the figures.
+// Every pair of a dispatcher and an executor has a score by a hash that all share. The best pairs
+// are taken, each dispatcher with exactly as many as the others, in three passes: a few for each
+// wherever they fall; then only at executors that have less than their part; then what is left, at
+// executors that have at most one too many. Without the first pass a change moves nearly
+// everything, without the second some executors stay short: docs/design/fleet.md has the figures.
 #pragma once
 
 #include <optional>
@@ -16,15 +16,19 @@
 
 namespace keelflow::fleet {
 
-// By place in `workers`: the numbers of the dispatchers that are at home there, in rising order. `each`: executors for
-// each dispatcher.
-std::vector<std::vector<int>> subsets(const std::vector<reedlb::WorkerId>& workers, const std::vector<int>& dispatchers, int each);
+// By place in `workers`: the numbers of the dispatchers that are at home there, in rising order.
+// `each`: executors for each dispatcher.
+std::vector<std::vector<int>> subsets(const std::vector<reedlb::WorkerId>& workers,
+                                      const std::vector<int>& dispatchers, int each);
 
-// Whether those at home at an executor tell one another of it: where nodes may talk and are too many to know it alone.
+// Whether those at home at an executor tell one another of it: where nodes may talk and are too
+// many to know it alone.
 bool talks_of_homes(bool peers, int dispatchers);
 double wanted_homes(bool peers, int dispatchers);  // home executors for each, if there are enough
-int homes_at_each(double wanted, int dispatchers, int workers);  // dispatchers at home at an executor
-// How many each has as home: so that an executor is home to one more than would give everyone `wanted`.
+int homes_at_each(double wanted, int dispatchers,
+                  int workers);  // dispatchers at home at an executor
+// How many each has as home: so that an executor is home to one more than would give everyone
+// `wanted`.
 int homes_for_each(double wanted, int dispatchers, int workers);
 
 // Tells one Dispatcher who is at home at the workers that it knows, whenever that changes.
--- a/logic/fleet/turns.cpp
+++ b/logic/fleet/turns.cpp
@@ -17,48 +17,69 @@
 constexpr char kMark = '\xfd';
 constexpr char kVersion = 1;
 constexpr std::size_t kSize = 28;
-constexpr double kLength = 0.25;   // a grant's, in windows: longer ones lie idle longer when a word is lost
-constexpr double kAnswer = 60;     // ms after which another owner is asked
-constexpr double kSilent = 1000;   // ms for which one that did not answer is asked last
-constexpr double kWanted = 2;      // usual jobs that are asked for
-constexpr double kGives = 0.5;     // of what an owner has left it grants so much at once at most
-constexpr int kOwners = 8;         // nodes that own parts: with fewer much lies at nodes that have no use for it
+constexpr double kLength =
+    0.25;  // a grant's, in windows: longer ones lie idle longer when a word is lost
+constexpr double kAnswer = 60;    // ms after which another owner is asked
+constexpr double kSilent = 1000;  // ms for which one that did not answer is asked last
+constexpr double kWanted = 2;     // usual jobs that are asked for
+constexpr double kGives = 0.5;    // of what an owner has left it grants so much at once at most
+constexpr int kOwners =
+    8;  // nodes that own parts: with fewer much lies at nodes that have no use for it
 
-std::uint64_t seed_of(const WorkerEntry& e) { return mix(e.worker ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.born) * 1000))); }
-std::uint32_t life_of(const WorkerEntry& e) { return static_cast<std::uint32_t>(seed_of(e)); }
+std::uint64_t seed_of(const WorkerEntry& e) {
+  return mix(e.worker ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.born) * 1000)));
+}
+std::uint32_t life_of(const WorkerEntry& e) {
+  return static_cast<std::uint32_t>(seed_of(e));
+}
 
 void put(std::string& out, std::uint32_t v) {
-  for (int shift : {24, 16, 8, 0}) out += static_cast<char>(v >> shift & 0xff);
+  for (int shift : {24, 16, 8, 0})
+    out += static_cast<char>(v >> shift & 0xff);
 }
 
 std::uint32_t get(std::string_view bytes, std::size_t from) {
   std::uint32_t v = 0;
-  for (std::size_t i = from; i < from + 4; ++i) v = v << 8 | static_cast<std::uint8_t>(bytes[i]);
+  for (std::size_t i = from; i < from + 4; ++i)
+    v = v << 8 | static_cast<std::uint8_t>(bytes[i]);
   return v;
 }
 
-std::uint32_t whole(double ms) { return static_cast<std::uint32_t>(std::clamp(std::floor(ms), 0.0, 1e9)); }
+std::uint32_t whole(double ms) {
+  return static_cast<std::uint32_t>(std::clamp(std::floor(ms), 0.0, 1e9));
+}
 
 }  // namespace
 
 std::string write_turn(const TurnWord& w) {
   std::string out{kMark, kVersion, static_cast<char>(w.kind), '\0'};
-  for (std::uint32_t v : {w.worker, w.life, w.asker, w.number, w.work, w.least}) put(out, v);
+  for (std::uint32_t v : {w.worker, w.life, w.asker, w.number, w.work, w.least})
+    put(out, v);
   return out;
 }
 
 std::optional<TurnWord> read_turn(std::string_view bytes) {
-  if (bytes.size() != kSize || bytes[0] != kMark || bytes[1] != kVersion || bytes[2] < 0 || bytes[2] > 2) return std::nullopt;
-  return TurnWord{static_cast<TurnWord::Kind>(bytes[2]), get(bytes, 4), get(bytes, 8), get(bytes, 12), get(bytes, 16), get(bytes, 20), get(bytes, 24)};
+  if (bytes.size() != kSize || bytes[0] != kMark || bytes[1] != kVersion || bytes[2] < 0 ||
+      bytes[2] > 2)
+    return std::nullopt;
+  return TurnWord{static_cast<TurnWord::Kind>(bytes[2]),
+                  get(bytes, 4),
+                  get(bytes, 8),
+                  get(bytes, 12),
+                  get(bytes, 16),
+                  get(bytes, 20),
+                  get(bytes, 24)};
 }
 
 std::vector<int> order_at(const WorkerEntry& worker, int dispatchers) {
   std::uint64_t seed = seed_of(worker);
   std::vector<std::pair<std::uint64_t, int>> scored;
-  for (int d = 0; d < dispatchers; ++d) scored.emplace_back(mix(seed + static_cast<std::uint64_t>(d)), d);
+  for (int d = 0; d < dispatchers; ++d)
+    scored.emplace_back(mix(seed + static_cast<std::uint64_t>(d)), d);
   std::sort(scored.begin(), scored.end());
   std::vector<int> order;
-  for (const auto& [score, d] : scored) order.push_back(d);
+  for (const auto& [score, d] : scored)
+    order.push_back(d);
   return order;
 }
 
@@ -68,22 +89,34 @@
 }
 
 Turns::Figures& Turns::Figures::operator+=(const Figures& o) {
-  asked += o.asked, got += o.got, granted += o.granted, denied += o.denied, came_back += o.came_back, late += o.late;
+  asked += o.asked, got += o.got, granted += o.granted, denied += o.denied,
+      came_back += o.came_back, late += o.late;
   return *this;
 }
 
 Turns::Turns(const reedlb::Settings& s, reedlb::Time started)
-    : dispatchers_(std::max(1, s.dispatchers)), self_(s.rank), peers_(s.peers), started_(started), cold_ms_(s.cold_ms), window_(s.fall_ms),
-      length_(kLength * s.fall_ms), life_(static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, started)))),
-      lives_(static_cast<std::size_t>(dispatchers_), true), silent_(lives_.size(), -1e18) {}
+    : dispatchers_(std::max(1, s.dispatchers)),
+      self_(s.rank),
+      peers_(s.peers),
+      started_(started),
+      cold_ms_(s.cold_ms),
+      window_(s.fall_ms),
+      length_(kLength * s.fall_ms),
+      life_(static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, started)))),
+      lives_(static_cast<std::size_t>(dispatchers_), true),
+      silent_(lives_.size(), -1e18) {}
 
-void Turns::after(reedlb::Time now, const Event& event, const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::after(reedlb::Time now, const Event& event, const Dispatcher& dispatcher,
+                  std::vector<Event>& told, reedlb::Actions& out) {
   now_ = std::max(now_, now);
   if (const auto* list = std::get_if<reedlb::WorkerList>(&event)) {
-    if (take(*list)) order();
-    for (auto& [id, turn] : turns_) turn.entry = workers_.at(id);  // it may have begun to drain
+    if (take(*list))
+      order();
+    for (auto& [id, turn] : turns_)
+      turn.entry = workers_.at(id);  // it may have begun to drain
   } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
-    if (members->lives.size() == lives_.size()) lives_ = members->lives;
+    if (members->lives.size() == lives_.size())
+      lives_ = members->lives;
   } else if (const auto* retune = std::get_if<reedlb::Retune>(&event)) {
     const reedlb::Settings& s = retune->settings;
     dispatchers_ = std::max(1, s.dispatchers), self_ = s.rank, peers_ = s.peers;
@@ -97,25 +130,34 @@
     // It is told what its elder sent, but not what that granted, until now.
     started_ = peers_ ? now_ : -1e18;
   }
-  if (turns_.empty()) return;
+  if (turns_.empty())
+    return;
   age(dispatcher, told, out);
   tell_shares(told);
-  if (const auto* message = std::get_if<reedlb::PeerMessage>(&event)) hear(*message, dispatcher, told, out);
-  if (std::holds_alternative<reedlb::Arrival>(event) && grants()) ask_all(dispatcher, told, out);
+  if (const auto* message = std::get_if<reedlb::PeerMessage>(&event))
+    hear(*message, dispatcher, told, out);
+  if (std::holds_alternative<reedlb::Arrival>(event) && grants())
+    ask_all(dispatcher, told, out);
 }
 
 // True: an executor came or went, or started again.
 bool Turns::take(const reedlb::WorkerList& list) {
-  if (list.scope == reedlb::ListScope::failed) return false;
+  if (list.scope == reedlb::ListScope::failed)
+    return false;
   std::map<reedlb::WorkerId, WorkerEntry> now;
-  if (list.scope == reedlb::ListScope::delta) now = workers_;
+  if (list.scope == reedlb::ListScope::delta)
+    now = workers_;
   for (const WorkerEntry& e : list.entries) {
-    if (e.state == reedlb::WorkerState::gone) now.erase(e.worker);
-    else now[e.worker] = e;
+    if (e.state == reedlb::WorkerState::gone)
+      now.erase(e.worker);
+    else
+      now[e.worker] = e;
   }
-  bool same = now.size() == workers_.size() && std::equal(now.begin(), now.end(), workers_.begin(), [](const auto& a, const auto& b) {
-    return a.first == b.first && a.second.born == b.second.born;
-  });
+  bool same =
+      now.size() == workers_.size() &&
+      std::equal(now.begin(), now.end(), workers_.begin(), [](const auto& a, const auto& b) {
+        return a.first == b.first && a.second.born == b.second.born;
+      });
   workers_ = std::move(now);
   return !same;
 }
@@ -125,44 +167,57 @@
     auto it = workers_.find(t.first);
     return it == workers_.end() || it->second.born != t.second.entry.born;
   });
-  int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_, static_cast<int>(workers_.size()));
+  int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
+                            static_cast<int>(workers_.size()));
   for (const auto& [id, entry] : workers_) {
-    if (entry.born <= 0 || now_ >= entry.born + cold_ms_) continue;
+    if (entry.born <= 0 || now_ >= entry.born + cold_ms_)
+      continue;
     Turn& turn = turns_[id];
-    if (turn.order.size() != lives_.size()) turn.order = order_at(entry, dispatchers_);
+    if (turn.order.size() != lives_.size())
+      turn.order = order_at(entry, dispatchers_);
     turn.entry = entry;
-    turn.place = static_cast<int>(std::find(turn.order.begin(), turn.order.end(), self_) - turn.order.begin());
-    if (bool own = turn.place < homes; own != turn.own) turn.own = own, turn.told_share = -1;
+    turn.place = static_cast<int>(std::find(turn.order.begin(), turn.order.end(), self_) -
+                                  turn.order.begin());
+    if (bool own = turn.place < homes; own != turn.own)
+      turn.own = own, turn.told_share = -1;
   }
   next_ = 0;
 }
 
-// Until all is out of the window that a former life may have sent, or granted to others who sent it at the grant's end.
+// Until all is out of the window that a former life may have sent, or granted to others who sent it
+// at the grant's end.
 bool Turns::waits(const Turn& turn) const {
   double over = started_ + window_ + (peers_ ? (1 + kDrift) * length_ : 0);
   return turn.entry.born <= started_ && now_ < over;
 }
 
-double Turns::share(const Turn& turn) const { return waits(turn) ? 0 : share_at(turn.place, dispatchers_); }
+double Turns::share(const Turn& turn) const {
+  return waits(turn) ? 0 : share_at(turn.place, dispatchers_);
+}
 
 void Turns::tell_shares(std::vector<Event>& told) {
   reedlb::Turns turns;
-  int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_, static_cast<int>(workers_.size()));
+  int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
+                            static_cast<int>(workers_.size()));
   for (auto& [id, turn] : turns_) {
     double now = share(turn);
-    if (now == turn.told_share) continue;
+    if (now == turn.told_share)
+      continue;
     turn.told_share = now;
     reedlb::Turns::At at{{id, turn.own, {}}, turn.entry.born, now};
     for (int place = 0; place < std::min(homes, dispatchers_); ++place)
-      if (place != turn.place) at.home.others.push_back(turn.order[static_cast<std::size_t>(place)]);
+      if (place != turn.place)
+        at.home.others.push_back(turn.order[static_cast<std::size_t>(place)]);
     turns.workers.push_back(std::move(at));
   }
-  if (!turns.workers.empty()) told.emplace_back(std::move(turns));
+  if (!turns.workers.empty())
+    told.emplace_back(std::move(turns));
 }
 
 // What has ended: grants held, owners that did not answer, executors that are warm by now.
 void Turns::age(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
-  if (now_ < next_) return;
+  if (now_ < next_)
+    return;
   next_ = now_ + length_;
   for (auto it = turns_.begin(); it != turns_.end();) {
     Turn& turn = it->second;
@@ -171,8 +226,10 @@
       continue;
     }
     // Given back a little early: an end that is past tells its giver nothing that it does not know.
-    if (turn.until > now_ && turn.until - now_ < length_ / 4) give_back(turn, dispatcher.cold_room(it->first, now_).granted, told, out);
-    if (turn.until > now_) next_ = std::min(next_, turn.until - length_ / 4);
+    if (turn.until > now_ && turn.until - now_ < length_ / 4)
+      give_back(turn, dispatcher.cold_room(it->first, now_).granted, told, out);
+    if (turn.until > now_)
+      next_ = std::min(next_, turn.until - length_ / 4);
     ++it;
   }
 }
@@ -180,88 +237,122 @@
 void Turns::give_back(Turn& turn, double left, std::vector<Event>& told, reedlb::Actions& out) {
   turn.until = 0;
   told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born, 0, 0, true});
-  if (whole(left) == 0) return;
-  out.emplace_back(reedlb::Tell{turn.owner, write_turn({TurnWord::Kind::back, turn.entry.worker, life_of(turn.entry), life_, turn.number, whole(left), 0})});
+  if (whole(left) == 0)
+    return;
+  out.emplace_back(reedlb::Tell{
+      turn.owner, write_turn({TurnWord::Kind::back, turn.entry.worker, life_of(turn.entry), life_,
+                              turn.number, whole(left), 0})});
 }
 
 void Turns::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
   for (auto& [id, turn] : turns_) {
-    if (!turn.own || turn.entry.state != reedlb::WorkerState::ready) continue;
-    if (turn.waiting && now_ - turn.asked < kAnswer) continue;
+    if (!turn.own || turn.entry.state != reedlb::WorkerState::ready)
+      continue;
+    if (turn.waiting && now_ - turn.asked < kAnswer)
+      continue;
     ColdRoom room = dispatcher.cold_room(id, now_);
-    if (turn.until <= now_) room.granted = 0;  // given back just now, of which the Dispatcher is yet to hear
-    if (room.all() >= room.usual) continue;
-    if (turn.waiting) silent_[static_cast<std::size_t>(turn.owner)] = now_ + kSilent;
-    if (turn.until > now_) give_back(turn, room.granted, told, out);  // one at a time; what is left of it is too little
+    if (turn.until <= now_)
+      room.granted = 0;  // given back just now, of which the Dispatcher is yet to hear
+    if (room.all() >= room.usual)
+      continue;
+    if (turn.waiting)
+      silent_[static_cast<std::size_t>(turn.owner)] = now_ + kSilent;
+    if (turn.until > now_)
+      give_back(turn, room.granted, told, out);  // one at a time; what is left of it is too little
     ask(turn, room, out);
   }
 }
 
 int Turns::next_owner(const Turn& turn) const {
   int owners = 0;
-  while (owners < dispatchers_ && share_at(owners, dispatchers_) > 0) ++owners;
+  while (owners < dispatchers_ && share_at(owners, dispatchers_) > 0)
+    ++owners;
   for (bool silent : {false, true})
     for (int i = 0; i < owners; ++i) {
-      int node = turn.order[static_cast<std::size_t>((static_cast<int>(turn.number % 64) + self_ + i) % owners)];
+      int node = turn.order[static_cast<std::size_t>(
+          (static_cast<int>(turn.number % 64) + self_ + i) % owners)];
       auto n = static_cast<std::size_t>(node);
-      if (node != self_ && lives_[n] && (silent_[n] > now_) == silent) return node;
+      if (node != self_ && lives_[n] && (silent_[n] > now_) == silent)
+        return node;
     }
   return -1;
 }
 
 void Turns::ask(Turn& turn, const ColdRoom& room, reedlb::Actions& out) {
   int owner = next_owner(turn);
-  if (owner < 0) return;
+  if (owner < 0)
+    return;
   turn.owner = owner;
   turn.number = ++number_;
   turn.asked = now_;
   turn.waiting = true;
   ++figures_.asked;
   double lacks = std::max(1.0, room.usual - std::max(0.0, room.own));
-  out.emplace_back(reedlb::Tell{owner, write_turn({TurnWord::Kind::ask, turn.entry.worker, life_of(turn.entry), life_, turn.number,
-                                                   whole(std::max(lacks, kWanted * room.usual)), whole(std::ceil(lacks))})});
+  out.emplace_back(reedlb::Tell{
+      owner,
+      write_turn({TurnWord::Kind::ask, turn.entry.worker, life_of(turn.entry), life_, turn.number,
+                  whole(std::max(lacks, kWanted * room.usual)), whole(std::ceil(lacks))})});
 }
 
-void Turns::hear(const reedlb::PeerMessage& message, const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::hear(const reedlb::PeerMessage& message, const Dispatcher& dispatcher,
+                 std::vector<Event>& told, reedlb::Actions& out) {
   auto word = read_turn(message.bytes);
-  if (!word || message.peer < 0 || message.peer >= dispatchers_ || message.peer == self_) return;
+  if (!word || message.peer < 0 || message.peer >= dispatchers_ || message.peer == self_)
+    return;
   auto it = turns_.find(word->worker);
-  if (it == turns_.end() || life_of(it->second.entry) != word->life) return;
+  if (it == turns_.end() || life_of(it->second.entry) != word->life)
+    return;
   Turn& turn = it->second;
-  if (word->kind == TurnWord::Kind::ask) return grant(message.peer, *word, turn, dispatcher, told, out);
+  if (word->kind == TurnWord::Kind::ask)
+    return grant(message.peer, *word, turn, dispatcher, told, out);
   if (word->kind == TurnWord::Kind::back) {
     auto given = turn.given.find(message.peer);
-    if (given == turn.given.end() || given->second.back || given->second.asker != word->asker || given->second.number != word->number) return;
+    if (given == turn.given.end() || given->second.back || given->second.asker != word->asker ||
+        given->second.number != word->number)
+      return;
     given->second.back = true;
     ++figures_.came_back;
     double work = std::min<double>(word->work, given->second.work);
-    told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born, -work, given->second.until, false});
+    told.emplace_back(
+        reedlb::Grant{turn.entry.worker, turn.entry.born, -work, given->second.until, false});
     return;
   }
-  // A grant ends by the clock of the one that asked, from its asking on: that is before the giver's end.
-  if (!turn.waiting || word->asker != life_ || word->number != turn.number || message.peer != turn.owner) return;
+  // A grant ends by the clock of the one that asked, from its asking on: that is before the giver's
+  // end.
+  if (!turn.waiting || word->asker != life_ || word->number != turn.number ||
+      message.peer != turn.owner)
+    return;
   turn.waiting = false;
   turn.until = turn.asked + length_;
-  if (now_ >= turn.until) return void((++figures_.late, turn.until = 0));
-  if (word->work == 0) return void(turn.until = 0);
+  if (now_ >= turn.until)
+    return void((++figures_.late, turn.until = 0));
+  if (word->work == 0)
+    return void(turn.until = 0);
   ++figures_.got;
   next_ = std::min(next_, turn.until - length_ / 4);
-  told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born, static_cast<double>(word->work), turn.until, true});
+  told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born,
+                                  static_cast<double>(word->work), turn.until, true});
 }
 
-void Turns::grant(int asker, const TurnWord& word, Turn& turn, const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::grant(int asker, const TurnWord& word, Turn& turn, const Dispatcher& dispatcher,
+                  std::vector<Event>& told, reedlb::Actions& out) {
   Turn::Given& last = turn.given[asker];
-  // Repeated, or overtaken by a later one. A new life of the asker numbers anew, and is a later one.
+  // Repeated, or overtaken by a later one. A new life of the asker numbers anew, and is a later
+  // one.
   bool newer = word.asker > last.asker || (word.asker == last.asker && word.number > last.number);
-  if (!newer || !grants() || share(turn) <= 0) return;
+  if (!newer || !grants() || share(turn) <= 0)
+    return;
   double room = dispatcher.cold_room(turn.entry.worker, now_).own * kGives;
   std::uint32_t work = std::min(word.work, whole(room));
-  if (work < word.least || work == 0) return void(++figures_.denied);
+  if (work < word.least || work == 0)
+    return void(++figures_.denied);
   double until = now_ + (1 + kDrift) * length_;
   last = {word.asker, word.number, static_cast<double>(work), until, false};
   ++figures_.granted;
-  told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born, static_cast<double>(work), until, false});
-  out.emplace_back(reedlb::Tell{asker, write_turn({TurnWord::Kind::grant, turn.entry.worker, word.life, word.asker, word.number, work, 0})});
+  told.emplace_back(
+      reedlb::Grant{turn.entry.worker, turn.entry.born, static_cast<double>(work), until, false});
+  out.emplace_back(reedlb::Tell{asker, write_turn({TurnWord::Kind::grant, turn.entry.worker,
+                                                   word.life, word.asker, word.number, work, 0})});
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/turns.h
+++ b/logic/fleet/turns.h
@@ -1,13 +1,14 @@
 // Who may send how much to a cold executor (rule 4): granted, never inferred. Pure.
 //
-// Each life of an executor orders all nodes of the configuration by a hash that all share. The first few own fixed parts
-// of what all together may send it within a window; the parts add up to the whole whatever anyone believes or hears. An
-// owner may grant another node some of its own part for a while. It counts that as sent at the grant's end, which is
-// later by any clock that drifts less than kDrift than the end by which the other goes; what the other tells that it has
-// not used, and will not use, comes back. A lost word wastes a little of the budget and never exceeds it.
+// Each life of an executor orders all nodes of the configuration by a hash that all share. The
+// first few own fixed parts of what all together may send it within a window; the parts add up to
+// the whole whatever anyone believes or hears. An owner may grant another node some of its own part
+// for a while. It counts that as sent at the grant's end, which is later by any clock that drifts
+// less than kDrift than the end by which the other goes; what the other tells that it has not used,
+// and will not use, comes back. A lost word wastes a little of the budget and never exceeds it.
 //
-// A node that starts has no part in executors that started before it, until all that a former life of it may have sent or
-// granted is out of the window.
+// A node that starts has no part in executors that started before it, until all that a former life
+// of it may have sent or granted is out of the window.
 #pragma once
 
 #include <cstdint>
@@ -21,15 +22,17 @@
 
 namespace keelflow::fleet {
 
-// What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; executor (4), its life (4), the asker's life
-// (4), number (4), work and least work in ms (4 each). Of another version, size or kind it is none.
+// What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; executor (4), its life
+// (4), the asker's life (4), number (4), work and least work in ms (4 each). Of another version,
+// size or kind it is none.
 struct TurnWord {
   enum class Kind : std::uint8_t { ask, grant, back } kind = Kind::ask;
   reedlb::WorkerId worker = 0;
   std::uint32_t life = 0;   // of the executor
   std::uint32_t asker = 0;  // life of the node that asked
   std::uint32_t number = 0;
-  std::uint32_t work = 0, least = 0;  // ms: wanted and the least that is of use, granted, or given back
+  std::uint32_t work = 0,
+                least = 0;  // ms: wanted and the least that is of use, granted, or given back
 };
 std::string write_turn(const TurnWord& word);
 std::optional<TurnWord> read_turn(std::string_view bytes);
@@ -59,7 +62,8 @@
     reedlb::Time asked = -1e18, until = 0;  // until: of the grant held
     bool waiting = false;
     struct Given {
-      std::uint32_t asker = 0, number = 0;  // the last one granted; numbers of an asker's life only rise
+      std::uint32_t asker = 0,
+                    number = 0;  // the last one granted; numbers of an asker's life only rise
       double work = 0;
       reedlb::Time until = 0;
       bool back = true;
@@ -69,8 +73,10 @@
 
   // `started`: when this node did, on the Dispatcher's clock.
   Turns(const reedlb::Settings& settings, reedlb::Time started);
-  // For each event that the Dispatcher was given, right after it. `told`: what it is to be told then.
-  void after(reedlb::Time now, const reedlb::Event& event, const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  // For each event that the Dispatcher was given, right after it. `told`: what it is to be told
+  // then.
+  void after(reedlb::Time now, const reedlb::Event& event, const reedlb::Dispatcher& dispatcher,
+             std::vector<reedlb::Event>& told, reedlb::Actions& out);
 
   void grants(bool on) { grants_ = on; }  // off: it asks for nothing and grants nothing from now on
 
@@ -85,11 +91,15 @@
   double share(const Turn& turn) const;
   bool waits(const Turn& turn) const;
   void tell_shares(std::vector<reedlb::Event>& told);
-  void age(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told, reedlb::Actions& out);
-  void hear(const reedlb::PeerMessage& message, const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told, reedlb::Actions& out);
-  void grant(int asker, const TurnWord& word, Turn& turn, const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  void age(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told,
+           reedlb::Actions& out);
+  void hear(const reedlb::PeerMessage& message, const reedlb::Dispatcher& dispatcher,
+            std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  void grant(int asker, const TurnWord& word, Turn& turn, const reedlb::Dispatcher& dispatcher,
+             std::vector<reedlb::Event>& told, reedlb::Actions& out);
   void ask(Turn& turn, const reedlb::ColdRoom& room, reedlb::Actions& out);
-  void ask_all(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  void ask_all(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told,
+               reedlb::Actions& out);
   void give_back(Turn& turn, double left, std::vector<reedlb::Event>& told, reedlb::Actions& out);
   int next_owner(const Turn& turn) const;
   bool grants() const { return grants_ && peers_ && dispatchers_ > 1 && !twin_; }
--- a/logic/fleet/words.cpp
+++ b/logic/fleet/words.cpp
@@ -8,14 +8,16 @@
 constexpr std::uint8_t kMark = 0xfe, kVersion = 1;
 
 void put(std::string& out, std::uint64_t value, int bytes) {
-  for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8) out += static_cast<char>(value >> shift & 0xff);
+  for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
+    out += static_cast<char>(value >> shift & 0xff);
 }
 
 struct Reader {
   std::string_view left;
   std::uint64_t take(std::size_t bytes) {
     std::uint64_t value = 0;
-    for (std::size_t i = 0; i < bytes; ++i) value = value << 8 | static_cast<std::uint8_t>(left[i]);
+    for (std::size_t i = 0; i < bytes; ++i)
+      value = value << 8 | static_cast<std::uint8_t>(left[i]);
     left.remove_prefix(bytes);
     return value;
   }
@@ -45,11 +47,15 @@
 }
 
 std::optional<Word> read_word(std::string_view bytes) {
-  if (bytes.size() < kHeadSize || bytes.size() > kMostBytes) return std::nullopt;
+  if (bytes.size() < kHeadSize || bytes.size() > kMostBytes)
+    return std::nullopt;
   Reader in{bytes};
-  if (in.take(1) != kMark || in.take(1) != kVersion) return std::nullopt;
+  if (in.take(1) != kMark || in.take(1) != kVersion)
+    return std::nullopt;
   std::uint64_t kind = in.take(1), count = in.take(1);
-  if (kind > static_cast<std::uint8_t>(Word::Kind::tell) || bytes.size() != kHeadSize + count * kRumourSize) return std::nullopt;
+  if (kind > static_cast<std::uint8_t>(Word::Kind::tell) ||
+      bytes.size() != kHeadSize + count * kRumourSize)
+    return std::nullopt;
   Word w;
   w.kind = static_cast<Word::Kind>(kind);
   w.number = static_cast<std::uint16_t>(in.take(2));
@@ -60,7 +66,9 @@
     Rumour r;
     r.member = static_cast<int>(in.take(2));
     std::uint64_t life = in.take(1);
-    if (life < static_cast<std::uint8_t>(Life::alive) || life > static_cast<std::uint8_t>(Life::dead)) return std::nullopt;
+    if (life < static_cast<std::uint8_t>(Life::alive) ||
+        life > static_cast<std::uint8_t>(Life::dead))
+      return std::nullopt;
     r.life = static_cast<Life>(life);
     r.incarnation = static_cast<std::uint32_t>(in.take(4));
     r.by = static_cast<int>(in.take(2));
--- a/logic/fleet/words.h
+++ b/logic/fleet/words.h
@@ -1,7 +1,8 @@
-// What nodes tell one another of who lives: one datagram, at most 256 bytes. docs/design/fleet.md has every byte.
+// What nodes tell one another of who lives: one datagram, at most 256 bytes. docs/design/fleet.md
+// has every byte.
 //
-// A node of the release before takes none of these for one of its own (its notes are 8 bytes), and none of its notes is
-// taken for one of these; a word of a later version is passed over.
+// A node of the release before takes none of these for one of its own (its notes are 8 bytes), and
+// none of its notes is taken for one of these; a word of a later version is passed over.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +24,14 @@
 };
 
 struct Word {
-  // ping wants ack; ask wants the receiver to ping `about` and to pass on whether it answers (ack) or not (nack);
-  // tell wants nothing.
+  // ping wants ack; ask wants the receiver to ping `about` and to pass on whether it answers (ack)
+  // or not (nack); tell wants nothing.
   enum class Kind : std::uint8_t { ping, ack, ask, nack, tell } kind = Kind::tell;
   std::uint16_t number = 0;       // of the ping or ask that is answered
   std::uint32_t incarnation = 0;  // the sender's
-  std::uint32_t digest = 0;       // of all that the sender holds of who lives; equal ones need no telling
-  int about = 0;                  // the member that was asked after; the sender itself where nobody asked
+  std::uint32_t digest =
+      0;          // of all that the sender holds of who lives; equal ones need no telling
+  int about = 0;  // the member that was asked after; the sender itself where nobody asked
   std::vector<Rumour> rumours;
   bool operator==(const Word&) const = default;
 };
--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -10,16 +10,20 @@
 constexpr std::uint64_t kLeastBlocks = 8;       // fewer say nothing of how answers hang together
 constexpr std::uint64_t kLeastTrialBlocks = 5;  // of the trial's, before anything is concluded
 
-double normal_cdf(double z) { return 0.5 * std::erfc(-z / std::sqrt(2.0)); }
+double normal_cdf(double z) {
+  return 0.5 * std::erfc(-z / std::sqrt(2.0));
+}
 
 // The upper quantile of the normal distribution, by bisection.
 double upper_quantile(double tail) {
   double low = 0, high = 10;
-  for (int i = 0; i < 60; ++i) (1 - normal_cdf((low + high) / 2) > tail ? low : high) = (low + high) / 2;
+  for (int i = 0; i < 60; ++i)
+    (1 - normal_cdf((low + high) / 2) > tail ? low : high) = (low + high) / 2;
   return (low + high) / 2;
 }
 
-double independent(double in_time, double asked, double in_time2, double both, double asked2, std::uint64_t answers) {
+double independent(double in_time, double asked, double in_time2, double both, double asked2,
+                   std::uint64_t answers) {
   double mean = asked / static_cast<double>(answers);
   double total = asked + 2 * mean, ratio = (in_time + mean) / total;
   double squares = in_time2 - 2 * ratio * both + ratio * ratio * asked2;  // sum of (x - ratio n)^2
@@ -30,12 +34,14 @@
 }  // namespace
 
 void Comparison::Sums::operator+=(const Sums& o) {
-  asked += o.asked, in_time += o.in_time, in_time2 += o.in_time2, both += o.both, asked2 += o.asked2;
+  asked += o.asked, in_time += o.in_time, in_time2 += o.in_time2, both += o.both,
+      asked2 += o.asked2;
   answers += o.answers;
 }
 
 void Comparison::Totals::operator+=(const Block& b) {
-  if (b[0].answers + b[1].answers == 0) return;
+  if (b[0].answers + b[1].answers == 0)
+    return;
   ++count;
   for (std::size_t i : {0, 1}) {
     arms[i] += b[i];
@@ -51,23 +57,30 @@
 
 double Comparison::Totals::variance(double r0, double r1) const {
   double alone = 0;
-  for (const Sums& s : arms) alone += independent(s.in_time, s.asked, s.in_time2, s.both, s.asked2, s.answers);
-  if (count < kLeastBlocks) return alone;
+  for (const Sums& s : arms)
+    alone += independent(s.in_time, s.asked, s.in_time2, s.both, s.asked2, s.answers);
+  if (count < kLeastBlocks)
+    return alone;
   double n0 = arms[0].asked, n1 = arms[1].asked;
   double own0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
   double own1 = xx[1] - 2 * r1 * xn[1] + r1 * r1 * nn[1];
   double across = x0x1 - r1 * x0n1 - r0 * n0x1 + r0 * r1 * n0n1;
   double blocks = static_cast<double>(count);
-  double together = (own0 / (n0 * n0) + own1 / (n1 * n1) - 2 * across / (n0 * n1)) * blocks / (blocks - 1);
+  double together =
+      (own0 / (n0 * n0) + own1 / (n1 * n1) - 2 * across / (n0 * n1)) * blocks / (blocks - 1);
   return std::max(alone, together);
 }
 
-Comparison::Comparison(const TestSettings& settings) : settings_(settings), miss_quantile_(upper_quantile(settings.miss)) {}
+Comparison::Comparison(const TestSettings& settings)
+    : settings_(settings), miss_quantile_(upper_quantile(settings.miss)) {}
 
-void Comparison::reset() { *this = Comparison(settings_); }
+void Comparison::reset() {
+  *this = Comparison(settings_);
+}
 
 void Comparison::add(Arm arm, double asked, double in_time, double now_ms) {
-  if (!(asked > 0)) return;
+  if (!(asked > 0))
+    return;
   if (now_ms >= block_ends_) {
     close_block();
     block_ends_ = settings_.block_ms * (std::floor(now_ms / settings_.block_ms) + 1);
@@ -87,7 +100,8 @@
 void Comparison::close_block() {
   trial_blocks_ += open_[1].answers > 0;
   for (Block& worst : worst_)
-    if (against_trial(open_) > against_trial(worst)) std::swap(open_, worst);
+    if (against_trial(open_) > against_trial(worst))
+      std::swap(open_, worst);
   kept_ += open_;
   open_ = {};
 }
@@ -98,28 +112,37 @@
   e.trial_answers = answers_[1];
   e.blocks = trial_blocks_;
   Totals all = kept_;
-  for (const Block& worst : worst_) all += worst;
+  for (const Block& worst : worst_)
+    all += worst;
   all += open_;
   const Sums &control = all.arms[0], &trial = all.arms[1];
-  if (control.answers > 0) e.control = control.in_time / control.asked;
-  if (trial.answers > 0) e.trial = trial.in_time / trial.asked;
-  if (control.answers == 0 || trial.answers == 0) return e;
+  if (control.answers > 0)
+    e.control = control.in_time / control.asked;
+  if (trial.answers > 0)
+    e.trial = trial.in_time / trial.asked;
+  if (control.answers == 0 || trial.answers == 0)
+    return e;
   e.loss = e.control - e.trial;
   e.error = std::sqrt(all.variance(e.control, e.trial));
   const Sums &control_kept = kept_.arms[0], &trial_kept = kept_.arms[1];
-  if (control_kept.answers == 0 || trial_kept.answers == 0) return e;
+  if (control_kept.answers == 0 || trial_kept.answers == 0)
+    return e;
   double r0 = control_kept.in_time / control_kept.asked, r1 = trial_kept.in_time / trial_kept.asked;
   e.trimmed_loss = r0 - r1;
-  // The likelihood ratio of "a loss beyond the margin, drawn from a half normal" to "a loss of the margin".
-  double variance = kept_.variance(r0, r1), tau2 = settings_.spread * settings_.spread, sum = variance + tau2;
+  // The likelihood ratio of "a loss beyond the margin, drawn from a half normal" to "a loss of the
+  // margin".
+  double variance = kept_.variance(r0, r1), tau2 = settings_.spread * settings_.spread,
+         sum = variance + tau2;
   double z = (e.trimmed_loss - settings_.margin) / std::sqrt(variance);
   double inside = normal_cdf(z * settings_.spread / std::sqrt(sum));
-  e.log_evidence = std::log(2 * std::max(inside, 1e-300)) + 0.5 * std::log(variance / sum) + z * z * tau2 / (2 * sum);
+  e.log_evidence = std::log(2 * std::max(inside, 1e-300)) + 0.5 * std::log(variance / sum) +
+                   z * z * tau2 / (2 * sum);
   return e;
 }
 
 bool Comparison::worse(const Estimate& e) const {
-  return e.blocks >= kLeastTrialBlocks && e.trimmed_loss > settings_.margin && e.log_evidence >= -std::log(settings_.false_alarm);
+  return e.blocks >= kLeastTrialBlocks && e.trimmed_loss > settings_.margin &&
+         e.log_evidence >= -std::log(settings_.false_alarm);
 }
 
 bool Comparison::no_worse(const Estimate& e) const {
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -10,9 +10,11 @@
 namespace {
 
 constexpr std::size_t kMostHistory = 64;
-// What a jump leaves queued is served late for a while after it; at most about as long as clients wait and ask again.
+// What a jump leaves queued is served late for a while after it; at most about as long as clients
+// wait and ask again.
 constexpr double kSettleMs = 6'000;
-constexpr double kClearlyLess = 0.9;     // rates are averages over two seconds, and at equal shares a toss-up
+constexpr double kClearlyLess =
+    0.9;  // rates are averages over two seconds, and at equal shares a toss-up
 constexpr std::uint64_t kLeastLook = 8;  // answers of each arm before anything is concluded
 
 std::string percent(double share) {
@@ -56,12 +58,15 @@
 std::vector<std::string> faults(const MoveSpec& spec) {
   std::vector<std::string> out;
   auto need = [&](bool ok, const char* what) {
-    if (!ok) out.push_back("move '" + spec.name + "': " + what);
+    if (!ok)
+      out.push_back("move '" + spec.name + "': " + what);
   };
   need(spec.from != spec.to, "'from' and 'to' are the same pool");
   need(!spec.steps.empty() && spec.steps.size() <= 32, "1 to 32 steps are wanted");
-  need(std::is_sorted(spec.steps.begin(), spec.steps.end(), std::less_equal<>()), "steps must grow");
-  need(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100), "steps must be above 0 and end with 100");
+  need(std::is_sorted(spec.steps.begin(), spec.steps.end(), std::less_equal<>()),
+       "steps must grow");
+  need(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100),
+       "steps must be above 0 and end with 100");
   need(spec.least_ms < spec.most_ms, "'least-time' must be under 'most-time'");
   need(spec.control > 0 && spec.control <= 50, "'control' must be above 0 and at most 50 percent");
   need(spec.test.margin < spec.test.worse, "'margin' must be under 'worse'");
@@ -76,17 +81,24 @@
   return test;
 }
 
-// Until its last step has passed, the old pool keeps a little: without it there is nothing to compare with.
-double Move::share_of(std::size_t step) const { return std::min(spec_.steps[step], 100 - spec_.control) / 100; }
+// Until its last step has passed, the old pool keeps a little: without it there is nothing to
+// compare with.
+double Move::share_of(std::size_t step) const {
+  return std::min(spec_.steps[step], 100 - spec_.control) / 100;
+}
 
 void Move::say(double now_ms, std::string text) {
   fresh_.push_back({now_ms, text});
-  if (fresh_.size() > kMostHistory) fresh_.erase(fresh_.begin());
+  if (fresh_.size() > kMostHistory)
+    fresh_.erase(fresh_.begin());
   history_.push_back({now_ms, std::move(text)});
-  if (history_.size() > kMostHistory) history_.pop_front();
+  if (history_.size() > kMostHistory)
+    history_.pop_front();
 }
 
-std::vector<Event> Move::events() { return std::exchange(fresh_, {}); }
+std::vector<Event> Move::events() {
+  return std::exchange(fresh_, {});
+}
 
 void Move::measure_anew(double now_ms) {
   comparison_.reset();
@@ -100,16 +112,20 @@
   step_since_ = looked_ = now_ms;
   set_wait(Wait::none, now_ms);
   measure_anew(now_ms);
-  say(now_ms, "step " + std::to_string(step + 1) + " of " + std::to_string(spec_.steps.size()) + ": " + percent(share_) +
-                  " to " + spec_.to);
+  say(now_ms, "step " + std::to_string(step + 1) + " of " + std::to_string(spec_.steps.size()) +
+                  ": " + percent(share_) + " to " + spec_.to);
 }
 
 std::string Move::start(double now_ms) {
-  if (active()) return "it is under way";
-  if (state_ == State::done) return "it is done; undo it first";
+  if (active())
+    return "it is under way";
+  if (state_ == State::done)
+    return "it is done; undo it first";
   if (state_ == State::undone && now_ms < cool_until_)
-    return "it cools off for another " + std::to_string(static_cast<long long>(std::ceil((cool_until_ - now_ms) / 1000))) + " s";
-  if (!pools_known_ || to_.ready == 0) return "pool '" + spec_.to + "' has no ready endpoint";
+    return "it cools off for another " +
+           std::to_string(static_cast<long long>(std::ceil((cool_until_ - now_ms) / 1000))) + " s";
+  if (!pools_known_ || to_.ready == 0)
+    return "pool '" + spec_.to + "' has no ready endpoint";
   state_ = State::running;
   reason_.clear();
   jumped_ = -1;
@@ -119,14 +135,16 @@
 }
 
 std::string Move::pause(double now_ms) {
-  if (state_ != State::running) return "it is not running";
+  if (state_ != State::running)
+    return "it is not running";
   state_ = State::paused;
   say(now_ms, "paused at " + percent(share_));
   return "";
 }
 
 std::string Move::resume(double now_ms) {
-  if (state_ != State::paused) return "it is not paused";
+  if (state_ != State::paused)
+    return "it is not paused";
   state_ = State::running;
   say(now_ms, "resumed");
   go(step_, now_ms);
@@ -134,8 +152,10 @@
 }
 
 std::string Move::undo(std::string_view reason, double now_ms) {
-  if (state_ == State::idle) return "it has not started";
-  if (state_ == State::undone) return "it is undone already";
+  if (state_ == State::idle)
+    return "it has not started";
+  if (state_ == State::undone)
+    return "it is undone already";
   state_ = State::undone;
   share_ = 0;
   ++undos_;
@@ -149,9 +169,11 @@
 void Move::respec(MoveSpec spec, double now_ms) {
   spec_ = std::move(spec);
   comparison_ = Comparison(step_test());
-  if (!active()) return;
+  if (!active())
+    return;
   std::size_t step = 0;
-  while (step + 1 < spec_.steps.size() && share_of(step + 1) <= share_ + 1e-9) ++step;
+  while (step + 1 < spec_.steps.size() && share_of(step + 1) <= share_ + 1e-9)
+    ++step;
   say(now_ms, "has new settings");
   go(step, now_ms);
 }
@@ -162,70 +184,92 @@
   pools_known_ = true;
   // With nothing to serve there is nothing to measure, and no sense in waiting.
   if (active() && to_.ready == 0)
-    undo(to_.draining > 0 ? "pool '" + spec_.to + "' is draining" : "pool '" + spec_.to + "' has lost its last ready endpoint", now_ms);
+    undo(to_.draining > 0 ? "pool '" + spec_.to + "' is draining"
+                          : "pool '" + spec_.to + "' has lost its last ready endpoint",
+         now_ms);
 }
 
 void Move::arrived(Arm pool, bool of_route, double now_ms) {
   pool_load_[static_cast<std::size_t>(pool)].arrived(now_ms);
-  if (of_route) route_load_.arrived(now_ms);
-  else if (pool == Arm::trial) other_load_.arrived(now_ms);
+  if (of_route)
+    route_load_.arrived(now_ms);
+  else if (pool == Arm::trial)
+    other_load_.arrived(now_ms);
 }
 
 void Move::answered(Arm arm, double asked, double in_time, double arrived_ms, double now_ms) {
-  if (!active() || wait_ == Wait::cold || wait_ == Wait::jump || arrived_ms < measured_since_) return;
+  if (!active() || wait_ == Wait::cold || wait_ == Wait::jump || arrived_ms < measured_since_)
+    return;
   comparison_.add(arm, asked, in_time, now_ms);
 }
 
 // Grounds on which what is measured says nothing of the new pool.
 Wait Move::hindrance(double now_ms) {
   // Rule 4 holds back what cold boxes get. That is not slowness; it is waited out.
-  if (2 * to_.warm < to_.ready || to_.warm == 0) return Wait::cold;
-  // A jump counts against the new pool only if it has clearly less of the load than of the capacity: beyond that it
-  // may look worse however good it is, and to move the load back would help nobody.
-  if (!route_load_.jump() && !other_load_.jump()) return jumped_ >= 0 && now_ms < jumped_ + kSettleMs ? Wait::jump : Wait::none;
-  double load = pool_load_[0].rate() + pool_load_[1].rate(), capacity = from_.capacity + to_.capacity;
-  bool more = capacity > 0 && load > 0 && pool_load_[1].rate() / load > kClearlyLess * to_.capacity / capacity;
-  if (more) jumped_ = now_ms;
+  if (2 * to_.warm < to_.ready || to_.warm == 0)
+    return Wait::cold;
+  // A jump counts against the new pool only if it has clearly less of the load than of the
+  // capacity: beyond that it may look worse however good it is, and to move the load back would
+  // help nobody.
+  if (!route_load_.jump() && !other_load_.jump())
+    return jumped_ >= 0 && now_ms < jumped_ + kSettleMs ? Wait::jump : Wait::none;
+  double load = pool_load_[0].rate() + pool_load_[1].rate(),
+         capacity = from_.capacity + to_.capacity;
+  bool more = capacity > 0 && load > 0 &&
+              pool_load_[1].rate() / load > kClearlyLess * to_.capacity / capacity;
+  if (more)
+    jumped_ = now_ms;
   return more ? Wait::jump : Wait::none;
 }
 
 void Move::set_wait(Wait wait, double now_ms) {
-  if (wait == wait_) return;
+  if (wait == wait_)
+    return;
   bool blind = wait_ == Wait::cold || wait_ == Wait::jump;
   wait_ = wait;
-  if (wait == Wait::cold || wait == Wait::jump) say(now_ms, "waits: " + std::string(word(wait)));
-  else if (blind && active()) say(now_ms, "goes on"), measure_anew(now_ms);
+  if (wait == Wait::cold || wait == Wait::jump)
+    say(now_ms, "waits: " + std::string(word(wait)));
+  else if (blind && active())
+    say(now_ms, "goes on"), measure_anew(now_ms);
 }
 
 void Move::tick(double now_ms) {
   route_load_.advance(now_ms);
   other_load_.advance(now_ms);
-  for (LoadWatch& load : pool_load_) load.advance(now_ms);
+  for (LoadWatch& load : pool_load_)
+    load.advance(now_ms);
   double since = std::exchange(looked_, now_ms);
-  if (!active()) return;
+  if (!active())
+    return;
   Wait hindered = hindrance(now_ms);
   if (hindered != Wait::none) {
     step_since_ += now_ms - since;  // the step's clock stands still
     return set_wait(hindered, now_ms);
   }
-  if (wait_ == Wait::cold || wait_ == Wait::jump) set_wait(Wait::none, now_ms);
+  if (wait_ == Wait::cold || wait_ == Wait::jump)
+    set_wait(Wait::none, now_ms);
   last_ = comparison_.estimate();
-  if (std::min(last_.control_answers, last_.trial_answers) >= kLeastLook && comparison_.worse(last_)) {
-    undo("in-time worth " + percent(last_.trial) + " against " + percent(last_.control) + " in '" + spec_.from +
-             "' over the same time, at step " + std::to_string(step_ + 1) + " (" + percent(share_) + ")",
+  if (std::min(last_.control_answers, last_.trial_answers) >= kLeastLook &&
+      comparison_.worse(last_)) {
+    undo("in-time worth " + percent(last_.trial) + " against " + percent(last_.control) + " in '" +
+             spec_.from + "' over the same time, at step " + std::to_string(step_ + 1) + " (" +
+             percent(share_) + ")",
          now_ms);
     return;
   }
-  if (state_ == State::paused) return;  // watched all the same
+  if (state_ == State::paused)
+    return;  // watched all the same
   double lasted = now_ms - step_since_;
   bool enough = last_.trial_answers >= spec_.least_answers && last_.control_answers >= kLeastLook;
   bool passed = lasted >= spec_.least_ms && enough && comparison_.no_worse(last_);
   set_wait(!passed && lasted >= spec_.least_ms ? Wait::answers : Wait::none, now_ms);
   if (!passed) {
-    if (lasted >= spec_.most_ms) undo("step " + std::to_string(step_ + 1) + " stayed undecided", now_ms);
+    if (lasted >= spec_.most_ms)
+      undo("step " + std::to_string(step_ + 1) + " stayed undecided", now_ms);
     return;
   }
-  if (step_ + 1 < spec_.steps.size()) return go(step_ + 1, now_ms);
+  if (step_ + 1 < spec_.steps.size())
+    return go(step_ + 1, now_ms);
   state_ = State::done;
   share_ = 1;
   say(now_ms, "done: all traffic of route '" + spec_.route + "' goes to " + spec_.to);
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -1,6 +1,6 @@
-// One move: traffic of a route is taken from one pool to another in steps, and taken back at once when the new pool
-// serves it worse. Pure: what happens is told with its time (Unix milliseconds); what is to be done is read from
-// `share()` and `events()`.
+// One move: traffic of a route is taken from one pool to another in steps, and taken back at once
+// when the new pool serves it worse. Pure: what happens is told with its time (Unix milliseconds);
+// what is to be done is read from `share()` and `events()`.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 struct MoveSpec {
   std::string name, route, from, to;
   std::vector<double> steps = {1, 5, 10, 25, 50, 100};  // percent, growing
-  double least_ms = 30'000;      // a step lasts at least so long
-  double most_ms = 1'800'000;    // one that is undecided by then is undone
-  std::uint64_t least_answers = 200;  // of the new pool, in a step
-  double cool_off_ms = 600'000;  // after an undo, before it may start again
-  double control = 5;            // percent that the old pool keeps until the last step has passed
-  TestSettings test;             // false_alarm is that of the whole move; the steps share it
+  double least_ms = 30'000;                             // a step lasts at least so long
+  double most_ms = 1'800'000;                           // one that is undecided by then is undone
+  std::uint64_t least_answers = 200;                    // of the new pool, in a step
+  double cool_off_ms = 600'000;                         // after an undo, before it may start again
+  double control = 5;  // percent that the old pool keeps until the last step has passed
+  TestSettings test;   // false_alarm is that of the whole move; the steps share it
 };
 std::vector<std::string> faults(const MoveSpec& spec);
 
@@ -52,13 +52,15 @@
   std::string resume(double now_ms);
   std::string undo(std::string_view reason, double now_ms);
 
-  // Another Spec of the same name, route and pools: a running move goes on at the nearest step not above its share.
+  // Another Spec of the same name, route and pools: a running move goes on at the nearest step not
+  // above its share.
   void respec(MoveSpec spec, double now_ms);
 
   void pools(const PoolView& from, const PoolView& to, double now_ms);
   void arrived(Arm pool, bool of_route, double now_ms);
-  // Every request of the route ends with one of these, in whatever way. Worth counts as in time by the class's aim.
-  // What came before the present measure began, or while it stood still, is passed over.
+  // Every request of the route ends with one of these, in whatever way. Worth counts as in time by
+  // the class's aim. What came before the present measure began, or while it stood still, is passed
+  // over.
   void answered(Arm arm, double asked, double in_time, double arrived_ms, double now_ms);
   void tick(double now_ms);  // at least every few hundred milliseconds
 
@@ -88,13 +90,15 @@
 
   MoveSpec spec_;
   Comparison comparison_;
-  LoadWatch route_load_, other_load_;  // the route's requests; those of other routes to the new pool
+  LoadWatch route_load_,
+      other_load_;  // the route's requests; those of other routes to the new pool
   LoadWatch pool_load_[2];
   PoolView from_, to_;
   State state_ = State::idle;
   Wait wait_ = Wait::none;
   std::size_t step_ = 0;
-  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, looked_ = 0, jumped_ = -1;
+  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, looked_ = 0,
+         jumped_ = -1;
   Estimate last_;
   std::string reason_;
   std::uint64_t undos_ = 0;
--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -10,10 +10,19 @@
 }
 
 std::string_view to_string(Reason reason) {
-  constexpr std::array<std::string_view, kReasons> names = {
-      "none",          "list-lease-expired", "endpoint-not-ready", "endpoint-moved", "deadline-passed",
-      "window-over",   "client-gone",        "may-have-run",       "attempt-out",    "request-in-hand",
-      "answer-unsent", "bytes-unread",       "process-ended"};
+  constexpr std::array<std::string_view, kReasons> names = {"none",
+                                                            "list-lease-expired",
+                                                            "endpoint-not-ready",
+                                                            "endpoint-moved",
+                                                            "deadline-passed",
+                                                            "window-over",
+                                                            "client-gone",
+                                                            "may-have-run",
+                                                            "attempt-out",
+                                                            "request-in-hand",
+                                                            "answer-unsent",
+                                                            "bytes-unread",
+                                                            "process-ended"};
   return names[static_cast<std::size_t>(reason)];
 }
 
@@ -23,36 +32,50 @@
 }
 
 SendVerdict may_send(const SendFacts& facts) {
-  if (!facts.client_waits) return SendVerdict(Reason::client_gone);
-  if (facts.time_left <= std::chrono::nanoseconds::zero()) return SendVerdict(Reason::deadline_passed);
-  if (!facts.in_window) return SendVerdict(Reason::window_over);
-  if (!facts.endpoint_ready) return SendVerdict(Reason::endpoint_not_ready);
-  if (!facts.same_address) return SendVerdict(Reason::endpoint_moved);
+  if (!facts.client_waits)
+    return SendVerdict(Reason::client_gone);
+  if (facts.time_left <= std::chrono::nanoseconds::zero())
+    return SendVerdict(Reason::deadline_passed);
+  if (!facts.in_window)
+    return SendVerdict(Reason::window_over);
+  if (!facts.endpoint_ready)
+    return SendVerdict(Reason::endpoint_not_ready);
+  if (!facts.same_address)
+    return SendVerdict(Reason::endpoint_moved);
   // Last, as the only one that passes: the caller may wait for it.
-  if (!facts.list_lease_valid) return SendVerdict(Reason::list_lease_expired);
+  if (!facts.list_lease_valid)
+    return SendVerdict(Reason::list_lease_expired);
   return SendVerdict(Reason::none);
 }
 
 Verdict may_repeat(const RepeatFacts& facts) {
-  if (facts.earlier_out_there) return Verdict(Reason::attempt_out);
-  if (facts.earlier_out && !facts.parallel_allowed) return Verdict(Reason::attempt_out);
+  if (facts.earlier_out_there)
+    return Verdict(Reason::attempt_out);
+  if (facts.earlier_out && !facts.parallel_allowed)
+    return Verdict(Reason::attempt_out);
   bool may_have_run = facts.earlier_may_have_run || facts.earlier_out;
-  if (may_have_run && facts.effect == reedlb::Effect::unsafe) return Verdict(Reason::may_have_run);
+  if (may_have_run && facts.effect == reedlb::Effect::unsafe)
+    return Verdict(Reason::may_have_run);
   if (may_have_run && facts.effect == reedlb::Effect::keyed && !facts.in_window)
     return Verdict(Reason::window_over);
   return Verdict(Reason::none);
 }
 
 Verdict may_close(const CloseFacts& facts) {
-  if (facts.request_in_hand) return Verdict(Reason::request_in_hand);
-  if (facts.answer_unsent) return Verdict(Reason::answer_unsent);
-  if (facts.bytes_unread) return Verdict(Reason::bytes_unread);
+  if (facts.request_in_hand)
+    return Verdict(Reason::request_in_hand);
+  if (facts.answer_unsent)
+    return Verdict(Reason::answer_unsent);
+  if (facts.bytes_unread)
+    return Verdict(Reason::bytes_unread);
   return Verdict(Reason::none);
 }
 
 Verdict may_start(const StartFacts& facts) {
-  if (facts.phase == Phase::ended) return Verdict(Reason::process_ended);
-  if (!facts.client_waits) return Verdict(Reason::client_gone);
+  if (facts.phase == Phase::ended)
+    return Verdict(Reason::process_ended);
+  if (!facts.client_waits)
+    return Verdict(Reason::client_gone);
   return Verdict(Reason::none);
 }
 
--- a/logic/plugins/breaker.h
+++ b/logic/plugins/breaker.h
@@ -1,6 +1,7 @@
-// Whether a plug-in is asked. Faults are strikes; enough of them, or the death of its host, open the breaker: the
-// plug-in is left out, its host is ended, and after a back-off that grows with every turn, with jitter, another host is
-// started and asked one call at a time. A few good answers close the breaker. Pure: time is an argument, milliseconds.
+// Whether a plug-in is asked. Faults are strikes; enough of them, or the death of its host, open
+// the breaker: the plug-in is left out, its host is ended, and after a back-off that grows with
+// every turn, with jitter, another host is started and asked one call at a time. A few good answers
+// close the breaker. Pure: time is an argument, milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +11,22 @@
 namespace keelflow::plugins {
 
 struct BreakerSettings {
-  int strikes = 5;             // within `window_ms` open it
+  int strikes = 5;  // within `window_ms` open it
   double window_ms = 10'000;
   double first_ms = 250, most_ms = 60'000;  // back-off: the first, doubled each turn, at most
-  double jitter = 0.25;        // of the back-off, either way
-  int give_up = 8;             // turns in a row; then it is out, and tried once every `out_ms`
+  double jitter = 0.25;                     // of the back-off, either way
+  int give_up = 8;  // turns in a row; then it is out, and tried once every `out_ms`
   double out_ms = 600'000;
-  int good_trials = 3;         // good answers in a row that close it
-  double calm_ms = 30'000;     // closed for so long, the back-off begins anew
+  int good_trials = 3;      // good answers in a row that close it
+  double calm_ms = 30'000;  // closed for so long, the back-off begins anew
 };
 
 class Breaker {
  public:
   enum class State : std::uint8_t { closed, open, trial, out, disabled };
 
-  Breaker(BreakerSettings settings, std::uint64_t seed) : s_(settings), random_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
+  Breaker(BreakerSettings settings, std::uint64_t seed)
+      : s_(settings), random_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
 
   State state() const { return state_; }
   double until() const { return until_; }  // of open and out: when the next trial begins
@@ -40,7 +42,8 @@
   bool strike(double now_ms);
   // Its host has died or had to be ended, or would not start.
   void died(double now_ms);
-  // A call of a trial came to nothing, through no fault of the plug-in: its client has gone, or its deadline was short.
+  // A call of a trial came to nothing, through no fault of the plug-in: its client has gone, or its
+  // deadline was short.
   void dropped() { trying_ = false; }
   // The back-off is over and another host is ready. False: it is not the time.
   bool begin_trial(double now_ms);
--- a/logic/plugins/holds.h
+++ b/logic/plugins/holds.h
@@ -1,5 +1,5 @@
-// Requests that plug-ins hold back, of bounded number and bytes. One that does not fit makes the oldest go on at once;
-// one that is larger than all room goes on itself. Pure: time is an argument.
+// Requests that plug-ins hold back, of bounded number and bytes. One that does not fit makes the
+// oldest go on at once; one that is larger than all room goes on itself. Pure: time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,8 @@
 
   // Those that must go on now to make room, the oldest first; perhaps this one itself.
   std::vector<Id> add(Id id, std::size_t bytes, double until_ms) {
-    if (most_ == 0 || bytes > most_bytes_) return ++pushed_out_, std::vector<Id>{id};
+    if (most_ == 0 || bytes > most_bytes_)
+      return ++pushed_out_, std::vector<Id>{id};
     std::vector<Id> out;
     while (held_.size() >= most_ || bytes_ + bytes > most_bytes_) {
       out.push_back(by_age_.begin()->second);
@@ -37,7 +38,8 @@
 
   bool remove(Id id) {  // its client has gone, or it goes on
     auto it = held_.find(id);
-    if (it == held_.end()) return false;
+    if (it == held_.end())
+      return false;
     bytes_ -= it->second.bytes;
     by_age_.erase(it->second.age);
     by_end_.erase({it->second.until, it->second.age, id});
@@ -56,8 +58,10 @@
 
   std::vector<Id> all() {  // the oldest first; nothing is held any more
     std::vector<Id> out;
-    for (const auto& [age, id] : by_age_) out.push_back(id);
-    for (Id id : out) remove(id);
+    for (const auto& [age, id] : by_age_)
+      out.push_back(id);
+    for (Id id : out)
+      remove(id);
     return out;
   }
 
@@ -73,7 +77,9 @@
     return out;
   }
 
-  std::optional<double> next() const { return by_end_.empty() ? std::nullopt : std::optional(std::get<0>(*by_end_.begin())); }
+  std::optional<double> next() const {
+    return by_end_.empty() ? std::nullopt : std::optional(std::get<0>(*by_end_.begin()));
+  }
   std::size_t count() const { return held_.size(); }
   std::size_t bytes() const { return bytes_; }
   std::uint64_t pushed_out() const { return pushed_out_; }
--- a/logic/plugins/verdict.cpp
+++ b/logic/plugins/verdict.cpp
@@ -6,7 +6,9 @@
 namespace keelflow::plugins {
 namespace {
 
-double sane(double value, double otherwise) { return std::isfinite(value) && value >= 0 ? value : otherwise; }
+double sane(double value, double otherwise) {
+  return std::isfinite(value) && value >= 0 ? value : otherwise;
+}
 
 }  // namespace
 
@@ -20,15 +22,22 @@
       v.refuse = said[i].fallback == Fallback::refuse;
       v.come_back_ms = bounds.fallback_come_back_ms;
     }
-    if (v.refuse && out.refused_by < 0) out.refused_by = place;
-    if (v.refuse) out.verdict.come_back_ms = std::max(out.verdict.come_back_ms, std::min(sane(v.come_back_ms, 0), bounds.most_come_back_ms));
-    if (double hold = sane(v.hold_ms, 0); hold > out.verdict.hold_ms) out.verdict.hold_ms = hold, out.held_by = place;
-    if (double weigh = sane(v.weigh, 1); weigh > 0) out.verdict.weigh *= weigh;
-    if (!v.label.empty() && out.labelled_by < 0) out.verdict.label = v.label, out.labelled_by = place;
+    if (v.refuse && out.refused_by < 0)
+      out.refused_by = place;
+    if (v.refuse)
+      out.verdict.come_back_ms = std::max(
+          out.verdict.come_back_ms, std::min(sane(v.come_back_ms, 0), bounds.most_come_back_ms));
+    if (double hold = sane(v.hold_ms, 0); hold > out.verdict.hold_ms)
+      out.verdict.hold_ms = hold, out.held_by = place;
+    if (double weigh = sane(v.weigh, 1); weigh > 0)
+      out.verdict.weigh *= weigh;
+    if (!v.label.empty() && out.labelled_by < 0)
+      out.verdict.label = v.label, out.labelled_by = place;
   }
   out.verdict.refuse = out.refused_by >= 0;
   out.verdict.weigh = std::clamp(out.verdict.weigh, bounds.least_weigh, bounds.most_weigh);
-  if (out.verdict.hold_ms <= 0) return out;
+  if (out.verdict.hold_ms <= 0)
+    return out;
   if (subject.effect == reedlb::Effect::keyed && subject.repeat) {
     out.hold_forbidden = true;
     out.verdict.hold_ms = 0;
@@ -44,8 +53,10 @@
   Shape out;
   for (const Shape& s : said) {
     out.drop = out.drop || s.drop;
-    if (s.has_label && !out.has_label) out.has_label = true, out.label = s.label;
-    if (s.has_share && !out.has_share && std::isfinite(s.share)) out.has_share = true, out.share = std::clamp(s.share, 0.0, 1.0);
+    if (s.has_label && !out.has_label)
+      out.has_label = true, out.label = s.label;
+    if (s.has_share && !out.has_share && std::isfinite(s.share))
+      out.has_share = true, out.share = std::clamp(s.share, 0.0, 1.0);
   }
   return out;
 }
--- a/logic/plugins/verdict.h
+++ b/logic/plugins/verdict.h
@@ -1,6 +1,6 @@
-// What plug-ins may say of a request and of a progress event, and what comes of it when several speak. Pure: spans are
-// milliseconds. The module decides about all that is admitted; a hold or a refusal comes before it has seen a request,
-// never after it has given one up.
+// What plug-ins may say of a request and of a progress event, and what comes of it when several
+// speak. Pure: spans are milliseconds. The module decides about all that is admitted; a hold or a
+// refusal comes before it has seen a request, never after it has given one up.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,10 @@
   std::string label = {};   // shown with its progress events
 };
 
-enum class Fallback : std::uint8_t { allow, refuse };  // what a plug-in counts as having said that said nothing in time
+enum class Fallback : std::uint8_t {
+  allow,
+  refuse
+};  // what a plug-in counts as having said that said nothing in time
 
 // One plug-in's word, in the order of the settings file. Those that were not asked are left out.
 struct Said {
@@ -31,9 +34,10 @@
 
 struct Subject {
   reedlb::Effect effect = reedlb::Effect::safe;
-  bool repeat = false;      // its client marks it as a further try
-  double patience_ms = 0;   // that is left
-  double need_ms = 0;       // what the module is to be left with: the class's aim for a request of its size
+  bool repeat = false;     // its client marks it as a further try
+  double patience_ms = 0;  // that is left
+  double need_ms =
+      0;  // what the module is to be left with: the class's aim for a request of its size
 };
 
 struct Bounds {
@@ -48,7 +52,8 @@
 };
 
 // - One refusal is enough; of several the longest time to come back counts.
-// - The longest hold counts. A further try of keyed work is never held: the time in which its group drops the repeat
+// - The longest hold counts. A further try of keyed work is never held: the time in which its group
+// drops the repeat
 //   runs from the first try. A hold ends so early that the module has `need_ms` left.
 // - Weights multiply, within bounds. The first label counts.
 // What is no finite number, or below zero, counts as not said.
@@ -62,5 +67,4 @@
 // One drop is enough; else the first label and the first share count.
 Shape combine(const std::vector<Shape>& said);
 
-
 }  // namespace keelflow::plugins
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -1,5 +1,6 @@
-// Remembers for a while which pool a keyed request went to, so that a client's further try of it goes there too: the
-// boxes that drop its repeats are there. Of fixed size; a full bucket forgets what would have expired first.
+// Remembers for a while which pool a keyed request went to, so that a client's further try of it
+// goes there too: the boxes that drop its repeats are there. Of fixed size; a full bucket forgets
+// what would have expired first.
 #pragma once
 
 #include <array>
@@ -13,13 +14,15 @@
  public:
   explicit KeyMemory(std::size_t entries) {  // rounded up to a power of two, at least one bucket
     std::size_t buckets = 1;
-    while (buckets * kWays < entries) buckets *= 2;
+    while (buckets * kWays < entries)
+      buckets *= 2;
     buckets_.resize(buckets);
   }
 
   int find(std::uint64_t key, double now_ms) const {  // -1: not known
     for (const Entry& e : buckets_[key & (buckets_.size() - 1)])
-      if (e.pool >= 0 && e.key == key && e.until > now_ms) return e.pool;
+      if (e.pool >= 0 && e.key == key && e.until > now_ms)
+        return e.pool;
     return -1;
   }
 
@@ -30,9 +33,11 @@
         victim = &e;
         break;
       }
-      if (!victim || e.until < victim->until) victim = &e;
+      if (!victim || e.until < victim->until)
+        victim = &e;
     }
-    if (victim->pool >= 0 && victim->key != key && victim->until > now_ms) ++forgotten_;
+    if (victim->pool >= 0 && victim->key != key && victim->until > now_ms)
+      ++forgotten_;
     *victim = {key, until_ms, pool};
   }
 
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -15,7 +15,9 @@
 using reedlb::WorkerList;
 using reedlb::WorkerState;
 
-std::size_t at(int i) { return static_cast<std::size_t>(i); }
+std::size_t at(int i) {
+  return static_cast<std::size_t>(i);
+}
 
 template <typename T>
 bool any_of(const std::vector<T>& values, const auto& test) {
@@ -31,11 +33,14 @@
   return i >= 0 && at(i) < list.size() ? std::string_view(list[at(i)]) : std::string_view();
 }
 
-std::vector<bool> flags(const std::vector<std::string>& wanted, const std::vector<std::string>& all) {
+std::vector<bool> flags(const std::vector<std::string>& wanted,
+                        const std::vector<std::string>& all) {
   std::vector<bool> out;
-  if (wanted.empty()) return out;
+  if (wanted.empty())
+    return out;
   out.resize(all.size());
-  for (std::size_t i = 0; i < all.size(); ++i) out[i] = place(wanted, all[i]) >= 0;
+  for (std::size_t i = 0; i < all.size(); ++i)
+    out[i] = place(wanted, all[i]) >= 0;
   return out;
 }
 
@@ -46,19 +51,26 @@
 void find_doubles(const auto& things, const char* what, std::vector<std::string>& out) {
   std::set<std::string> seen;
   for (const auto& thing : things)
-    if (!seen.insert(thing.name).second) out.push_back(std::string(what) + " '" + thing.name + "' is there twice");
+    if (!seen.insert(thing.name).second)
+      out.push_back(std::string(what) + " '" + thing.name + "' is there twice");
 }
 
-bool fits_all(const RouteSpec& route) { return route.classes.empty() && route.tenants.empty() && route.paths.empty(); }
+bool fits_all(const RouteSpec& route) {
+  return route.classes.empty() && route.tenants.empty() && route.paths.empty();
+}
 
 }  // namespace
 
 std::vector<std::string> faults(const Spec& spec) {
   std::vector<std::string> out;
-  if (spec.pools.empty() && !spec.routes.empty()) out.push_back("there are routes, and no pool");
-  if (!spec.pools.empty() && spec.routes.empty()) out.push_back("there are pools, and no route");
-  if (spec.pools.size() > kMostPools) out.push_back("more than " + std::to_string(kMostPools) + " pools");
-  if (spec.routes.size() > kMostRoutes) out.push_back("more than " + std::to_string(kMostRoutes) + " routes");
+  if (spec.pools.empty() && !spec.routes.empty())
+    out.push_back("there are routes, and no pool");
+  if (!spec.pools.empty() && spec.routes.empty())
+    out.push_back("there are pools, and no route");
+  if (spec.pools.size() > kMostPools)
+    out.push_back("more than " + std::to_string(kMostPools) + " pools");
+  if (spec.routes.size() > kMostRoutes)
+    out.push_back("more than " + std::to_string(kMostRoutes) + " routes");
   find_doubles(spec.pools, "pool", out);
   find_doubles(spec.routes, "route", out);
   for (std::size_t i = 0; i < spec.routes.size(); ++i) {
@@ -67,34 +79,47 @@
     std::set<std::string> seen;
     for (const auto& [pool, weight] : route.to) {
       sum += weight;
-      bool known = std::any_of(spec.pools.begin(), spec.pools.end(), [&](const PoolSpec& p) { return p.name == pool; });
-      if (!known) out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not there");
-      if (!seen.insert(pool).second) out.push_back("route '" + route.name + "' names pool '" + pool + "' twice");
-      if (!std::isfinite(weight) || weight < 0) out.push_back("route '" + route.name + "' has a weight below zero");
+      bool known = std::any_of(spec.pools.begin(), spec.pools.end(),
+                               [&](const PoolSpec& p) { return p.name == pool; });
+      if (!known)
+        out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not there");
+      if (!seen.insert(pool).second)
+        out.push_back("route '" + route.name + "' names pool '" + pool + "' twice");
+      if (!std::isfinite(weight) || weight < 0)
+        out.push_back("route '" + route.name + "' has a weight below zero");
     }
-    if (!(sum > 0)) out.push_back("route '" + route.name + "' sends to no pool: its weights are all zero");
+    if (!(sum > 0))
+      out.push_back("route '" + route.name + "' sends to no pool: its weights are all zero");
     bool last = i + 1 == spec.routes.size();
-    if (!last && fits_all(route)) out.push_back("route '" + route.name + "' fits all, so that those after it are never reached");
-    if (last && !fits_all(route)) out.push_back("the last route, '" + route.name + "', must fit all: it may have no match");
+    if (!last && fits_all(route))
+      out.push_back("route '" + route.name +
+                    "' fits all, so that those after it are never reached");
+    if (last && !fits_all(route))
+      out.push_back("the last route, '" + route.name + "', must fit all: it may have no match");
   }
   return out;
 }
 
 std::vector<std::string> unknown_names(const Spec& spec, const NameLists& names) {
   std::vector<std::string> out;
-  auto look = [&](const std::vector<std::string>& wanted, const std::vector<std::string>& all, const char* what) {
+  auto look = [&](const std::vector<std::string>& wanted, const std::vector<std::string>& all,
+                  const char* what) {
     for (const std::string& name : wanted)
-      if (place(all, name) < 0) out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
+      if (place(all, name) < 0)
+        out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
   };
-  for (const PoolSpec& pool : spec.pools) look(pool.sites, names.zones, "site"), look(pool.kinds, names.kinds, "endpoint class");
-  for (const RouteSpec& route : spec.routes) look(route.classes, names.classes, "class"), look(route.tenants, names.tenants, "tenant");
+  for (const PoolSpec& pool : spec.pools)
+    look(pool.sites, names.zones, "site"), look(pool.kinds, names.kinds, "endpoint class");
+  for (const RouteSpec& route : spec.routes)
+    look(route.classes, names.classes, "class"), look(route.tenants, names.tenants, "tenant");
   return out;
 }
 
 double point_of(const Query& query, std::uint64_t seed) {
   std::string_view text = query.idempotency_key.empty() ? query.id : query.idempotency_key;
-  std::uint64_t hash = query.object != 0 ? XXH3_64bits_withSeed(&query.object, sizeof query.object, seed)
-                                         : XXH3_64bits_withSeed(text.data(), text.size(), seed);
+  std::uint64_t hash = query.object != 0
+                           ? XXH3_64bits_withSeed(&query.object, sizeof query.object, seed)
+                           : XXH3_64bits_withSeed(text.data(), text.size(), seed);
   return static_cast<double>(hash >> 11) * 0x1p-53;
 }
 
@@ -103,16 +128,22 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), static_cast<std::uint64_t>(query.cls) + 1);
 }
 
-Router::Router(Spec spec, NameLists names, std::vector<reedlb::ClassSettings> classes, Timing timing,
-               std::size_t key_entries)
-    : spec_(std::move(spec)), names_(std::move(names)), classes_(std::move(classes)), timing_(timing), keys_(key_entries) {
-  for (const PoolSpec& pool : spec_.pools) pool_names_.push_back(pool.name);
+Router::Router(Spec spec, NameLists names, std::vector<reedlb::ClassSettings> classes,
+               Timing timing, std::size_t key_entries)
+    : spec_(std::move(spec)),
+      names_(std::move(names)),
+      classes_(std::move(classes)),
+      timing_(timing),
+      keys_(key_entries) {
+  for (const PoolSpec& pool : spec_.pools)
+    pool_names_.push_back(pool.name);
   compile();
 }
 
 void Router::compile() {
   pool_numbers_.clear();
-  for (const PoolSpec& p : spec_.pools) pool_numbers_.push_back(place(pool_names_, p.name));
+  for (const PoolSpec& p : spec_.pools)
+    pool_numbers_.push_back(place(pool_names_, p.name));
   routes_.clear();
   for (const RouteSpec& r : spec_.routes) {
     Route route;
@@ -120,8 +151,10 @@
     route.tenants = flags(r.tenants, names_.tenants);
     route.paths = r.paths;
     double sum = 0;
-    for (const auto& [name, weight] : r.to) sum += weight;
-    for (const auto& [name, weight] : r.to) route.segments.push_back({place(pool_names_, name), weight / sum, 0});
+    for (const auto& [name, weight] : r.to)
+      sum += weight;
+    for (const auto& [name, weight] : r.to)
+      route.segments.push_back({place(pool_names_, name), weight / sum, 0});
     lay_out(route);
     routes_.push_back(std::move(route));
   }
@@ -130,38 +163,46 @@
 
 void Router::lay_out(Route& route) {
   double end = 0;
-  for (Segment& s : route.segments) s.end = end += s.weight;
+  for (Segment& s : route.segments)
+    s.end = end += s.weight;
   route.segments.back().end = 1;
 }
 
 std::vector<std::string> Router::numbered(const Spec& spec) const {
   std::vector<std::string> numbers = pool_names_;
   for (const PoolSpec& pool : spec.pools)
-    if (place(numbers, pool.name) < 0) numbers.push_back(pool.name);
+    if (place(numbers, pool.name) < 0)
+      numbers.push_back(pool.name);
   return numbers;
 }
 
-bool Router::fits(const Spec& spec) const { return numbered(spec).size() <= kMostPools; }
+bool Router::fits(const Spec& spec) const {
+  return numbered(spec).size() <= kMostPools;
+}
 
 std::optional<Router::Lists> Router::replace(Spec spec, double now_ms) {
-  if (!fits(spec)) return std::nullopt;
+  if (!fits(spec))
+    return std::nullopt;
   pool_names_ = numbered(spec);
   spec_ = std::move(spec);
   compile();
-  for (auto& [id, endpoint] : endpoints_) settle(endpoint, now_ms);
+  for (auto& [id, endpoint] : endpoints_)
+    settle(endpoint, now_ms);
   count(now_ms);
   return whole();
 }
 
 int Router::pool_for(const Endpoint& endpoint) const {
-  std::string_view site = name_at(names_.zones, endpoint.entry.zone), kind = name_at(names_.kinds, endpoint.entry.kind);
+  std::string_view site = name_at(names_.zones, endpoint.entry.zone),
+                   kind = name_at(names_.kinds, endpoint.entry.kind);
   for (std::size_t i = 0; i < spec_.pools.size(); ++i) {
     const PoolSpec& p = spec_.pools[i];
     bool fits = any_of(p.sites, [&](const std::string& s) { return s == site; }) &&
                 any_of(p.kinds, [&](const std::string& k) { return k == kind; }) &&
                 any_of(p.blocks, [&](int b) { return b == endpoint.entry.cell; }) &&
                 any_of(p.hosts, [&](const std::string& h) { return endpoint.host.starts_with(h); });
-    if (fits) return pool_numbers_[i];
+    if (fits)
+      return pool_numbers_[i];
   }
   return -1;
 }
@@ -172,7 +213,8 @@
 
 void Router::settle(Endpoint& endpoint, double now_ms) {
   int pool = pool_for(endpoint);
-  if (endpoint.pool >= 0 && pool != endpoint.pool) endpoint.joins = cold(endpoint, now_ms) ? now_ms + timing_.rest_ms : 0;
+  if (endpoint.pool >= 0 && pool != endpoint.pool)
+    endpoint.joins = cold(endpoint, now_ms) ? now_ms + timing_.rest_ms : 0;
   endpoint.pool = pool;
 }
 
@@ -181,42 +223,51 @@
   auto [it, fresh] = endpoints_.try_emplace(entry.worker);
   Endpoint& endpoint = it->second;
   endpoint.entry = entry;
-  if (!host.empty()) endpoint.host = host;
+  if (!host.empty())
+    endpoint.host = host;
   int before = fresh ? -1 : endpoint.pool;
   settle(endpoint, now_ms);
   return before >= 0 && endpoint.pool != before;
 }
 
-// As cached: to the module such a list is complete, and says nothing of whether discovery is being watched.
+// As cached: to the module such a list is complete, and says nothing of whether discovery is being
+// watched.
 WorkerList Router::whole(int pool) const {
   WorkerList list;
   list.scope = ListScope::cached;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.pool == pool && endpoint.joins <= 0) list.entries.push_back(endpoint.entry);
+    if (endpoint.pool == pool && endpoint.joins <= 0)
+      list.entries.push_back(endpoint.entry);
   return list;
 }
 
 Router::Lists Router::whole() const {
   Lists out;
-  for (int i = 0; i < numbers(); ++i) out.emplace_back(i, whole(i));
+  for (int i = 0; i < numbers(); ++i)
+    out.emplace_back(i, whole(i));
   return out;
 }
 
-Router::Lists Router::split(const WorkerList& list, const std::function<std::string_view(reedlb::WorkerId)>& host,
+Router::Lists Router::split(const WorkerList& list,
+                            const std::function<std::string_view(reedlb::WorkerId)>& host,
                             double now_ms) {
   Lists out;
-  for (int i = 0; i < numbers(); ++i) out.emplace_back(i, WorkerList{list.scope, {}});
-  if (list.scope == ListScope::failed) return out;
+  for (int i = 0; i < numbers(); ++i)
+    out.emplace_back(i, WorkerList{list.scope, {}});
+  if (list.scope == ListScope::failed)
+    return out;
   if (list.scope != ListScope::delta) {  // complete: whoever is missing is gone
     std::set<reedlb::WorkerId> named;
-    for (const WorkerEntry& e : list.entries) named.insert(e.worker);
+    for (const WorkerEntry& e : list.entries)
+      named.insert(e.worker);
     std::erase_if(endpoints_, [&](const auto& known) { return !named.contains(known.first); });
   }
   for (const WorkerEntry& e : list.entries) {
     auto known = endpoints_.find(e.worker);
     int before = known == endpoints_.end() ? -1 : known->second.pool;
     if (e.state == WorkerState::gone) {
-      if (before >= 0) out[at(before)].second.entries.push_back(e);
+      if (before >= 0)
+        out[at(before)].second.entries.push_back(e);
       endpoints_.erase(e.worker);
       continue;
     }
@@ -227,7 +278,8 @@
       gone.state = WorkerState::gone;
       out[at(before)].second.entries.push_back(gone);
     }
-    if (endpoint.pool >= 0 && endpoint.joins <= 0) out[at(endpoint.pool)].second.entries.push_back(e);
+    if (endpoint.pool >= 0 && endpoint.joins <= 0)
+      out[at(endpoint.pool)].second.entries.push_back(e);
   }
   count(now_ms);
   if (list.scope == ListScope::delta && numbers() > 1)
@@ -238,12 +290,15 @@
 Router::Lists Router::due(double now_ms) {
   std::set<int> joined;
   for (auto& [id, endpoint] : endpoints_) {
-    if (endpoint.joins <= 0 || endpoint.joins > now_ms) continue;
+    if (endpoint.joins <= 0 || endpoint.joins > now_ms)
+      continue;
     endpoint.joins = 0;
-    if (endpoint.pool >= 0) joined.insert(endpoint.pool);
+    if (endpoint.pool >= 0)
+      joined.insert(endpoint.pool);
   }
   Lists out;
-  for (int pool : joined) out.emplace_back(pool, whole(pool));
+  for (int pool : joined)
+    out.emplace_back(pool, whole(pool));
   count(now_ms);
   return out;
 }
@@ -251,7 +306,8 @@
 std::optional<double> Router::next_due() const {
   std::optional<double> next;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.joins > 0 && (!next || endpoint.joins < *next)) next = endpoint.joins;
+    if (endpoint.joins > 0 && (!next || endpoint.joins < *next))
+      next = endpoint.joins;
   return next;
 }
 
@@ -261,10 +317,12 @@
   health_.assign(pool_names_.size(), {});
   for (const auto& [id, e] : endpoints_) {
     unassigned_ += e.pool < 0;
-    if (e.pool < 0 || e.joins > 0) continue;
+    if (e.pool < 0 || e.joins > 0)
+      continue;
     Health& h = health_[at(e.pool)];
     h.draining += e.entry.state == WorkerState::draining;
-    if (e.entry.state != WorkerState::ready) continue;
+    if (e.entry.state != WorkerState::ready)
+      continue;
     ++h.ready;
     if (cold(e, now_ms)) {
       warms_ = std::min(warms_, e.entry.born + timing_.cold_ms);
@@ -276,19 +334,22 @@
 }
 
 const Health& Router::health(int pool, double now_ms) {
-  if (now_ms >= warms_) count(now_ms);
+  if (now_ms >= warms_)
+    count(now_ms);
   return health_.at(at(pool));
 }
 
 Choice Router::choose(const Query& query, double now_ms) {
-  if (now_ms >= warms_) count(now_ms);
+  if (now_ms >= warms_)
+    count(now_ms);
   Choice out;
   const Route* route = nullptr;
   for (std::size_t i = 0; i < routes_.size() && !route; ++i) {
     const Route& r = routes_[i];
     bool fits = allowed(r.classes, query.cls) && allowed(r.tenants, query.tenant) &&
                 any_of(r.paths, [&](const std::string& p) { return query.path.starts_with(p); });
-    if (fits) route = &r, out.route = static_cast<int>(i);
+    if (fits)
+      route = &r, out.route = static_cast<int>(i);
   }
   const reedlb::ClassSettings& cls = classes_.at(at(query.cls));
   bool keyed = cls.effect == reedlb::Effect::keyed;
@@ -300,23 +361,32 @@
   } else {
     double point = point_of(query, static_cast<std::uint64_t>(out.route));
     std::size_t own = 0;
-    while (own + 1 < route->segments.size() && point >= route->segments[own].end) ++own;
+    while (own + 1 < route->segments.size() && point >= route->segments[own].end)
+      ++own;
     out.pool = route->segments[own].pool;
-    // Where nothing of its pool is ready, or all of it is cold, a request goes to the next pool that has better.
-    auto fitness = [&](int pool) { return health_[at(pool)].warm > 0 ? 2 : health_[at(pool)].ready > 0 ? 1 : 0; };
+    // Where nothing of its pool is ready, or all of it is cold, a request goes to the next pool
+    // that has better.
+    auto fitness = [&](int pool) {
+      return health_[at(pool)].warm > 0 ? 2 : health_[at(pool)].ready > 0 ? 1 : 0;
+    };
     int best = fitness(out.pool);
     for (std::size_t i = 1; best < 2 && i < route->segments.size(); ++i) {
       int other = route->segments[(own + i) % route->segments.size()].pool;
-      if (fitness(other) > best) best = fitness(out.pool = other), out.spilled = true;
+      if (fitness(other) > best)
+        best = fitness(out.pool = other), out.spilled = true;
     }
   }
-  if (keyed) keys_.put(key, out.pool, now_ms + query.patience_ms + cls.window_ms, now_ms);
+  if (keyed)
+    keys_.put(key, out.pool, now_ms + query.patience_ms + cls.window_ms, now_ms);
   return out;
 }
 
 void Router::shift(int route, int from, int to, double share) {
   Route& r = routes_.at(at(route));
-  auto find = [&](int pool) { return std::find_if(r.segments.begin(), r.segments.end(), [&](auto& s) { return s.pool == pool; }); };
+  auto find = [&](int pool) {
+    return std::find_if(r.segments.begin(), r.segments.end(),
+                        [&](auto& s) { return s.pool == pool; });
+  };
   double both = find(from)->weight + find(to)->weight;
   find(to)->weight = both * share;
   find(from)->weight = both * (1 - share);
@@ -334,7 +404,8 @@
 
 int Router::route(std::string_view name) const {
   for (std::size_t i = 0; i < spec_.routes.size(); ++i)
-    if (spec_.routes[i].name == name) return static_cast<int>(i);
+    if (spec_.routes[i].name == name)
+      return static_cast<int>(i);
   return -1;
 }
 
@@ -344,7 +415,8 @@
 
 double Router::weight(int route, int pool) const {
   for (const Segment& s : routes_.at(at(route)).segments)
-    if (s.pool == pool) return s.weight;
+    if (s.pool == pool)
+      return s.weight;
   return 0;
 }
 
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -1,9 +1,10 @@
-// Which pool an endpoint belongs to, and which pool a request goes to. Pure: the time (Unix milliseconds, the module's
-// scale) is an argument. What happens within a pool is the module's: each pool has a Dispatcher of its own.
+// Which pool an endpoint belongs to, and which pool a request goes to. Pure: the time (Unix
+// milliseconds, the module's scale) is an argument. What happens within a pool is the module's:
+// each pool has a Dispatcher of its own.
 //
-// A choice is stable. The hash of what a request is about (its object, else its idempotency key, else its id) is a
-// point in [0, 1), and a route's pools share that interval by weight. `shift` moves one boundary only, so that a larger
-// step adds to what was moved and takes nothing back.
+// A choice is stable. The hash of what a request is about (its object, else its idempotency key,
+// else its id) is a point in [0, 1), and a route's pools share that interval by weight. `shift`
+// moves one boundary only, so that a larger step adds to what was moved and takes nothing back.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +29,7 @@
 struct Query {  // what a request shows of itself
   int cls = 0, tenant = 0;
   std::string_view path;
-  std::uint64_t object = 0;                // zero: none
+  std::uint64_t object = 0;  // zero: none
   std::string_view idempotency_key, id;
   double patience_ms = 0;
 };
@@ -53,29 +54,35 @@
 
 class Router {
  public:
-  using Lists = std::vector<std::pair<int, reedlb::WorkerList>>;  // pool, what its Dispatcher is to be told
+  using Lists =
+      std::vector<std::pair<int, reedlb::WorkerList>>;  // pool, what its Dispatcher is to be told
 
-  // `classes` tell which are keyed, and for how long repeats are dropped. The Spec must be without faults.
+  // `classes` tell which are keyed, and for how long repeats are dropped. The Spec must be without
+  // faults.
   Router(Spec spec, NameLists names, std::vector<reedlb::ClassSettings> classes, Timing timing,
          std::size_t key_entries = 16 * 1024);
 
-  // Another Spec takes over. Pools that it names again keep their numbers, and new ones get free numbers: none is used
-  // for two names in a node's life. Empty: there are no numbers left (kMostPools in all), nothing is changed. The
-  // lists are complete ones, told as cached, for every pool; pools that are no more get an empty one.
+  // Another Spec takes over. Pools that it names again keep their numbers, and new ones get free
+  // numbers: none is used for two names in a node's life. Empty: there are no numbers left
+  // (kMostPools in all), nothing is changed. The lists are complete ones, told as cached, for every
+  // pool; pools that are no more get an empty one.
   std::optional<Lists> replace(Spec spec, double now_ms);
   bool fits(const Spec& spec) const;  // there are numbers left for it
 
-  // Names that the platform has added, at the end of each list, or given to a class number that nobody uses. To be
-  // followed by `replace`.
+  // Names that the platform has added, at the end of each list, or given to a class number that
+  // nobody uses. To be followed by `replace`.
   void rename(NameLists names, std::vector<reedlb::ClassSettings> classes) {
     names_ = std::move(names);
     classes_ = std::move(classes);
   }
 
-  // Splits what discovery tells. `host` names a worker; empty where it is not known (it then keeps its pool).
-  Lists split(const reedlb::WorkerList& list, const std::function<std::string_view(reedlb::WorkerId)>& host, double now_ms);
-  // A cold endpoint that changes pools joins the new one after rest_ms: the new Dispatcher does not know what the old
-  // one sent to it, and a cold box must not get both shares. To be called when `next_due` has come.
+  // Splits what discovery tells. `host` names a worker; empty where it is not known (it then keeps
+  // its pool).
+  Lists split(const reedlb::WorkerList& list,
+              const std::function<std::string_view(reedlb::WorkerId)>& host, double now_ms);
+  // A cold endpoint that changes pools joins the new one after rest_ms: the new Dispatcher does not
+  // know what the old one sent to it, and a cold box must not get both shares. To be called when
+  // `next_due` has come.
   Lists due(double now_ms);
   std::optional<double> next_due() const;
 
@@ -86,7 +93,9 @@
 
   int pool(std::string_view name) const;   // -1: none of that name
   int route(std::string_view name) const;  // -1
-  const std::string& pool_name(int pool) const { return pool_names_.at(static_cast<std::size_t>(pool)); }
+  const std::string& pool_name(int pool) const {
+    return pool_names_.at(static_cast<std::size_t>(pool));
+  }
   int numbers() const { return static_cast<int>(pool_names_.size()); }  // pools, gone ones included
   bool live(int pool) const;
   const Spec& spec() const { return spec_; }
@@ -96,7 +105,8 @@
   int unassigned() const { return unassigned_; }  // endpoints that no pool names
 
  private:
-  std::vector<std::string> numbered(const Spec& spec) const;  // the names of pools, with those that it adds
+  std::vector<std::string> numbered(
+      const Spec& spec) const;  // the names of pools, with those that it adds
   struct Segment {
     int pool;
     double weight, end;  // the part of [0, 1) below `end` and above the one before
@@ -131,13 +141,15 @@
   std::vector<std::string> pool_names_;
   std::vector<int> pool_numbers_;  // of spec_.pools
   std::vector<Route> routes_;
-  std::map<reedlb::WorkerId, Endpoint> endpoints_;  // in order, so that the same events give the same lists
+  std::map<reedlb::WorkerId, Endpoint>
+      endpoints_;               // in order, so that the same events give the same lists
   std::vector<Health> health_;  // by pool; counted at changes, and when an endpoint has warmed up
   double warms_ = 0;            // the next such moment
   int unassigned_ = 0;
 };
 
-// The point in [0, 1) of what a request is about, and the key by which further tries of it are known.
+// The point in [0, 1) of what a request is about, and the key by which further tries of it are
+// known.
 double point_of(const Query& query, std::uint64_t seed);
 std::uint64_t key_of(const Query& query);
 
--- a/node/admin/admin_front.h
+++ b/node/admin/admin_front.h
@@ -1,4 +1,5 @@
-// What an operator asks a running node, over a Unix socket: HTTP/1.1 and JSON, read by the node's own parser.
+// What an operator asks a running node, over a Unix socket: HTTP/1.1 and JSON, read by the node's
+// own parser.
 //
 //   GET  /status              name, pools, routes, moves, counters
 //   GET  /moves               the moves alone
