--- a/node/admin/line_server.cpp
+++ b/node/admin/line_server.cpp
@@ -13,13 +13,16 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration kPatience = 1500ms;  // for a whole call, and then for the caller to read its answer
-constexpr Duration kFresh = 30ms;       // a caller that has just come is not ended for another: its call is on the way
+constexpr Duration kPatience =
+    1500ms;  // for a whole call, and then for the caller to read its answer
+constexpr Duration kFresh =
+    30ms;  // a caller that has just come is not ended for another: its call is on the way
 constexpr Duration kRetry = 10ms;
 constexpr std::size_t kMostLine = 512;
 
 void must(bool ok, const char* what) {
-  if (!ok) throw std::system_error(errno, std::generic_category(), what);
+  if (!ok)
+    throw std::system_error(errno, std::generic_category(), what);
 }
 
 }  // namespace
@@ -27,7 +30,11 @@
 class LineServer::Caller final : net::Connection::Events {
  public:
   Caller(LineServer& server, std::uint64_t number)
-      : server_(server), loop_(server.loop_), number_(number), connection_(loop_, *this), since_(loop_.now()) {
+      : server_(server),
+        loop_(server.loop_),
+        number_(number),
+        connection_(loop_, *this),
+        since_(loop_.now()) {
     guard();
   }
   ~Caller() override { loop_.cancel(timer_); }
@@ -38,13 +45,17 @@
 
  private:
   void on_data(std::string_view bytes) override {
-    if (answered_) return;
+    if (answered_)
+      return;
     line_ += bytes;
     auto end = line_.find('\n');
-    if (end == std::string::npos && line_.size() <= kMostLine) return;
-    if (end == std::string::npos || end > kMostLine) return answer("error the line is too long\n");
+    if (end == std::string::npos && line_.size() <= kMostLine)
+      return;
+    if (end == std::string::npos || end > kMostLine)
+      return answer("error the line is too long\n");
     line_.resize(end);
-    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+    if (!line_.empty() && line_.back() == '\r')
+      line_.pop_back();
     answer(server_.answer_(line_));
   }
   void on_closed(int) override { server_.remove(*this); }
@@ -74,14 +85,17 @@
   bool answered_ = false;
 };
 
-LineServer::LineServer(net::EventLoop& loop, Answer answer, std::size_t most_callers, Counters& counters)
+LineServer::LineServer(net::EventLoop& loop, Answer answer, std::size_t most_callers,
+                       Counters& counters)
     : loop_(loop), answer_(std::move(answer)), most_(most_callers), counters_(counters) {}
 
 LineServer::~LineServer() {
   loop_.cancel(retry_);
   callers_.clear();
-  if (spare_ >= 0) ::close(spare_);
-  if (fd_ < 0) return;
+  if (spare_ >= 0)
+    ::close(spare_);
+  if (fd_ < 0)
+    return;
   loop_.forget(registration_);
   ::close(fd_);
 }
@@ -107,22 +121,28 @@
 
 void LineServer::accept() {
   for (;;) {
-    if (callers_.size() >= most_ && !make_room()) return retry();
+    if (callers_.size() >= most_ && !make_room())
+      return retry();
     int fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && (errno == EMFILE || errno == ENFILE) && spare_ >= 0) {
       ::close(std::exchange(spare_, -1));
       continue;
     }
-    if (fd < 0 && (errno == EINTR || errno == ECONNABORTED)) continue;
-    if (fd < 0 && errno == EAGAIN) return;
-    if (fd < 0) return make_room(), retry();
+    if (fd < 0 && (errno == EINTR || errno == ECONNABORTED))
+      continue;
+    if (fd < 0 && errno == EAGAIN)
+      return;
+    if (fd < 0)
+      return make_room(), retry();
     auto caller = std::make_unique<Caller>(*this, ++next_);
-    if (caller->adopt(fd)) callers_.emplace(next_, std::move(caller));
+    if (caller->adopt(fd))
+      callers_.emplace(next_, std::move(caller));
   }
 }
 
 bool LineServer::make_room() {
-  if (callers_.empty() || loop_.now() - callers_.begin()->second->since() < kFresh) return false;
+  if (callers_.empty() || loop_.now() - callers_.begin()->second->since() < kFresh)
+    return false;
   ++counters_.operator_callers_ended;
   remove(*callers_.begin()->second);
   return true;
@@ -130,14 +150,17 @@
 
 void LineServer::remove(Caller& caller) {
   auto it = callers_.find(caller.number());
-  if (it == callers_.end()) return;
+  if (it == callers_.end())
+    return;
   loop_.dispose(std::move(it->second));  // it may be calling us
   callers_.erase(it);
   // When its descriptor is free, which is after this turn.
-  if (spare_ < 0) loop_.cancel(retry_), retry_ = loop_.at(loop_.now() + kRetry, [this] {
-    if (spare_ < 0) spare_ = ::dup(fd_);
-    accept();
-  });
+  if (spare_ < 0)
+    loop_.cancel(retry_), retry_ = loop_.at(loop_.now() + kRetry, [this] {
+      if (spare_ < 0)
+        spare_ = ::dup(fd_);
+      accept();
+    });
 }
 
 // The edge is used up: without this timer nobody would call accept again.
--- a/node/admin/operator_calls.h
+++ b/node/admin/operator_calls.h
@@ -1,9 +1,9 @@
 // What operators may ask on their own address, one line a call. The words are the platform's.
 //
 //   READY          "done" once the process serves; else "error" and why not
-//   STATS          the figures, a line each (node.NAME:VALUE|c for counts, |g for what holds now), then "end"
-//   DISABLE ID     executor ID gets no new work until it is called back, whatever discovery says of it
-//   ENABLE ID      the call back
+//   STATS          the figures, a line each (node.NAME:VALUE|c for counts, |g for what holds now),
+//   then "end" DISABLE ID     executor ID gets no new work until it is called back, whatever
+//   discovery says of it ENABLE ID      the call back
 #pragma once
 
 #include <functional>
@@ -21,11 +21,12 @@
 class OperatorCalls {
  public:
   struct Deeds {
-    std::function<std::string()> not_ready;                                    // why; empty: it is ready
+    std::function<std::string()> not_ready;  // why; empty: it is ready
     std::function<Gauges()> gauges;
-    std::function<std::string(const std::string& host, bool out)> by_hand;     // why not; empty: done
+    std::function<std::string(const std::string& host, bool out)> by_hand;  // why not; empty: done
   };
-  OperatorCalls(Deeds deeds, const Counters& counters) : deeds_(std::move(deeds)), counters_(counters) {}
+  OperatorCalls(Deeds deeds, const Counters& counters)
+      : deeds_(std::move(deeds)), counters_(counters) {}
 
   std::string answer(std::string_view line) const;
 
--- a/node/config/config.h
+++ b/node/config/config.h
@@ -21,7 +21,7 @@
   std::string name;
   net::Address listen, discovery;
   std::optional<net::Address> admin;  // for operators alone
-  int listen_fd = -1;                 // a listening socket that the platform holds and lends, in place of `listen`
+  int listen_fd = -1;  // a listening socket that the platform holds and lends, in place of `listen`
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
   reedlb::Settings settings;
@@ -31,7 +31,8 @@
   Duration longest_deadline = Duration::max();  // of all classes; unlimited where one names none
   std::size_t most_held = 20000;
   HostList known;
-  // Where the platform lets nodes send one another messages: the own address and everybody's, by rank.
+  // Where the platform lets nodes send one another messages: the own address and everybody's, by
+  // rank.
   std::optional<net::Address> peer_listen;
   std::vector<net::Address> peers;
   std::string as_read;  // JSON: what the file must not lack when it is read again
@@ -45,7 +46,8 @@
 // What the environment says beside the file: EDGE_ADMIN, EDGE_LISTEN_FD. Throws ConfigError.
 void read_environment(Config& config);
 
-// The nested settings in the path=value form of the simulator's first message, which the adapter's decoder reads.
+// The nested settings in the path=value form of the simulator's first message, which the adapter's
+// decoder reads.
 std::string flatten_settings(const std::string& json);
 
 }  // namespace keelflow
--- a/node/config/form.h
+++ b/node/config/form.h
@@ -1,5 +1,5 @@
-// Takes the settings out of one S-expression, by key, and reports what is unknown, wrong or out of range, each with
-// its place. Nothing is thrown: all faults of a file are told in one go.
+// Takes the settings out of one S-expression, by key, and reports what is unknown, wrong or out of
+// range, each with its place. Nothing is thrown: all faults of a file are told in one go.
 #pragma once
 
 #include <limits>
@@ -12,14 +12,16 @@
 
 class Form {
  public:
-  // `list` is (KEY POSITIONAL... (key value...)...); its first `positional` items after the head are not keys.
+  // `list` is (KEY POSITIONAL... (key value...)...); its first `positional` items after the head
+  // are not keys.
   Form(const Node& list, std::size_t positional, const std::string& file, Faults& faults);
 
   void text(const char* key, std::string& into);
   void words(const char* key, std::vector<std::string>& into);  // one or more
   void number(const char* key, double& into, double least, double most, const char* what);
   // One or more, in place of what `into` had.
-  void numbers(const char* key, std::vector<double>& into, double least, double most, const char* what, bool whole = false);
+  void numbers(const char* key, std::vector<double>& into, double least, double most,
+               const char* what, bool whole = false);
   void span(const char* key, Duration& into, Duration least, Duration most);  // 250ms, 30s, 5m, 2h
   void flag(const char* key, bool& into);                                     // yes, no
   void choice(const char* key, std::string& into, const std::vector<std::string>& of);
--- a/node/config/own_config.h
+++ b/node/config/own_config.h
@@ -1,5 +1,5 @@
-// keelflow's own settings: deploy/keelflow.sexp. All of it may be absent; the node then is the platform's node and
-// nothing more. docs/operators/configuration.md lists every setting.
+// keelflow's own settings: deploy/keelflow.sexp. All of it may be absent; the node then is the
+// platform's node and nothing more. docs/operators/configuration.md lists every setting.
 #pragma once
 
 #include <optional>
@@ -39,8 +39,8 @@
 // What stands in the text. With any fault the result is not to be used.
 Own decode_own(std::string_view text, const std::string& file, Faults& faults);
 
-// Throws ConfigError with all faults, a line each. A file that is not there is an empty one if `optional`. A
-// progress.toml of former days beside it is a fault too.
+// Throws ConfigError with all faults, a line each. A file that is not there is an empty one if
+// `optional`. A progress.toml of former days beside it is a fault too.
 Own read_own(const std::string& file, bool optional);
 
 }  // namespace keelflow::config
--- a/node/config/retune.cpp
+++ b/node/config/retune.cpp
@@ -9,26 +9,34 @@
 using nlohmann::json;
 using reedlb::ClassSettings;
 
-std::size_t at(int i) { return static_cast<std::size_t>(i); }
+std::size_t at(int i) {
+  return static_cast<std::size_t>(i);
+}
 
-// A file that was cut off or is half written may still be good JSON: what the former one had must be there. Classes and
-// tenants may come and go, so of lists of objects each member must have what all members had.
+// A file that was cut off or is half written may still be good JSON: what the former one had must
+// be there. Classes and tenants may come and go, so of lists of objects each member must have what
+// all members had.
 void must_have(const json& before, const json& now, const std::string& path) {
   if (before.is_object()) {
-    if (!now.is_object()) throw ConfigError("config: '" + path + "' is not what it was, an object");
+    if (!now.is_object())
+      throw ConfigError("config: '" + path + "' is not what it was, an object");
     for (const auto& [key, value] : before.items()) {
       std::string below = path.empty() ? key : path + "." + key;
-      if (!now.contains(key) || now.at(key).is_null()) throw ConfigError("config: '" + below + "' is missing");
+      if (!now.contains(key) || now.at(key).is_null())
+        throw ConfigError("config: '" + below + "' is missing");
       must_have(value, now.at(key), below);
     }
   } else if (before.is_array() && !before.empty() && before.front().is_object()) {
-    if (!now.is_array()) throw ConfigError("config: '" + path + "' is not what it was, a list");
+    if (!now.is_array())
+      throw ConfigError("config: '" + path + "' is not what it was, a list");
     json common = before.front();
     for (auto key = common.begin(); key != common.end();) {
-      bool everywhere = std::all_of(before.begin(), before.end(), [&](const json& item) { return item.contains(key.key()); });
+      bool everywhere = std::all_of(before.begin(), before.end(),
+                                    [&](const json& item) { return item.contains(key.key()); });
       key = everywhere ? std::next(key) : common.erase(key);
     }
-    for (std::size_t i = 0; i < now.size(); ++i) must_have(common, now[i], path + "." + std::to_string(i));
+    for (std::size_t i = 0; i < now.size(); ++i)
+      must_have(common, now[i], path + "." + std::to_string(i));
   } else if (before.is_number() && !now.is_number()) {
     throw ConfigError("config: '" + path + "' is no number: " + now.dump());
   }
@@ -39,7 +47,8 @@
   std::vector<int> places;
   for (const std::string& name : fresh) {
     int place = Names::place(names, name);
-    if (place < 0) names.push_back(name), place = static_cast<int>(names.size()) - 1;
+    if (place < 0)
+      names.push_back(name), place = static_cast<int>(names.size()) - 1;
     places.push_back(place);
   }
   return places;
@@ -47,7 +56,8 @@
 
 class Joining {
  public:
-  Joining(const Config& now, Config fresh) : now_(now), fresh_(std::move(fresh)), out_{fresh_, {}} {}
+  Joining(const Config& now, Config fresh)
+      : now_(now), fresh_(std::move(fresh)), out_{fresh_, {}} {}
 
   Retuned join_all(const std::function<bool(int)>& in_use) {
     Config& c = out_.config;
@@ -71,11 +81,13 @@
     Config& c = out_.config;
     auto zones = join(c.names.zones, fresh_.names.zones);
     auto kinds = join(c.names.kinds, fresh_.names.kinds);
-    if (c.settings.zone >= 0 && at(c.settings.zone) < zones.size()) c.settings.zone = zones[at(c.settings.zone)];
+    if (c.settings.zone >= 0 && at(c.settings.zone) < zones.size())
+      c.settings.zone = zones[at(c.settings.zone)];
     c.settings.zones = static_cast<int>(c.names.zones.size());
     c.settings.kinds = static_cast<int>(c.names.kinds.size());
     for (ClassSettings& cls : fresh_.settings.classes)
-      if (cls.kind >= 0 && at(cls.kind) < kinds.size()) cls.kind = kinds[at(cls.kind)];
+      if (cls.kind >= 0 && at(cls.kind) < kinds.size())
+        cls.kind = kinds[at(cls.kind)];
   }
 
   void tenants() {
@@ -91,13 +103,17 @@
     auto& settings = out_.config.settings.classes = now_.settings.classes;
     names.former.assign(settings.size(), true);
     out_.from.resize(settings.size());
-    for (std::size_t i = 0; i < settings.size(); ++i) out_.from[i] = static_cast<int>(i);
+    for (std::size_t i = 0; i < settings.size(); ++i)
+      out_.from[i] = static_cast<int>(i);
     for (std::size_t i = 0; i < fresh_.names.classes.size(); ++i) {
       const std::string& name = fresh_.names.classes[i];
-      if (names.class_of(name) >= 0) throw ConfigError("config: class '" + name + "' is there twice");
+      if (names.class_of(name) >= 0)
+        throw ConfigError("config: class '" + name + "' is there twice");
       int old = now_.names.class_of(name);
-      if (old < 0) old = Names::place(now_.names.classes, name);  // it was here before
-      bool same = old >= 0 && names.former[at(old)] && now_.settings.classes[at(old)] == fresh_.settings.classes[i];
+      if (old < 0)
+        old = Names::place(now_.names.classes, name);  // it was here before
+      bool same = old >= 0 && names.former[at(old)] &&
+                  now_.settings.classes[at(old)] == fresh_.settings.classes[i];
       int place = same ? old : free_place(in_use);
       settings[at(place)] = fresh_.settings.classes[i];
       names.classes[at(place)] = name;
@@ -111,7 +127,8 @@
     auto& settings = out_.config.settings.classes;
     for (int i = 0; at(i) < now_.names.classes.size(); ++i) {
       bool was_former = at(i) < now_.names.former.size() && now_.names.former[at(i)];
-      if (was_former && names.former[at(i)] && !in_use(i)) return i;
+      if (was_former && names.former[at(i)] && !in_use(i))
+        return i;
     }
     names.classes.emplace_back();
     names.former.push_back(true);
--- a/node/config/sexp.cpp
+++ b/node/config/sexp.cpp
@@ -31,8 +31,10 @@
 
   char take() {
     char c = text_[at_++];
-    if (c == '\n') ++place_.line, place_.column = 1;
-    else ++place_.column;
+    if (c == '\n')
+      ++place_.line, place_.column = 1;
+    else
+      ++place_.column;
     return c;
   }
 
@@ -41,7 +43,8 @@
     while (!ended()) {
       char c = peek();
       if (c == ';') {
-        while (!ended() && peek() != '\n') take();
+        while (!ended() && peek() != '\n')
+          take();
       } else if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
         take();
       } else {
@@ -54,9 +57,12 @@
   Node one(int depth) {
     Node node;
     node.place = place_;
-    if (peek() == '(') return list(std::move(node), depth);
-    if (peek() == '"') return string(std::move(node));
-    while (!ended() && std::string_view(" \t\r\n();\"").find(peek()) == std::string_view::npos) node.atom += take();
+    if (peek() == '(')
+      return list(std::move(node), depth);
+    if (peek() == '"')
+      return string(std::move(node));
+    while (!ended() && std::string_view(" \t\r\n();\"").find(peek()) == std::string_view::npos)
+      node.atom += take();
     return node;
   }
 
@@ -75,7 +81,8 @@
       }
       node.items.push_back(one(depth + 1));
     }
-    if (!cut_) fault(node.place, "a '(' that is never closed", "a ')'");
+    if (!cut_)
+      fault(node.place, "a '(' that is never closed", "a ')'");
     cut_ = true;  // said once, for the innermost
     return node;
   }
@@ -85,7 +92,8 @@
     take();
     while (!ended()) {
       char c = take();
-      if (c == '"') return node;
+      if (c == '"')
+        return node;
       if (c == '\\' && !ended()) {
         char escaped = take();
         c = escaped == 'n' ? '\n' : escaped == 't' ? '\t' : escaped;
@@ -112,18 +120,20 @@
 }  // namespace
 
 std::string_view Node::head() const {
-  return is_list && !items.empty() && !items.front().is_list ? std::string_view(items.front().atom) : std::string_view();
+  return is_list && !items.empty() && !items.front().is_list ? std::string_view(items.front().atom)
+                                                             : std::string_view();
 }
 
 std::string Node::shown() const {
-  if (is_list) return items.empty() ? "()" : "(" + items.front().shown() + (items.size() > 1 ? " ...)" : ")");
+  if (is_list)
+    return items.empty() ? "()" : "(" + items.front().shown() + (items.size() > 1 ? " ...)" : ")");
   std::string text = atom.size() > kMostShown ? atom.substr(0, kMostShown) + "..." : atom;
   return quoted ? '"' + text + '"' : "'" + text + "'";
 }
 
 std::string Fault::text() const {
-  return file + ":" + std::to_string(place.line) + ":" + std::to_string(place.column) + ": found " + found + ", wanted " +
-         wanted;
+  return file + ":" + std::to_string(place.line) + ":" + std::to_string(place.column) + ": found " +
+         found + ", wanted " + wanted;
 }
 
 std::vector<Node> read_sexps(std::string_view text, const std::string& file, Faults& faults) {
--- a/node/config/sexp.h
+++ b/node/config/sexp.h
@@ -1,9 +1,11 @@
-// S-expressions with positions: the form of our settings. sfsexp, the registry's reader, keeps no positions in what
-// it returns (docs/design/configuration.md), and an error without a line is of little use to an operator.
+// S-expressions with positions: the form of our settings. sfsexp, the registry's reader, keeps no
+// positions in what it returns (docs/design/configuration.md), and an error without a line is of
+// little use to an operator.
 //
 //   (pool old (site "east" "west"))    ; a comment lasts until the end of its line
 //
-// An atom is a word or a "string" (escapes \" \\ \n \t). Sizes: a text of at most 1 MiB, lists 32 deep at most.
+// An atom is a word or a "string" (escapes \" \\ \n \t). Sizes: a text of at most 1 MiB, lists 32
+// deep at most.
 #pragma once
 
 #include <string>
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -31,38 +31,52 @@
 
 }  // namespace
 
-Engine::Engine(const reedlb::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
-               const UnixClock& clock, Counters& counters)
-    : settings_(settings), seed_(seed), limits_(limits), timers_(timers), clock_(clock), counters_(counters) {
+Engine::Engine(const reedlb::Settings& settings, std::uint64_t seed, Limits limits,
+               TimerPort& timers, const UnixClock& clock, Counters& counters)
+    : settings_(settings),
+      seed_(seed),
+      limits_(limits),
+      timers_(timers),
+      clock_(clock),
+      counters_(counters) {
   lanes(1);
   name_classes(std::vector<std::string>(settings.classes.size()));
 }
 
 void Engine::lanes(int count) {
-  while (lanes_.size() < static_cast<std::size_t>(count)) {  // the first one draws what a node without pools draws
-    lanes_.push_back(std::make_unique<Lane>(settings_, seed_ + lanes_.size() * 0x9e3779b97f4a7c15ull, shares_,
+  while (lanes_.size() <
+         static_cast<std::size_t>(count)) {  // the first one draws what a node without pools draws
+    lanes_.push_back(std::make_unique<Lane>(settings_,
+                                            seed_ + lanes_.size() * 0x9e3779b97f4a7c15ull, shares_,
                                             clock_.unix_ms(timers_.now())));
     lanes_.back()->turns.grants(grants_);
-    if (!sends_allowed_) post(static_cast<int>(lanes_.size()) - 1, reedlb::SendPermission{false});
-    if (!lives_.empty()) post(static_cast<int>(lanes_.size()) - 1, reedlb::Members{lives_});
+    if (!sends_allowed_)
+      post(static_cast<int>(lanes_.size()) - 1, reedlb::SendPermission{false});
+    if (!lives_.empty())
+      post(static_cast<int>(lanes_.size()) - 1, reedlb::Members{lives_});
   }
 }
 
 void Engine::name_classes(const std::vector<std::string>& names) {
   figures_.clear();
-  for (const std::string& name : names) figures_.push_back(&counters_.classes[name]);
+  for (const std::string& name : names)
+    figures_.push_back(&counters_.classes[name]);
 }
 
 void Engine::retune(const reedlb::Settings& settings, std::vector<int> from, Limits limits) {
   limits_ = limits;
-  if (settings == settings_) return;
+  if (settings == settings_)
+    return;
   settings_ = settings;
-  for (std::size_t i = 0; i < lanes_.size(); ++i) post(static_cast<int>(i), reedlb::Retune{settings, from});
+  for (std::size_t i = 0; i < lanes_.size(); ++i)
+    post(static_cast<int>(i), reedlb::Retune{settings, from});
 }
 
 void Engine::allow_sends(bool allowed) {
-  if (std::exchange(sends_allowed_, allowed) == allowed) return;
-  for (std::size_t i = 0; i < lanes_.size(); ++i) post(static_cast<int>(i), reedlb::SendPermission{allowed});
+  if (std::exchange(sends_allowed_, allowed) == allowed)
+    return;
+  for (std::size_t i = 0; i < lanes_.size(); ++i)
+    post(static_cast<int>(i), reedlb::SendPermission{allowed});
 }
 
 bool Engine::client_waits(RequestId id) const {
@@ -72,43 +86,54 @@
 
 void Engine::twin(std::function<void(const std::string&)> tell) {
   twin_ = std::move(tell);
-  for (std::size_t i = 0; i < lanes_.size(); ++i) post(static_cast<int>(i), reedlb::Twin{twin_ != nullptr});
+  for (std::size_t i = 0; i < lanes_.size(); ++i)
+    post(static_cast<int>(i), reedlb::Twin{twin_ != nullptr});
 }
 
 std::vector<reedlb::Knowledge> Engine::knowledge() const {
   std::vector<reedlb::Knowledge> all;
-  for (const auto& lane : lanes_) all.push_back(lane->dispatcher.knowledge(clock_.unix_ms(timers_.now())));
+  for (const auto& lane : lanes_)
+    all.push_back(lane->dispatcher.knowledge(clock_.unix_ms(timers_.now())));
   return all;
 }
 
 void Engine::learn(const std::vector<reedlb::Knowledge>& knowledge) {
-  for (std::size_t i = 0; i < std::min(lanes_.size(), knowledge.size()); ++i) post(static_cast<int>(i), knowledge[i]);
+  for (std::size_t i = 0; i < std::min(lanes_.size(), knowledge.size()); ++i)
+    post(static_cast<int>(i), knowledge[i]);
 }
 
 bool Engine::class_in_use(int cls) const {
-  return std::any_of(requests_.begin(), requests_.end(), [&](const auto& r) { return r.second.job.cls == cls; });
+  return std::any_of(requests_.begin(), requests_.end(),
+                     [&](const auto& r) { return r.second.job.cls == cls; });
 }
 
 bool Engine::avoids(WorkerId worker) const {
   double now = clock_.unix_ms(timers_.now());
-  return std::any_of(lanes_.begin(), lanes_.end(), [&](const auto& lane) { return lane->dispatcher.avoids(worker, now); });
+  return std::any_of(lanes_.begin(), lanes_.end(),
+                     [&](const auto& lane) { return lane->dispatcher.avoids(worker, now); });
 }
 
-// Events are played one after another, each at its own time. An action may cause the next event before it
-// returns (a connection refused at once); that event waits here until the present one is dealt with.
+// Events are played one after another, each at its own time. An action may cause the next event
+// before it returns (a connection refused at once); that event waits here until the present one is
+// dealt with.
 void Engine::post(int pool, reedlb::Event event) {
   inbox_.emplace_back(pool, std::move(event));
-  if (std::exchange(pumping_, true)) return;
+  if (std::exchange(pumping_, true))
+    return;
   reedlb::Actions actions;
   while (!inbox_.empty()) {
     auto [lane, next] = std::move(inbox_.front());
     inbox_.pop_front();
     actions.clear();
-    lanes_.at(static_cast<std::size_t>(lane))->dispatcher.handle(clock_.unix_ms(timers_.now()), next, actions);
-    for (const reedlb::Action& action : actions) carry_out(lane, action);
+    lanes_.at(static_cast<std::size_t>(lane))
+        ->dispatcher.handle(clock_.unix_ms(timers_.now()), next, actions);
+    for (const reedlb::Action& action : actions)
+      carry_out(lane, action);
     after(lane, next);
-    if (const auto* outcome = std::get_if<reedlb::Outcome>(&next)) forget_if_over(outcome->request);
-    if (const auto* gone = std::get_if<reedlb::ClientGone>(&next)) forget_if_over(gone->request);
+    if (const auto* outcome = std::get_if<reedlb::Outcome>(&next))
+      forget_if_over(outcome->request);
+    if (const auto* gone = std::get_if<reedlb::ClientGone>(&next))
+      forget_if_over(gone->request);
   }
   pumping_ = false;
 }
@@ -118,23 +143,31 @@
   Lane& of = *lanes_.at(static_cast<std::size_t>(lane));
   std::vector<reedlb::Event> told;
   reedlb::Actions words;
-  if (auto homes = of.homes.after(event)) told.emplace_back(std::move(*homes));
+  if (auto homes = of.homes.after(event))
+    told.emplace_back(std::move(*homes));
   of.turns.after(clock_.unix_ms(timers_.now()), event, of.dispatcher, told, words);
-  for (const reedlb::Action& word : words) carry_out(lane, word);
-  for (auto it = told.rbegin(); it != told.rend(); ++it) inbox_.emplace_front(lane, std::move(*it));
+  for (const reedlb::Action& word : words)
+    carry_out(lane, word);
+  for (auto it = told.rbegin(); it != told.rend(); ++it)
+    inbox_.emplace_front(lane, std::move(*it));
 }
 
 void Engine::carry_out(int pool, const reedlb::Action& action) {
-  if (const auto* a = std::get_if<reedlb::Send>(&action)) return send(*a);
-  if (const auto* a = std::get_if<reedlb::Recall>(&action)) return recall({a->request, a->attempt}, false);
+  if (const auto* a = std::get_if<reedlb::Send>(&action))
+    return send(*a);
+  if (const auto* a = std::get_if<reedlb::Recall>(&action))
+    return recall({a->request, a->attempt}, false);
   if (const auto* a = std::get_if<reedlb::Probe>(&action)) {
     ++counters_.probes_sent;
     return endpoints_->probe(a->worker);
   }
-  if (const auto* a = std::get_if<reedlb::Tell>(&action); a && a->peer == settings_.rank) return twin_ ? twin_(a->bytes) : void();
-  if (const auto* a = std::get_if<reedlb::Tell>(&action)) return peers_ ? peers_->tell(a->peer, a->bytes) : void();
+  if (const auto* a = std::get_if<reedlb::Tell>(&action); a && a->peer == settings_.rank)
+    return twin_ ? twin_(a->bytes) : void();
+  if (const auto* a = std::get_if<reedlb::Tell>(&action))
+    return peers_ ? peers_->tell(a->peer, a->bytes) : void();
   if (const auto* a = std::get_if<reedlb::Refuse>(&action)) {
-    FinalAnswer answer{.kind = FinalAnswer::Kind::refused, .retry_after = from_ms(a->retry_after_ms)};
+    FinalAnswer answer{.kind = FinalAnswer::Kind::refused,
+                       .retry_after = from_ms(a->retry_after_ms)};
     return finish(a->request, std::move(answer));
   }
   if (const auto* a = std::get_if<reedlb::Fail>(&action)) {
@@ -144,12 +177,14 @@
     return finish(a->request, {.kind = FinalAnswer::Kind::failed, .timed_out = late});
   }
   if (const auto* a = std::get_if<reedlb::SetTimer>(&action))
-    timers_.at(std::max(clock_.at(a->when), lanes_[static_cast<std::size_t>(pool)]->last_bell + limits_.tick),
+    timers_.at(std::max(clock_.at(a->when),
+                        lanes_[static_cast<std::size_t>(pool)]->last_bell + limits_.tick),
                [this, pool, name = a->name] { ring(pool, name); });
 }
 
-// Timers ring no more often than once a tick, but on time where none has rung just before. Rounding them up to a
-// grid of ticks used up the tick that the module leaves for an answer to travel before its client gives up.
+// Timers ring no more often than once a tick, but on time where none has rung just before. Rounding
+// them up to a grid of ticks used up the tick that the module leaves for an answer to travel before
+// its client gives up.
 void Engine::ring(int pool, std::uint64_t name) {
   Lane& lane = *lanes_[static_cast<std::size_t>(pool)];
   TimePoint now = timers_.now(), allowed = lane.last_bell + limits_.tick;
@@ -162,9 +197,11 @@
 }
 
 std::optional<RequestId> Engine::take(Job job, Asker& asker) {
-  if (by_name_.contains(job.id)) return std::nullopt;
+  if (by_name_.contains(job.id))
+    return std::nullopt;
   RequestId id = next_id_++;
-  auto phase = last_answer_ <= timers_.now() ? operation_guard::Phase::ended : operation_guard::Phase::serving;
+  auto phase = last_answer_ <= timers_.now() ? operation_guard::Phase::ended
+                                             : operation_guard::Phase::serving;
   auto verdict = operation_guard::may_start({.phase = phase, .client_waits = true});
   if (!verdict.allowed()) {  // nobody would be there to answer it any more
     refusals_.count(operation_guard::Operation::start, verdict.reason());
@@ -173,7 +210,8 @@
     asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
     return id;
   }
-  if (by_name_.size() >= limits_.most_held) {  // the platform's own cap; the module never sees these
+  if (by_name_.size() >=
+      limits_.most_held) {  // the platform's own cap; the module never sees these
     ++counters_.answers_refused;
     ++figures_.at(static_cast<std::size_t>(job.cls))->rejected;
     asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
@@ -182,8 +220,10 @@
   ++counters_.requests_taken;
   ++pending_;
   TimePoint now = timers_.now();
-  if (monitor_) monitor_->request_read(job.id, job.patience, now);
-  if (job.patience > last_answer_ - now) job.patience = std::max(Duration::zero(), last_answer_ - now);
+  if (monitor_)
+    monitor_->request_read(job.id, job.patience, now);
+  if (job.patience > last_answer_ - now)
+    job.patience = std::max(Duration::zero(), last_answer_ - now);
   job.once = settings_.classes.at(static_cast<std::size_t>(job.cls)).effect != reedlb::Effect::safe;
   by_name_.emplace(job.id, id);
   Request& request = requests_[id];
@@ -193,22 +233,28 @@
   request.job = std::move(job);
   request.screening = screen_ != nullptr;
   std::optional<ScreenPort::Said> said;
-  if (!screen_) admit(id, request);
-  else if ((said = screen_->screen(id, request.job, request.deadline))) screened(id, *said);
+  if (!screen_)
+    admit(id, request);
+  else if ((said = screen_->screen(id, request.job, request.deadline)))
+    screened(id, *said);
   return id;
 }
 
 void Engine::screened(RequestId id, const ScreenPort::Said& said) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.screening) return;
+  if (it == requests_.end() || !it->second.screening)
+    return;
   Request& request = it->second;
   if (said.refuse) {
     Duration most = from_ms(settings_.max_retry_after_ms);
-    return finish(id, {.kind = FinalAnswer::Kind::refused, .retry_after = settings_.retry_after ? std::min(said.come_back, most) : Duration::zero()});
+    return finish(id, {.kind = FinalAnswer::Kind::refused,
+                       .retry_after = settings_.retry_after ? std::min(said.come_back, most)
+                                                            : Duration::zero()});
   }
   request.screening = false;
   request.weigh = said.weigh;
-  if (!said.label.empty()) request.asker->on_label(said.label);
+  if (!said.label.empty())
+    request.asker->on_label(said.label);
   admit(id, request);
 }
 
@@ -234,18 +280,22 @@
   return arrival;
 }
 
-// To the Dispatcher that held it, a request that leaves is one whose client has gone: nothing was sent, so nothing
-// has to be called off. Its deadline stays what it was, and it counts once against its tenant's share.
+// To the Dispatcher that held it, a request that leaves is one whose client has gone: nothing was
+// sent, so nothing has to be called off. Its deadline stays what it was, and it counts once against
+// its tenant's share.
 void Engine::rehome(int pool) {
-  if (!routes_) return;
+  if (!routes_)
+    return;
   std::vector<RequestId> held;
   for (const auto& [id, request] : requests_)
-    if (request.pool == pool && request.attempts.empty() && request.asker && !request.screening) held.push_back(id);
+    if (request.pool == pool && request.attempts.empty() && request.asker && !request.screening)
+      held.push_back(id);
   std::sort(held.begin(), held.end());  // the order in which they came
   for (RequestId id : held) {
     Request& request = requests_.at(id);
     int now_in = routes_->choose(request.job);
-    if (now_in == pool) continue;
+    if (now_in == pool)
+      continue;
     ++counters_.requests_rehomed;
     request.pool = now_in;
     post(pool, reedlb::ClientGone{.request = id, .moved = true});
@@ -254,39 +304,50 @@
 }
 
 void Engine::tell_end(const Request& request, RoutePort::End how) {
-  if (routes_ && !request.screening) routes_->ended(request.job, request.pool, request.admitted, how);
-  if (screen_) screen_->ended(request.job, timers_.now() - request.taken, how);
+  if (routes_ && !request.screening)
+    routes_->ended(request.job, request.pool, request.admitted, how);
+  if (screen_)
+    screen_->ended(request.job, timers_.now() - request.taken, how);
 }
 
 void Engine::client_gone(RequestId id) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.asker) return;
+  if (it == requests_.end() || !it->second.asker)
+    return;
   std::vector<AttemptRef> unsent;
   ++counters_.clients_gone;
   --pending_;
   it->second.asker = nullptr;
   tell_end(it->second, RoutePort::End::gone);
-  if (monitor_) monitor_->client_left(it->second.job.id, timers_.now()), monitor_->request_over(it->second.job.id);
+  if (monitor_)
+    monitor_->client_left(it->second.job.id, timers_.now()),
+        monitor_->request_over(it->second.job.id);
   if (it->second.screening) {
     screen_->forget(id);
     return forget_if_over(id);
   }
-  // Where the settings bar calling attempts off the module leaves them be; one that nothing has been written of is no
-  // attempt yet, and nobody waits for it.
+  // Where the settings bar calling attempts off the module leaves them be; one that nothing has
+  // been written of is no attempt yet, and nobody waits for it.
   for (std::size_t i = 0; !settings_.cancel && i < it->second.attempts.size(); ++i)
-    if (it->second.attempts[i].out) unsent.push_back({id, static_cast<int>(i)});
+    if (it->second.attempts[i].out)
+      unsent.push_back({id, static_cast<int>(i)});
   post(it->second.pool, reedlb::ClientGone{id});
-  for (AttemptRef ref : unsent) endpoints_->give_up_unsent(ref);
+  for (AttemptRef ref : unsent)
+    endpoints_->give_up_unsent(ref);
 }
 
 void Engine::send(const reedlb::Send& send) {
   auto it = requests_.find(send.request);
-  if (it == requests_.end()) return;
+  if (it == requests_.end())
+    return;
   Request& request = it->second;
   AttemptRef ref{send.request, static_cast<int>(request.attempts.size())};
   TimePoint now = timers_.now(), until = request.deadline;
-  if (send.timeout_ms != 0) until = std::min(until, now + from_ms(std::max(0.0, send.timeout_ms)));
-  bool again = std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& a) { return a.worker == send.worker && (a.out || a.may_tell); });
+  if (send.timeout_ms != 0)
+    until = std::min(until, now + from_ms(std::max(0.0, send.timeout_ms)));
+  bool again = std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& a) {
+    return a.worker == send.worker && (a.out || a.may_tell);
+  });
   TimePoint by = write_by(request);
   Attempt attempt{.worker = send.worker, .sent = now};
   attempt.timer = timers_.at(until, [this, ref] { recall(ref, true); });
@@ -296,15 +357,24 @@
   ++attempts_out_;
   if (!verdict.allowed()) {
     refusals_.count(operation_guard::Operation::repeat, verdict.reason());
-    log::warning(log::Subsystem::node, "repeat-forbidden", {{"id", request.job.id}, {"why", operation_guard::to_string(verdict.reason())}});
-    return attempt_ended(ref, {.ending = Ending::cancelled, .reach = Reach::never_written, .withheld = true});
+    log::warning(log::Subsystem::node, "repeat-forbidden",
+                 {{"id", request.job.id}, {"why", operation_guard::to_string(verdict.reason())}});
+    return attempt_ended(
+        ref, {.ending = Ending::cancelled, .reach = Reach::never_written, .withheld = true});
   }
-  endpoints_->start(ref, send.worker, request.job, {.until = until, .write_by = by, .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect, .again = again});
+  endpoints_->start(
+      ref, send.worker, request.job,
+      {.until = until,
+       .write_by = by,
+       .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
+       .again = again});
 }
 
 operation_guard::Verdict Engine::may_repeat(const Request& request, WorkerId worker) const {
-  operation_guard::RepeatFacts facts{.effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
-                                     .parallel_allowed = settings_.parallel_tries, .in_window = timers_.now() <= write_by(request)};
+  operation_guard::RepeatFacts facts{
+      .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
+      .parallel_allowed = settings_.parallel_tries,
+      .in_window = timers_.now() <= write_by(request)};
   for (const Attempt& a : request.attempts) {
     facts.earlier_out = facts.earlier_out || a.out;
     facts.earlier_out_there = facts.earlier_out_there || (a.out && a.worker == worker);
@@ -313,51 +383,59 @@
   return operation_guard::may_repeat(facts);
 }
 
-// The module sends keyed work again only within its window. What it sends near the window's end may find its connection
-// up after it, when those who would know the repeat have forgotten the first.
+// The module sends keyed work again only within its window. What it sends near the window's end may
+// find its connection up after it, when those who would know the repeat have forgotten the first.
 TimePoint Engine::write_by(const Request& request) const {
-  const reedlb::ClassSettings& cls = settings_.classes.at(static_cast<std::size_t>(request.job.cls));
+  const reedlb::ClassSettings& cls =
+      settings_.classes.at(static_cast<std::size_t>(request.job.cls));
   TimePoint by = TimePoint::max();
   for (const Attempt& a : request.attempts)
-    if (cls.effect == reedlb::Effect::keyed && (a.out || a.may_have_run)) by = std::min(by, a.sent + from_ms(cls.window_ms));
+    if (cls.effect == reedlb::Effect::keyed && (a.out || a.may_have_run))
+      by = std::min(by, a.sent + from_ms(cls.window_ms));
   return by;
 }
 
 Engine::Attempt* Engine::out(AttemptRef ref) {
   auto it = requests_.find(ref.request);
-  if (it == requests_.end() || ref.attempt < 0) return nullptr;
+  if (it == requests_.end() || ref.attempt < 0)
+    return nullptr;
   auto& attempts = it->second.attempts;
   auto place = static_cast<std::size_t>(ref.attempt);
   return place < attempts.size() && attempts[place].out ? &attempts[place] : nullptr;
 }
 
-// The attempt's outcome comes only when the outbound side has given it up, so that no other attempt of the
-// request goes out while the endpoint may still hold this one.
+// The attempt's outcome comes only when the outbound side has given it up, so that no other attempt
+// of the request goes out while the endpoint may still hold this one.
 void Engine::recall(AttemptRef ref, bool timed_out) {
   Attempt* attempt = out(ref);
-  if (!attempt) return;
-  if (std::exchange(attempt->giving_up, true)) return;
+  if (!attempt)
+    return;
+  if (std::exchange(attempt->giving_up, true))
+    return;
   attempt->timed_out = timed_out;
   endpoints_->give_up(ref);
 }
 
 void Engine::attempt_started(AttemptRef ref) {
   Attempt* attempt = out(ref);
-  if (!attempt || std::exchange(attempt->started, true)) return;
+  if (!attempt || std::exchange(attempt->started, true))
+    return;
   if (Asker* asker = requests_.at(ref.request).asker)
     asker->on_progress({.kind = Progress::Kind::started, .attempt = ref.attempt});
   post(requests_.at(ref.request).pool, reedlb::Started{ref.request, ref.attempt});
 }
 
 void Engine::attempt_progress(AttemptRef ref, double share) {
-  if (!out(ref)) return;
+  if (!out(ref))
+    return;
   if (Asker* asker = requests_.at(ref.request).asker)
     asker->on_progress({.kind = Progress::Kind::running, .share = share, .attempt = ref.attempt});
 }
 
 void Engine::attempt_ended(AttemptRef ref, AttemptEnd end) {
   Attempt* attempt = out(ref);
-  if (!attempt) return;
+  if (!attempt)
+    return;
   attempt->out = false;
   attempt->may_tell = end.may_tell;
   --attempts_out_;
@@ -369,9 +447,13 @@
   outcome.result = result_of(end);
   // Where one attempt at a time is allowed, none may follow one that may run yet.
   bool may_run_yet = end.ending == Ending::unheard && !settings_.parallel_tries;
-  if (outcome.result == Result::cancelled && (attempt->timed_out || may_run_yet)) outcome.result = Result::timeout;
-  if (end.withheld) outcome.result = Result::moot;
-  attempt->may_have_run = outcome.result != Result::full && outcome.result != Result::connect_failed && outcome.result != Result::moot;
+  if (outcome.result == Result::cancelled && (attempt->timed_out || may_run_yet))
+    outcome.result = Result::timeout;
+  if (end.withheld)
+    outcome.result = Result::moot;
+  attempt->may_have_run = outcome.result != Result::full &&
+                          outcome.result != Result::connect_failed &&
+                          outcome.result != Result::moot;
   outcome.elapsed_ms = to_ms(timers_.now() - attempt->sent);
   outcome.report = end.report;
   switch (outcome.result) {
@@ -412,20 +494,24 @@
 }
 
 void Engine::told(int peer, const std::string& bytes) {
-  for (std::size_t i = 0; i < lanes_.size(); ++i) post(static_cast<int>(i), reedlb::PeerMessage{peer, bytes});
+  for (std::size_t i = 0; i < lanes_.size(); ++i)
+    post(static_cast<int>(i), reedlb::PeerMessage{peer, bytes});
 }
 
 void Engine::members(const std::vector<bool>& lives) {
   lives_ = lives;
-  for (std::size_t i = 0; i < lanes_.size(); ++i) post(static_cast<int>(i), reedlb::Members{lives});
+  for (std::size_t i = 0; i < lanes_.size(); ++i)
+    post(static_cast<int>(i), reedlb::Members{lives});
 }
 
 void Engine::each_home(const std::function<void(int pool, const reedlb::Homes::At&)>& look) const {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    for (const auto& at : lanes_[i]->homes.told().workers) look(static_cast<int>(i), at);
+    for (const auto& at : lanes_[i]->homes.told().workers)
+      look(static_cast<int>(i), at);
 }
 
-void Engine::each_turn(const std::function<void(int pool, const fleet::Turns::Turn&, const reedlb::ColdRoom&)>& look) const {
+void Engine::each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
+                                                const reedlb::ColdRoom&)>& look) const {
   double now = clock_.unix_ms(timers_.now());
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     for (const auto& [worker, turn] : lanes_[i]->turns.turns())
@@ -434,13 +520,15 @@
 
 fleet::Turns::Figures Engine::turn_figures() const {
   fleet::Turns::Figures all;
-  for (const auto& lane : lanes_) all += lane->turns.figures();
+  for (const auto& lane : lanes_)
+    all += lane->turns.figures();
   return all;
 }
 
 void Engine::grants(bool on) {
   grants_ = on;
-  for (const auto& lane : lanes_) lane->turns.grants(on);
+  for (const auto& lane : lanes_)
+    lane->turns.grants(on);
 }
 
 void Engine::destinations(reedlb::WorkerList list, int pool) {
@@ -462,24 +550,29 @@
 
 void Engine::finish(RequestId id, FinalAnswer answer) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.asker) return;
+  if (it == requests_.end() || !it->second.asker)
+    return;
   count_end(it->second, answer.kind);
   Asker* asker = it->second.asker;
   it->second.asker = nullptr;
   tell_end(it->second, answer.kind == FinalAnswer::Kind::served    ? RoutePort::End::served
                        : answer.kind == FinalAnswer::Kind::refused ? RoutePort::End::refused
                                                                    : RoutePort::End::failed);
-  if (monitor_) monitor_->request_over(it->second.job.id);
+  if (monitor_)
+    monitor_->request_over(it->second.job.id);
   asker->on_final(std::move(answer));
   forget_if_over(id);
 }
 
 void Engine::forget_if_over(RequestId id) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.asker) return;
+  if (it == requests_.end() || it->second.asker)
+    return;
   for (const Attempt& attempt : it->second.attempts)
-    if (attempt.out) return;
-  // Not before: while an attempt is being called off, its endpoint and its call-backs know the request by this name.
+    if (attempt.out)
+      return;
+  // Not before: while an attempt is being called off, its endpoint and its call-backs know the
+  // request by this name.
   by_name_.erase(it->second.job.id);
   requests_.erase(it);
 }
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -1,5 +1,5 @@
-// The Engine feeds the decision module and carries out its actions. It keeps the requests and attempts that are
-// open and enforces the protocol's limits; it decides nothing and knows no wire.
+// The Engine feeds the decision module and carries out its actions. It keeps the requests and
+// attempts that are open and enforces the protocol's limits; it decides nothing and knows no wire.
 #pragma once
 
 #include <deque>
@@ -27,19 +27,24 @@
          const UnixClock& clock, Counters& counters);
   void connect(EndpointPort& endpoints) { endpoints_ = &endpoints; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
-  void peers(PeerPort* peers) { peers_ = peers; }  // null: what the module would tell them is dropped
-  // Pools: each has a lane, a Dispatcher that sees its endpoints and its requests only. There is one from the start.
+  void peers(PeerPort* peers) {
+    peers_ = peers;
+  }  // null: what the module would tell them is dropped
+  // Pools: each has a lane, a Dispatcher that sees its endpoints and its requests only. There is
+  // one from the start.
   void route(RoutePort* routes) { routes_ = routes; }
-  void lanes(int count);  // at least so many
+  void lanes(int count);                                 // at least so many
   void screen(ScreenPort* screen) { screen_ = screen; }  // null: requests go to the module at once
   void screened(RequestId id, const ScreenPort::Said& said);
   // By class number; whose figures its requests count under.
   void name_classes(const std::vector<std::string>& names);
-  // Another process of this node: what the modules tell one another goes through `tell`. Null: it has gone.
+  // Another process of this node: what the modules tell one another goes through `tell`. Null: it
+  // has gone.
   void twin(std::function<void(const std::string&)> tell);
   std::vector<reedlb::Knowledge> knowledge() const;  // by lane
   void learn(const std::vector<reedlb::Knowledge>& knowledge);
-  // Settings that a running node takes over. Class numbers in use keep their meaning; `from`: see reedlb::Retune.
+  // Settings that a running node takes over. Class numbers in use keep their meaning; `from`: see
+  // reedlb::Retune.
   void retune(const reedlb::Settings& settings, std::vector<int> from, Limits limits);
   bool class_in_use(int cls) const;
   // While the list of endpoints may not be sent by, requests are held and nothing is sent.
@@ -47,12 +52,15 @@
   // Whether its client still waits for its final answer.
   bool client_waits(RequestId id) const;
   const operation_guard::Refusals& refusals() const { return refusals_; }
-  void count_refusal(operation_guard::Operation operation, operation_guard::Reason reason) { refusals_.count(operation, reason); }
+  void count_refusal(operation_guard::Operation operation, operation_guard::Reason reason) {
+    refusals_.count(operation, reason);
+  }
   // Requests of that pool that no endpoint was ever sent are routed again.
   void rehome(int pool);
 
-  // From the inbound side. Takes the request over: `asker` hears its final answer, perhaps before this returns,
-  // and must live until then or until client_gone. Empty: an open request has that id already.
+  // From the inbound side. Takes the request over: `asker` hears its final answer, perhaps before
+  // this returns, and must live until then or until client_gone. Empty: an open request has that id
+  // already.
   std::optional<RequestId> take(Job job, Asker& asker);
   void client_gone(RequestId id);
   // The node will be gone after that: to requests taken from now on it is their latest deadline.
@@ -68,9 +76,10 @@
   void members(const std::vector<bool>& lives);
 
   void each_home(const std::function<void(int pool, const reedlb::Homes::At&)>& look) const;
-  void each_turn(const std::function<void(int pool, const fleet::Turns::Turn&, const reedlb::ColdRoom&)>& look) const;
+  void each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
+                                          const reedlb::ColdRoom&)>& look) const;
   fleet::Turns::Figures turn_figures() const;  // of all lanes
-  void grants(bool on);                        // whether nodes grant one another of their parts; else each keeps its own
+  void grants(bool on);  // whether nodes grant one another of their parts; else each keeps its own
 
   // From another node of the tier: to every lane, as each knows its own endpoints only.
   void told(int peer, const std::string& bytes);
@@ -78,18 +87,23 @@
   // From discovery.
   void destinations(reedlb::WorkerList list, int pool = 0);
 
-  std::size_t pending() const { return pending_; }  // requests whose client still waits for its answer
-  bool avoids(WorkerId worker) const;               // some lane leaves it alone at present
+  std::size_t pending() const {
+    return pending_;
+  }                                    // requests whose client still waits for its answer
+  bool avoids(WorkerId worker) const;  // some lane leaves it alone at present
   std::size_t open_requests() const { return by_name_.size(); }
   std::size_t open_attempts() const { return attempts_out_; }
-  std::size_t held(int pool) const { return lanes_.at(static_cast<std::size_t>(pool))->dispatcher.held(); }
+  std::size_t held(int pool) const {
+    return lanes_.at(static_cast<std::size_t>(pool))->dispatcher.held();
+  }
 
  private:
   struct Attempt {
     WorkerId worker = 0;
     TimePoint sent;
     TimerId timer = 0;
-    bool out = true, started = false, timed_out = false, giving_up = false, may_tell = false, may_have_run = false;
+    bool out = true, started = false, timed_out = false, giving_up = false, may_tell = false,
+         may_have_run = false;
   };
   struct Request {
     Job job;
@@ -103,8 +117,11 @@
   };
 
   struct Lane {
-    Lane(const reedlb::Settings& settings, std::uint64_t seed, std::shared_ptr<reedlb::TenantShares> shares, double started)
-        : dispatcher(settings, seed, std::move(shares)), homes(settings), turns(settings, started) {}
+    Lane(const reedlb::Settings& settings, std::uint64_t seed,
+         std::shared_ptr<reedlb::TenantShares> shares, double started)
+        : dispatcher(settings, seed, std::move(shares)),
+          homes(settings),
+          turns(settings, started) {}
     reedlb::Dispatcher dispatcher;
     fleet::Homes homes;
     fleet::Turns turns;
--- a/node/core/ports.h
+++ b/node/core/ports.h
@@ -1,4 +1,5 @@
-// What the Engine needs from the outside, and the values that cross that border. Nothing here names a wire.
+// What the Engine needs from the outside, and the values that cross that border. Nothing here names
+// a wire.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
   std::string id;  // the client's own name for it
   int cls = 0, tenant = 0;
   std::uint64_t key = 0;
-  Duration patience{};  // until the client gives up
+  Duration patience{};               // until the client gives up
   std::chrono::microseconds hint{};  // expected running time; zero: none given
   double slots = 1, memory = 0;
   bool repeat = false;
@@ -40,7 +41,8 @@
   bool operator==(const AttemptRef&) const = default;
 };
 
-// How far an attempt had come when it ended. Up to `partly_written` the endpoint cannot have run it.
+// How far an attempt had come when it ended. Up to `partly_written` the endpoint cannot have run
+// it.
 enum class Reach : std::uint8_t { never_written, partly_written, fully_written, accepted };
 
 enum class Ending : std::uint8_t {
@@ -55,8 +57,8 @@
 struct AttemptEnd {
   Ending ending = Ending::broken;
   Reach reach = Reach::never_written;
-  bool withheld = false;         // it waited for a list to be sent by, and nothing of it was written
-  bool may_tell = false;         // the endpoint may have taken it, so that call-backs of it may still come
+  bool withheld = false;  // it waited for a list to be sent by, and nothing of it was written
+  bool may_tell = false;  // the endpoint may have taken it, so that call-backs of it may still come
   std::string result = {};  // of `served`
   reedlb::LoadReport report = {};
 };
@@ -69,12 +71,13 @@
 
 struct FinalAnswer {
   enum class Kind : std::uint8_t { served, refused, failed } kind = Kind::failed;
-  std::string result = {};       // of `served`
-  Duration retry_after = {};     // of `refused`; zero: no guidance
-  bool timed_out = false;        // of `failed`
+  std::string result = {};    // of `served`
+  Duration retry_after = {};  // of `refused`; zero: no guidance
+  bool timed_out = false;     // of `failed`
 };
 
-// The client's side of one request. `on_final` comes exactly once, unless the client has gone before.
+// The client's side of one request. `on_final` comes exactly once, unless the client has gone
+// before.
 class Asker {
  public:
   virtual ~Asker() = default;
@@ -83,7 +86,8 @@
   virtual void on_final(FinalAnswer answer) = 0;
 };
 
-// Splits requests over pools, each of which has a Dispatcher of its own. Where there is none, all is one pool.
+// Splits requests over pools, each of which has a Dispatcher of its own. Where there is none, all
+// is one pool.
 class RoutePort {
  public:
   enum class End : std::uint8_t { served, refused, failed, gone };
@@ -93,8 +97,8 @@
   virtual void ended(const Job& job, int pool, TimePoint taken, End how) = 0;
 };
 
-// Looks at requests before the module sees them. It may refuse one, hold it back for a while, or weigh it; all that
-// it lets pass is the module's to decide.
+// Looks at requests before the module sees them. It may refuse one, hold it back for a while, or
+// weigh it; all that it lets pass is the module's to decide.
 class ScreenPort {
  public:
   struct Said {
@@ -118,7 +122,8 @@
     TimePoint until;     // it is given up then
     TimePoint write_by;  // after that its last byte must not go out any more
     reedlb::Effect effect = reedlb::Effect::safe;
-    bool again = false;  // call-backs of an earlier attempt of this request at that endpoint may still come
+    bool again =
+        false;  // call-backs of an earlier attempt of this request at that endpoint may still come
   };
   virtual void start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) = 0;
   virtual void give_up(AttemptRef ref) = 0;
--- a/node/discovery/destination_set.h
+++ b/node/discovery/destination_set.h
@@ -1,5 +1,6 @@
-// Discovery's list as this process has it, kept up to date by a watch. When calls begin is decided by
-// logic/discovery/call_schedule; this class carries it out and is the only one that calls discovery.
+// Discovery's list as this process has it, kept up to date by a watch. When calls begin is decided
+// by logic/discovery/call_schedule; this class carries it out and is the only one that calls
+// discovery.
 #pragma once
 
 #include <functional>
@@ -31,19 +32,20 @@
  public:
   using Listener = std::function<void(reedlb::WorkerList)>;
 
-  DestinationSet(net::EventLoop& loop, net::Address discovery, Names names, Listener listener, Counters& counters,
-                 std::uint64_t seed);
+  DestinationSet(net::EventLoop& loop, net::Address discovery, Names names, Listener listener,
+                 Counters& counters, std::uint64_t seed);
   ~DestinationSet() override;
 
-  void known(const HostList& list);   // what this process had last; passed on as cached
-  std::function<void()> on_watching;  // discovery has taken a call: what has changed comes next, if anything has
+  void known(const HostList& list);  // what this process had last; passed on as cached
+  std::function<void()>
+      on_watching;  // discovery has taken a call: what has changed comes next, if anything has
   std::function<bool()> on_pressure;  // called when descriptors are short; true if it freed one
 
   void start(const discovery::CallPolicy& policy, const discovery::LeaseTerms& terms);
   // From now on; a watch that is open stays.
   void change(const discovery::CallPolicy& policy, const discovery::LeaseTerms& terms);
-  // Another discovery serves from now on. The list and its version are kept, and the new one is asked for what
-  // came after them.
+  // Another discovery serves from now on. The list and its version are kept, and the new one is
+  // asked for what came after them.
   void move(const net::Address& discovery);
   void stop();
   void names(Names names) { names_ = std::move(names); }  // from the next list on
@@ -51,11 +53,14 @@
   WatchSurvey& survey() { return survey_; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
 
-  // Whether the list may be sent by at this moment: its lease runs, and the process was not stopped since it last looked.
+  // Whether the list may be sent by at this moment: its lease runs, and the process was not stopped
+  // since it last looked.
   bool may_send_by_list();
-  std::function<void(bool may_send)> on_lease;  // it has run out, or runs (again): what waited may go on
+  std::function<void(bool may_send)>
+      on_lease;  // it has run out, or runs (again): what waited may go on
 
-  // An endpoint stays known for the process's life: jobs it has are still cancelled there when it left the list.
+  // An endpoint stays known for the process's life: jobs it has are still cancelled there when it
+  // left the list.
   const Destination* find(WorkerId worker) const;
 
  private:
@@ -99,8 +104,9 @@
   DiscoveryCall* watch_ = nullptr;  // the one of them that has brought something
   discovery::ListLease lease_;
   WatchSurvey survey_;
-  // The list was, up to the end of the last watch or, where lists are pushed, up to its last word. What a watch that fell silent
-  // may have missed is not known, and an outage after it does not make the list complete.
+  // The list was, up to the end of the last watch or, where lists are pushed, up to its last word.
+  // What a watch that fell silent may have missed is not known, and an outage after it does not
+  // make the list complete.
   bool was_complete_ = false;
   bool pushed_ = false;
   TimerId next_call_ = 0, lease_end_ = 0;
@@ -109,7 +115,8 @@
   bool withheld_ = false;    // a send was, while the lease ran: `on_lease` is owed
   std::uint64_t version_ = 0;
   bool has_list_ = false;
-  bool any_version_ = true;  // the next object counts whatever its version: its discovery is new to us
+  bool any_version_ =
+      true;  // the next object counts whatever its version: its discovery is new to us
 };
 
 }  // namespace keelflow
--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -1,4 +1,5 @@
-// One call to discovery for the list and its changes. It becomes the watch once it has brought something.
+// One call to discovery for the list and its changes. It becomes the watch once it has brought
+// something.
 #pragma once
 
 #include <algorithm>
@@ -16,11 +17,13 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void on_accepted(DiscoveryCall& call) = 0;  // discovery has answered with 200; what it has comes next
+    virtual void on_accepted(
+        DiscoveryCall& call) = 0;  // discovery has answered with 200; what it has comes next
     // One whole JSON object. False: it is no list, and the call is of no use.
     virtual bool on_object(DiscoveryCall& call, const std::string& text) = 0;
     virtual void on_heartbeat(DiscoveryCall& call) = 0;
-    virtual void on_not_acknowledged(DiscoveryCall& call) = 0;  // its connection does not come up; it goes on trying
+    virtual void on_not_acknowledged(
+        DiscoveryCall& call) = 0;  // its connection does not come up; it goes on trying
     virtual void on_failed(DiscoveryCall& call, discovery::CallEnd how) = 0;  // last call
   };
 
@@ -32,8 +35,10 @@
 
   bool begin(const net::Address& discovery);  // false: no connection could be begun (errno)
   void close();                               // nothing is heard of it any more
-  void established();                         // it is the watch: from now on it fails when it falls silent
-  std::uint64_t number() const { return number_; }  // of this process, from 1 on: its name in the log
+  void established();  // it is the watch: from now on it fails when it falls silent
+  std::uint64_t number() const {
+    return number_;
+  }  // of this process, from 1 on: its name in the log
   TimePoint began() const { return began_; }
   bool connected() const { return connection_.connected(); }
   int status() const { return status_; }  // of the answer; 0: none yet
--- a/node/discovery/host_list.cpp
+++ b/node/discovery/host_list.cpp
@@ -12,13 +12,15 @@
 
 int Names::class_of(std::string_view name) const {
   for (std::size_t i = 0; i < classes.size(); ++i)
-    if (classes[i] == name && !(i < former.size() && former[i])) return static_cast<int>(i);
+    if (classes[i] == name && !(i < former.size() && former[i]))
+      return static_cast<int>(i);
   return -1;
 }
 
 reedlb::WorkerId worker_id(std::string_view host) {
   std::uint32_t hash = 2166136261u;  // FNV-1a
-  for (unsigned char c : host) hash = (hash ^ c) * 16777619u;
+  for (unsigned char c : host)
+    hash = (hash ^ c) * 16777619u;
   return hash;
 }
 
@@ -38,7 +40,8 @@
 
 WorkerState decode_state(const json& item) {
   const std::string health = item.at("health").get<std::string>();
-  if (health == "ready") return WorkerState::ready;
+  if (health == "ready")
+    return WorkerState::ready;
   return health == "draining" ? WorkerState::draining : WorkerState::gone;
 }
 
@@ -47,7 +50,8 @@
   auto field = item.find("dial");
   bool given = field != item.end() && field->is_string();
   auto dial = given ? net::parse_address(field->get<std::string>()) : std::nullopt;
-  if (dial) host.dial = *dial;
+  if (dial)
+    host.dial = *dial;
   return dial || host.entry.state != WorkerState::ready;
 }
 
@@ -58,10 +62,12 @@
   try {
     host.entry.state = decode_state(item);
     decode_place(item, names, host.entry);
-    if (decode_dial(item, host)) return true;
+    if (decode_dial(item, host))
+      return true;
   } catch (const json::exception&) {
   }
-  if (host.entry.state == WorkerState::ready) host.entry.state = WorkerState::gone;
+  if (host.entry.state == WorkerState::ready)
+    host.entry.state = WorkerState::gone;
   return false;
 }
 
@@ -72,7 +78,8 @@
   out.version = list.at("seq").get<std::uint64_t>();
   out.whole = list.at("whole").get<bool>();
   const json& hosts = list.at("hosts");
-  if (!hosts.is_array()) hosts.get<std::vector<json>>();  // throws
+  if (!hosts.is_array())
+    hosts.get<std::vector<json>>();  // throws
   for (const json& item : hosts) {
     bool named = item.is_object() && item.contains("host") && item["host"].is_string();
     if (!named) {
@@ -81,7 +88,8 @@
     }
     Host host;
     host.name = item["host"].get<std::string>();
-    if (!decode_host(item, names, host)) ++out.malformed;
+    if (!decode_host(item, names, host))
+      ++out.malformed;
     out.hosts.push_back(std::move(host));
   }
   return out;
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -19,7 +19,9 @@
       has_watch_(std::move(has_watch)),
       changed_(std::move(changed)) {}
 
-WatchSurvey::~WatchSurvey() { loop_.cancel(timer_); }
+WatchSurvey::~WatchSurvey() {
+  loop_.cancel(timer_);
+}
 
 void WatchSurvey::connect(PeerPort* peers, int count, int rank) {
   peers_ = peers;
@@ -28,29 +30,37 @@
 }
 
 void WatchSurvey::run(bool on) {
-  if (std::exchange(running_, on) == on) return;
+  if (std::exchange(running_, on) == on)
+    return;
   loop_.cancel(timer_);
-  if (on) ask();
+  if (on)
+    ask();
 }
 
 void WatchSurvey::ask() {
   timer_ = loop_.at(loop_.now() + kPause, [this] { ask(); });
-  if (!peers_ || count_ < 2) return;
+  if (!peers_ || count_ < 2)
+    return;
   int peer = std::uniform_int_distribution<int>(0, count_ - 2)(random_);
-  if (peer >= rank_) ++peer;
+  if (peer >= rank_)
+    ++peer;
   peers_->tell(peer, discovery::write_watch_message({Kind::question}));
 }
 
 bool WatchSurvey::hear(int peer, std::string_view bytes) {
   auto message = discovery::read_watch_message(bytes);
-  if (!message) return false;
+  if (!message)
+    return false;
   if (message->kind == Kind::question) {
     if (peers_)
-      peers_->tell(peer, discovery::write_watch_message({has_watch_() ? Kind::has_watch : Kind::has_none}));
+      peers_->tell(
+          peer, discovery::write_watch_message({has_watch_() ? Kind::has_watch : Kind::has_none}));
     return true;
   }
-  if (message->kind == Kind::has_watch) presumption_.peer_has_watch(loop_.now());
-  else presumption_.peer_has_none(loop_.now());
+  if (message->kind == Kind::has_watch)
+    presumption_.peer_has_watch(loop_.now());
+  else
+    presumption_.peer_has_none(loop_.now());
   changed_();
   return true;
 }
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -1,5 +1,5 @@
-// Asks drawn peers whether they have a watch on discovery, while this process has none, and answers theirs.
-// What follows from the answers is decided by logic/discovery/outage_presumption.
+// Asks drawn peers whether they have a watch on discovery, while this process has none, and answers
+// theirs. What follows from the answers is decided by logic/discovery/outage_presumption.
 #pragma once
 
 #include <functional>
--- a/node/fleet/members.cpp
+++ b/node/fleet/members.cpp
@@ -12,36 +12,48 @@
 
 std::string_view word(Life life) {
   switch (life) {
-    case Life::unknown: return "unknown";
-    case Life::alive: return "alive";
-    case Life::suspect: return "suspect";
-    case Life::dead: return "dead";
+    case Life::unknown:
+      return "unknown";
+    case Life::alive:
+      return "alive";
+    case Life::suspect:
+      return "suspect";
+    case Life::dead:
+      return "dead";
   }
   return "";
 }
 
 }  // namespace
 
-Members::~Members() { timers_.cancel(timer_); }
+Members::~Members() {
+  timers_.cancel(timer_);
+}
 
 void Members::start(const Settings& s, int members, int self) {
-  if (!s.on || membership_ || members < 2) return;
+  if (!s.on || membership_ || members < 2)
+    return;
   double now = now_ms();
-  membership_.emplace(fleet::Membership::Settings{.members = members, .self = self, .period = to_ms(s.period),
-                                                  .least_suspicion = to_ms(s.least_suspicion), .most_suspicion = to_ms(s.most_suspicion)},
+  membership_.emplace(fleet::Membership::Settings{.members = members,
+                                                  .self = self,
+                                                  .period = to_ms(s.period),
+                                                  .least_suspicion = to_ms(s.least_suspicion),
+                                                  .most_suspicion = to_ms(s.most_suspicion)},
                       now, static_cast<std::uint32_t>(now / 1000));
   arm();
 }
 
 void Members::leave() {
-  if (!membership_) return;
+  if (!membership_)
+    return;
   fleet::Membership::Output out;
   membership_->leave(now_ms(), out);
   carry(out);
 }
 
 bool Members::hear(int from, const std::string& bytes) {
-  if (!membership_) return fleet::read_word(bytes).has_value();  // off here, on there
+  if (!membership_)
+    return fleet::read_word(bytes).has_value();  // off here, on there
   fleet::Membership::Output out;
   bool word = membership_->hear(now_ms(), from, bytes, out);
   carry(out);
@@ -50,7 +62,8 @@
 }
 
 void Members::arm() {
-  if (timer_ != 0 && armed_ <= membership_->next()) return;
+  if (timer_ != 0 && armed_ <= membership_->next())
+    return;
   timers_.cancel(timer_);
   armed_ = membership_->next();
   timer_ = timers_.at(clock_.at(armed_), [this] {
@@ -74,29 +87,46 @@
     counters_.members_dead += c.to == Life::dead;
     living = living || c.to == Life::dead || c.from == Life::dead;
     // Whom it hears of for the first time is no news.
-    log::Level level = c.to == Life::dead ? log::Level::warning : c.from == Life::unknown ? log::Level::debug : log::Level::info;
+    log::Level level = c.to == Life::dead        ? log::Level::warning
+                       : c.from == Life::unknown ? log::Level::debug
+                                                 : log::Level::info;
     log::write(log::Subsystem::fleet, level, "member",
-               {{"member", c.member}, {"from", word(c.from)}, {"to", word(c.to)}, {"incarnation", std::uint64_t{c.incarnation}}, {"evidence", c.evidence}});
+               {{"member", c.member},
+                {"from", word(c.from)},
+                {"to", word(c.to)},
+                {"incarnation", std::uint64_t{c.incarnation}},
+                {"evidence", c.evidence}});
   }
-  if (!living) return;
+  if (!living)
+    return;
   std::vector<bool> lives;
-  for (int m = 0; m < membership_->members(); ++m) lives.push_back(membership_->lives(m));
+  for (int m = 0; m < membership_->members(); ++m)
+    lives.push_back(membership_->lives(m));
   engine_.members(lives);
 }
 
 json Members::status() const {
-  if (!membership_) return nullptr;
+  if (!membership_)
+    return nullptr;
   json members = json::array();
   double now = now_ms();
   for (int m = 0; m < membership_->members(); ++m) {
     const auto& of = membership_->at(m);
-    json one = {{"member", m}, {"life", word(of.life)}, {"incarnation", of.incarnation}, {"accusers", of.accusers}};
+    json one = {{"member", m},
+                {"life", word(of.life)},
+                {"incarnation", of.incarnation},
+                {"accusers", of.accusers}};
     one["since_s"] = of.since > 0 ? json((now - of.since) / 1000) : json(nullptr);
     one["heard_s"] = of.heard > 0 ? json((now - of.heard) / 1000) : json(nullptr);
     members.push_back(std::move(one));
   }
   const auto& f = membership_->figures();
-  return {{"members", members}, {"living", membership_->living()}, {"doubt", membership_->health()}, {"refuted", f.refutations}, {"stalls", f.stalls}, {"held_back", f.held_back}};
+  return {{"members", members},
+          {"living", membership_->living()},
+          {"doubt", membership_->health()},
+          {"refuted", f.refutations},
+          {"stalls", f.stalls},
+          {"held_back", f.held_back}};
 }
 
 }  // namespace keelflow
--- a/node/fleet/members.h
+++ b/node/fleet/members.h
@@ -1,5 +1,6 @@
-// The hands of logic/fleet/membership: its words go out and come in with the other datagrams between nodes, its timer is
-// the loop's, and who lives is told to the module, the log and the operators.
+// The hands of logic/fleet/membership: its words go out and come in with the other datagrams
+// between nodes, its timer is the loop's, and who lives is told to the module, the log and the
+// operators.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -17,11 +18,13 @@
  public:
   struct Settings {
     bool on = false;
-    Duration period = std::chrono::milliseconds(250), least_suspicion = std::chrono::milliseconds(500),
+    Duration period = std::chrono::milliseconds(250),
+             least_suspicion = std::chrono::milliseconds(500),
              most_suspicion = std::chrono::milliseconds(1200);
   };
 
-  Members(TimerPort& timers, const UnixClock& clock, PeerPort& peers, Engine& engine, Counters& counters)
+  Members(TimerPort& timers, const UnixClock& clock, PeerPort& peers, Engine& engine,
+          Counters& counters)
       : timers_(timers), clock_(clock), peers_(peers), engine_(engine), counters_(counters) {}
   ~Members();
 
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -19,14 +19,16 @@
 using log::Subsystem;
 using nlohmann::json;
 constexpr std::size_t kMostLinks = 4;
-constexpr std::size_t kMostLine = 1024 * 1024;   // a call-back's body of 64 KiB, each byte escaped in six
+constexpr std::size_t kMostLine =
+    1024 * 1024;  // a call-back's body of 64 KiB, each byte escaped in six
 constexpr std::size_t kMostQueued = 1024 * 1024;
 
 // Empty: the folder's name is too long for a socket in it.
 std::optional<sockaddr_un> address_of(const std::string& path) {
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
-  if (path.size() >= sizeof to.sun_path) return std::nullopt;
+  if (path.size() >= sizeof to.sun_path)
+    return std::nullopt;
   path.copy(to.sun_path, sizeof to.sun_path - 1);
   return to;
 }
@@ -43,7 +45,8 @@
 
 std::string unhex(const std::string& text) {
   std::string out;
-  for (std::size_t i = 0; i + 1 < text.size(); i += 2) out += static_cast<char>(std::stoi(text.substr(i, 2), nullptr, 16));
+  for (std::size_t i = 0; i + 1 < text.size(); i += 2)
+    out += static_cast<char>(std::stoi(text.substr(i, 2), nullptr, 16));
   return out;
 }
 
@@ -61,7 +64,8 @@
   bool welcomed = false;  // the versions fit
 
   bool tell(const json& message) {
-    if (connection_.pending() > kMostQueued) return ++owner_.counters_.handover_dropped, false;
+    if (connection_.pending() > kMostQueued)
+      return ++owner_.counters_.handover_dropped, false;
     connection_.write(message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n");
     return true;
   }
@@ -70,15 +74,18 @@
   void on_data(std::string_view bytes) override {
     in_ += bytes;
     std::size_t from = 0;
-    for (std::size_t end; connection_.open() && (end = in_.find('\n', from)) != std::string::npos; from = end + 1) {
+    for (std::size_t end; connection_.open() && (end = in_.find('\n', from)) != std::string::npos;
+         from = end + 1) {
       try {
-        owner_.take(*this, json::parse(in_.begin() + static_cast<std::ptrdiff_t>(from), in_.begin() + static_cast<std::ptrdiff_t>(end)));
+        owner_.take(*this, json::parse(in_.begin() + static_cast<std::ptrdiff_t>(from),
+                                       in_.begin() + static_cast<std::ptrdiff_t>(end)));
       } catch (const std::exception& fault) {
         return give_up(fault.what());
       }
     }
     in_.erase(0, from);
-    if (in_.size() > kMostLine) give_up("a message is too long");
+    if (in_.size() > kMostLine)
+      give_up("a message is too long");
   }
   void on_closed(int) override { owner_.remove(*this); }
   void give_up(const char* why) {
@@ -94,17 +101,20 @@
   std::string in_;
 };
 
-Handover::Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds, Counters& counters)
+Handover::Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds,
+                   Counters& counters)
     : loop_(loop), node_(node), deeds_(std::move(deeds)), counters_(counters) {
   char name[32];
-  std::snprintf(name, sizeof name, "/keelflow-%016llx", static_cast<unsigned long long>(XXH3_64bits(node.data(), node.size())));
+  std::snprintf(name, sizeof name, "/keelflow-%016llx",
+                static_cast<unsigned long long>(XXH3_64bits(node.data(), node.size())));
   path_ = std::move(folder) + name;
 }
 
 // The name stays: it is the successor's by now, or nobody answers there.
 Handover::~Handover() {
   links_.clear();
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   loop_.forget(registration_);
   ::close(fd_);
 }
@@ -112,8 +122,10 @@
 bool Handover::ask() {
   auto to = address_of(path_);
   int fd = to ? ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0) : -1;
-  if (fd < 0) return false;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0) return ::close(fd), false;
+  if (fd < 0)
+    return false;
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0)
+    return ::close(fd), false;
   Link* link = add(fd, true);
   return link && link->tell({{"say", "hello"}, {"version", kVersion}, {"node", node_}});
 }
@@ -128,41 +140,51 @@
   ::umask(usual);
   good = good && ::listen(fd_, kMostLinks) == 0 && (registration_ = loop_.watch(fd_, *this)) != 0 &&
          std::rename(mine.c_str(), path_.c_str()) == 0;
-  if (!good) log::error(Subsystem::node, "handover-closed", {{"path", path_}, {"errno", errno}});
+  if (!good)
+    log::error(Subsystem::node, "handover-closed", {{"path", path_}, {"errno", errno}});
   tell({{"say", "ready"}});
 }
 
 void Handover::on_ready(std::uint32_t) {
   for (;;) {
     int fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0 && errno == EINTR) continue;
-    if (fd < 0) return;
-    if (links_.size() >= kMostLinks) ::close(fd), ++counters_.handover_dropped;
-    else add(fd, false);
+    if (fd < 0 && errno == EINTR)
+      continue;
+    if (fd < 0)
+      return;
+    if (links_.size() >= kMostLinks)
+      ::close(fd), ++counters_.handover_dropped;
+    else
+      add(fd, false);
   }
 }
 
 Handover::Link* Handover::add(int fd, bool elder) {
   auto link = std::make_unique<Link>(*this, ++next_, elder);
   Link* raw = link.get();
-  if (!link->adopt(fd)) return nullptr;
+  if (!link->adopt(fd))
+    return nullptr;
   links_.emplace(next_, std::move(link));
-  if (links_.size() == 1) deeds_.partner(true);
+  if (links_.size() == 1)
+    deeds_.partner(true);
   return raw;
 }
 
 void Handover::remove(Link& link) {
   auto it = links_.find(link.number());
-  if (it == links_.end()) return;
+  if (it == links_.end())
+    return;
   loop_.dispose(std::move(it->second));
   links_.erase(it);
-  if (links_.empty()) deeds_.partner(false);
+  if (links_.empty())
+    deeds_.partner(false);
 }
 
 void Handover::take(Link& link, const json& message) {
   const std::string say = message.at("say").get<std::string>();
   if (say == "hello" || say == "welcome") {
-    if (message.at("version").get<int>() != kVersion || message.at("node").get<std::string>() != node_)
+    if (message.at("version").get<int>() != kVersion ||
+        message.at("node").get<std::string>() != node_)
       throw std::runtime_error("another release, or another node");
     link.welcomed = true;
     if (say == "hello") {
@@ -173,43 +195,53 @@
       deeds_.welcomed(message);
     }
   } else if (say == "ready") {
-    if (!link.elder()) deeds_.successor_ready();
+    if (!link.elder())
+      deeds_.successor_ready();
   } else if (say == "by-hand") {
     deeds_.by_hand(message.at("host").get<std::string>(), message.at("out").get<bool>());
     tell(message, &link);
   } else if (say == "note") {
     deeds_.note(unhex(message.at("note").get<std::string>()));
   } else if (say == "news") {
-    if (!deeds_.news(message.at("body").get<std::string>())) tell(message, &link);
+    if (!deeds_.news(message.at("body").get<std::string>()))
+      tell(message, &link);
   }
 }
 
 bool Handover::tell(const json& message, const Link* except) {
   bool all = true;
   for (auto& [number, link] : links_)
-    if (link.get() != except) all = link->tell(message) && all;
+    if (link.get() != except)
+      all = link->tell(message) && all;
   return all;
 }
 
-void Handover::tell_by_hand(const std::string& host, bool out) { tell({{"say", "by-hand"}, {"host", host}, {"out", out}}); }
+void Handover::tell_by_hand(const std::string& host, bool out) {
+  tell({{"say", "by-hand"}, {"host", host}, {"out", out}});
+}
 
-void Handover::tell_note(std::string_view note) { tell({{"say", "note"}, {"note", hex(note)}}); }
+void Handover::tell_note(std::string_view note) {
+  tell({{"say", "note"}, {"note", hex(note)}});
+}
 
 bool Handover::pass_news(std::string_view body) {
-  if (links_.empty()) return true;
+  if (links_.empty())
+    return true;
   ++counters_.news_passed;
   return tell({{"say", "news"}, {"body", body}});
 }
 
 bool Handover::elder_here() const {
   for (const auto& [number, link] : links_)
-    if (link->elder()) return true;
+    if (link->elder())
+      return true;
   return false;
 }
 
 bool Handover::flushed() const {
   for (const auto& [number, link] : links_)
-    if (link->pending() > 0) return false;
+    if (link->pending() > 0)
+      return false;
   return true;
 }
 
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -1,8 +1,10 @@
-// Two processes of one node, the elder and the one that takes over from it, talk over a Unix socket in $TMPDIR while both
-// live. docs/design/handover.md has the messages. Each message is a line of JSON; the version stands in the first.
+// Two processes of one node, the elder and the one that takes over from it, talk over a Unix socket
+// in $TMPDIR while both live. docs/design/handover.md has the messages. Each message is a line of
+// JSON; the version stands in the first.
 //
-// The socket's name comes from the node's. Whoever serves listens there; a younger process calls, and once it is ready
-// puts a socket of its own under that name. A name that nobody answers is that of a process that has ended.
+// The socket's name comes from the node's. Whoever serves listens there; a younger process calls,
+// and once it is ready puts a socket of its own under that name. A name that nobody answers is that
+// of a process that has ended.
 #pragma once
 
 #include <functional>
@@ -22,15 +24,18 @@
   static constexpr int kVersion = 1;
 
   struct Deeds {
-    std::function<nlohmann::json()> welcome;                        // what the younger is to know
-    std::function<void(const nlohmann::json&)> welcomed;            // throws what nlohmann-json throws
-    std::function<void(bool here)> partner;                         // the first came, the last went
-    std::function<void()> successor_ready;                          // it accepts clients
-    std::function<void(const std::string& host, bool out)> by_hand;  // the other process was told so
-    std::function<void(const std::string& note)> note;              // of the other's module
-    std::function<bool(const std::string& body)> news;              // a call-back that reached the other; true: it is ours
+    std::function<nlohmann::json()> welcome;              // what the younger is to know
+    std::function<void(const nlohmann::json&)> welcomed;  // throws what nlohmann-json throws
+    std::function<void(bool here)> partner;               // the first came, the last went
+    std::function<void()> successor_ready;                // it accepts clients
+    std::function<void(const std::string& host, bool out)>
+        by_hand;                                        // the other process was told so
+    std::function<void(const std::string& note)> note;  // of the other's module
+    std::function<bool(const std::string& body)>
+        news;  // a call-back that reached the other; true: it is ours
   };
-  Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds, Counters& counters);
+  Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds,
+           Counters& counters);
   ~Handover() override;
 
   bool ask();     // calls the elder; false: there is none
@@ -38,7 +43,8 @@
 
   void tell_by_hand(const std::string& host, bool out);
   void tell_note(std::string_view note);
-  // A call-back that is not of this process. False: somebody there could not be told, so it must come again.
+  // A call-back that is not of this process. False: somebody there could not be told, so it must
+  // come again.
   bool pass_news(std::string_view body);
   bool partner() const { return !links_.empty(); }
   bool flushed() const;
--- a/node/handover/knowledge_form.h
+++ b/node/handover/knowledge_form.h
@@ -1,4 +1,5 @@
-// What the module has learned, as the elder process tells it: by name, as the other may number things differently.
+// What the module has learned, as the elder process tells it: by name, as the other may number
+// things differently.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -17,7 +17,8 @@
 std::optional<T> number(std::string_view text, int base = 10) {
   T value{};
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (error != std::errc() || end != text.data() + text.size())
+    return std::nullopt;
   return value;
 }
 
@@ -34,22 +35,28 @@
     std::string_view pair = text.substr(0, comma);
     text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
     auto equals = pair.find('=');
-    if (equals == std::string_view::npos) continue;
+    if (equals == std::string_view::npos)
+      continue;
     std::string_view name = pair.substr(0, equals);
     double value = decimal(pair.substr(equals + 1));
-    if (value <= 0) continue;
-    if (name == "slots" || name == "cores_needed") job.slots = value;
-    if (name == "memory" || name == "mem_needed") job.memory = value;
+    if (value <= 0)
+      continue;
+    if (name == "slots" || name == "cores_needed")
+      job.slots = value;
+    if (name == "memory" || name == "mem_needed")
+      job.memory = value;
   }
 }
 
 class PlainExchange final : public Exchange, public Asker {
  public:
-  PlainExchange(Engine& engine, InboundConnection& connection) : engine_(engine), connection_(connection) {}
+  PlainExchange(Engine& engine, InboundConnection& connection)
+      : engine_(engine), connection_(connection) {}
 
   bool take(Job job) {
     auto id = engine_.take(std::move(job), *this);
-    if (id) id_ = *id;
+    if (id)
+      id_ = *id;
     return id.has_value();
   }
   void on_final(FinalAnswer answer) override { respond_final(connection_, answer); }
@@ -66,16 +73,21 @@
 std::variant<Job, Rejection> decode_job(HttpRequest request, const Names& names) {
   const net::Head& head = request.head;
   std::string_view path = head.path();
-  std::string_view first = path.substr(1, path.find('/', 1) == std::string_view::npos ? path.npos : path.find('/', 1) - 1);
+  std::string_view first = path.substr(
+      1, path.find('/', 1) == std::string_view::npos ? path.npos : path.find('/', 1) - 1);
   Job job;
   job.cls = first.empty() ? -1 : names.class_of(first);
-  if (job.cls < 0) return Rejection{404, "no such class\n"};
-  if (head.method != "POST") return Rejection{405, "jobs are posted\n"};
+  if (job.cls < 0)
+    return Rejection{404, "no such class\n"};
+  if (head.method != "POST")
+    return Rejection{405, "jobs are posted\n"};
   // One that comes twice may mean one thing here and another behind us.
   for (const char* once : {"X-Trace-Id", "X-Expires-In-Ms", "Idempotency-Key"})
-    if (head.count(once) > 1) return Rejection{400, "a header came twice\n"};
+    if (head.count(once) > 1)
+      return Rejection{400, "a header came twice\n"};
   job.id = head.find("X-Trace-Id");
-  if (job.id.empty() || job.id.size() > 128) return Rejection{400, "X-Trace-Id is missing or too long\n"};
+  if (job.id.empty() || job.id.size() > 128)
+    return Rejection{400, "X-Trace-Id is missing or too long\n"};
   for (char c : job.id)  // it becomes part of a path
     if (!std::isalnum(static_cast<unsigned char>(c)) && c != '-' && c != '_' && c != '.')
       return Rejection{400, "X-Trace-Id holds an odd character\n"};
@@ -83,11 +95,13 @@
   if (!patience || *patience < 0 || *patience > kMostPatienceMs)
     return Rejection{400, "X-Expires-In-Ms is missing or out of range\n"};
   job.patience = std::chrono::milliseconds(*patience);
-  job.tenant = Names::place(names.tenants, head.find("X-Customer"));  // -1: it has no share, and uses up nobody's
+  job.tenant = Names::place(names.tenants,
+                            head.find("X-Customer"));  // -1: it has no share, and uses up nobody's
   if (std::string_view key = head.find("X-Object"); !key.empty()) {
     // Keys that are no number still have to be the same one at every node.
     job.key = number<std::uint64_t>(key, 16).value_or(0);
-    if (job.key == 0) job.key = 1 + std::uint64_t{worker_id(key)};
+    if (job.key == 0)
+      job.key = 1 + std::uint64_t{worker_id(key)};
   }
   job.repeat = head.find("X-Second-Try") == "1";
   double hint = decimal(head.find("X-Size-Hint"));  // microseconds
@@ -99,30 +113,39 @@
   payload->id = job.id;
   payload->idempotency_key = head.find("Idempotency-Key");
   for (unsigned char c : payload->idempotency_key)
-    if (c < 32 || c > 126) return Rejection{400, "Idempotency-Key holds an odd character\n"};
+    if (c < 32 || c > 126)
+      return Rejection{400, "Idempotency-Key holds an odd character\n"};
   payload->body = std::move(request.body);
-  job.bytes = payload->body.size() + payload->target.size() + payload->idempotency_key.size() + job.id.size();
+  job.bytes = payload->body.size() + payload->target.size() + payload->idempotency_key.size() +
+              job.id.size();
   job.path = std::string_view(payload->target).substr(0, payload->target.find('?'));
   job.idempotency_key = payload->idempotency_key;
   job.payload = std::move(payload);
   return job;
 }
 
-std::optional<News> decode_news(std::string_view body, const std::vector<std::string>& report_names) {
+std::optional<News> decode_news(std::string_view body,
+                                const std::vector<std::string>& report_names) {
   auto json = nlohmann::json::parse(body, nullptr, false);
-  if (!json.is_object()) return std::nullopt;
+  if (!json.is_object())
+    return std::nullopt;
   News news;
-  for (auto [key, into] : {std::pair{"id", &news.id}, {"from", &news.from}, {"state", &news.state}}) {
-    if (!json.contains(key) || !json[key].is_string()) return std::nullopt;
+  for (auto [key, into] :
+       {std::pair{"id", &news.id}, {"from", &news.from}, {"state", &news.state}}) {
+    if (!json.contains(key) || !json[key].is_string())
+      return std::nullopt;
     *into = json[key].get<std::string>();
   }
-  if (json.contains("share") && json["share"].is_number()) news.share = json["share"].get<double>();
+  if (json.contains("share") && json["share"].is_number())
+    news.share = json["share"].get<double>();
   if (json.contains("result"))
-    news.result = json["result"].is_string() ? json["result"].get<std::string>() : json["result"].dump();
+    news.result =
+        json["result"].is_string() ? json["result"].get<std::string>() : json["result"].dump();
   if (json.contains("load") && json["load"].is_object()) {
     std::string text;
     for (const auto& [name, value] : json["load"].items())
-      if (value.is_number()) text += name + "=" + value.dump() + ",";
+      if (value.is_number())
+        text += name + "=" + value.dump() + ",";
     news.report = read_load_report(text, report_names);
   }
   return news;
@@ -146,16 +169,22 @@
   }
 }
 
-std::unique_ptr<Exchange> PlatformFront::on_request(InboundConnection& connection, HttpRequest request) {
+std::unique_ptr<Exchange> PlatformFront::on_request(InboundConnection& connection,
+                                                    HttpRequest request) {
   std::string_view path = request.head.path();
-  auto plain = [&](int status, std::string_view text) { return connection.respond(status, text), nullptr; };
-  if (path == "/up" && request.head.method != "GET") return plain(405, "up\n");
-  if (path == "/up") return ready && !ready() ? plain(503, "waits for the list of endpoints\n") : plain(200, "up\n");
+  auto plain = [&](int status, std::string_view text) {
+    return connection.respond(status, text), nullptr;
+  };
+  if (path == "/up" && request.head.method != "GET")
+    return plain(405, "up\n");
+  if (path == "/up")
+    return ready && !ready() ? plain(503, "waits for the list of endpoints\n") : plain(200, "up\n");
   if (path == "/counters" && request.head.method == "GET") {
     counters_.log_dropped = log::dropped();
     return plain(200, counters_.text());
   }
-  if (path == "/_jobs/news") return take_news(connection, request), nullptr;
+  if (path == "/_jobs/news")
+    return take_news(connection, request), nullptr;
   auto job = decode_job(std::move(request), config_.names);
   if (const auto* rejection = std::get_if<Rejection>(&job)) {
     ++counters_.requests_rejected;
@@ -165,23 +194,30 @@
 }
 
 bool PlatformFront::turned_away(InboundConnection& connection) {
-  if (!connection.crowded()) return false;
+  if (!connection.crowded())
+    return false;
   ++counters_.requests_rejected;
-  connection.respond(503, "too many connections\n", {{"Retry-After", "1"}, {"Connection", "close"}});
+  connection.respond(503, "too many connections\n",
+                     {{"Retry-After", "1"}, {"Connection", "close"}});
   return true;
 }
 
 bool PlatformFront::left_early(InboundConnection& connection) {
-  if (!connection.client_left()) return false;
+  if (!connection.client_left())
+    return false;
   ++counters_.clients_gone;
   connection.abandon();
   return true;
 }
 
 std::unique_ptr<Exchange> PlatformFront::take_plain(InboundConnection& connection, Job job) {
-  auto figures = [this, cls = static_cast<std::size_t>(job.cls)]() -> ClassFigures& { return counters_.classes[config_.names.classes.at(cls)]; };
-  if (left_early(connection)) return nullptr;
-  if (turned_away(connection)) return ++figures().rejected, nullptr;
+  auto figures = [this, cls = static_cast<std::size_t>(job.cls)]() -> ClassFigures& {
+    return counters_.classes[config_.names.classes.at(cls)];
+  };
+  if (left_early(connection))
+    return nullptr;
+  if (turned_away(connection))
+    return ++figures().rejected, nullptr;
   auto exchange = std::make_unique<PlainExchange>(engine_, connection);
   if (!exchange->take(std::move(job))) {
     ++counters_.requests_rejected;
@@ -192,17 +228,19 @@
   return exchange;
 }
 
-// Whatever a call-back says, the endpoint hears 200: it may be early, late, repeated or about a request of a
-// former life, and an endpoint that hears anything else only tells it again.
+// Whatever a call-back says, the endpoint hears 200: it may be early, late, repeated or about a
+// request of a former life, and an endpoint that hears anything else only tells it again.
 void PlatformFront::take_news(InboundConnection& connection, const HttpRequest& request) {
-  if (request.head.method != "POST") return connection.respond(405, "call-backs are posted\n");
+  if (request.head.method != "POST")
+    return connection.respond(405, "call-backs are posted\n");
   auto news = decode_news(request.body, config_.report_names);
   if (!news) {
     ++counters_.requests_rejected;
     return connection.respond(400, "malformed call-back\n");
   }
   // Answered only when it is in good hands: what is not answered comes again.
-  if (!outbound_.news(*news) && pass_news && !pass_news(request.body)) return connection.abandon();
+  if (!outbound_.news(*news) && pass_news && !pass_news(request.body))
+    return connection.abandon();
   connection.respond(200, "");
 }
 
--- a/node/inbound/platform_front.h
+++ b/node/inbound/platform_front.h
@@ -19,24 +19,28 @@
 std::variant<Job, Rejection> decode_job(HttpRequest request, const Names& names);
 
 // A call-back's body. Nothing: it is malformed.
-std::optional<News> decode_news(std::string_view body, const std::vector<std::string>& report_names);
+std::optional<News> decode_news(std::string_view body,
+                                const std::vector<std::string>& report_names);
 
 // Status, body and headers of a final answer that is a plain one.
 void respond_final(InboundConnection& connection, const FinalAnswer& answer);
 
 class PlatformFront final : public Front {
  public:
-  PlatformFront(net::EventLoop& loop, Engine& engine, Outbound& outbound, const Config& config, Counters& counters)
+  PlatformFront(net::EventLoop& loop, Engine& engine, Outbound& outbound, const Config& config,
+                Counters& counters)
       : loop_(loop), engine_(engine), outbound_(outbound), config_(config), counters_(counters) {}
 
   std::unique_ptr<Exchange> on_request(InboundConnection& connection, HttpRequest request) override;
   void on_malformed() override { ++counters_.requests_rejected; }
   std::function<bool()> ready;  // whether `GET /up` says so; empty: it does
-  // Of a call-back that fits no attempt here: whether whoever may own it has been told, or there is nobody else.
+  // Of a call-back that fits no attempt here: whether whoever may own it has been told, or there is
+  // nobody else.
   std::function<bool(const std::string& body)> pass_news;
   // The limit on connections: what comes over it is refused before the Engine sees it.
   bool turned_away(InboundConnection& connection);
-  // Its client has gone before its request was read, as happens where the loop was held up: nobody waits for an answer.
+  // Its client has gone before its request was read, as happens where the loop was held up: nobody
+  // waits for an answer.
   bool left_early(InboundConnection& connection);
   // One job, answered with a single plain answer.
   std::unique_ptr<Exchange> take_plain(InboundConnection& connection, Job job);
--- a/node/inbound/server.cpp
+++ b/node/inbound/server.cpp
@@ -19,32 +19,38 @@
 namespace {
 
 void must(bool ok, const char* what) {
-  if (!ok) throw std::system_error(errno, std::generic_category(), what);
+  if (!ok)
+    throw std::system_error(errno, std::generic_category(), what);
 }
 
 // A failed attempt to listen may be followed by others: it must not keep its descriptor.
 struct Descriptor {
   int fd;
   ~Descriptor() {
-    if (fd >= 0) ::close(fd);
+    if (fd >= 0)
+      ::close(fd);
   }
   int release() { return std::exchange(fd, -1); }
 };
 
 using namespace std::chrono_literals;
 
-// From a request's first byte to its last, and from a connection's start to the first byte of all: one that cannot
-// be read is owed an end within 3 s.
+// From a request's first byte to its last, and from a connection's start to the first byte of all:
+// one that cannot be read is owed an end within 3 s.
 constexpr Duration kRequestPatience = 2500ms;
 constexpr Duration kIdlePatience = 75s;
-constexpr Duration kLinger = 1s;    // for a client to read why its connection ends
-constexpr Duration kFresh = 100ms;  // in which a connection is not closed for others: its request is on the way
+constexpr Duration kLinger = 1s;  // for a client to read why its connection ends
+constexpr Duration kFresh =
+    100ms;  // in which a connection is not closed for others: its request is on the way
 constexpr Duration kFlushPatience = 30s;  // for a client to read what it was answered
 constexpr Duration kAcceptPause = 10ms;
-constexpr int kMostAccepts = 64;    // in one turn of the loop
-constexpr std::size_t kMostPassedOver = 8;  // that have something to say, when one is looked for to be closed
-constexpr std::size_t kReserve = 6;  // a sixth more connections than wanted are accepted, for call-backs
-constexpr std::size_t kMostWaiting = 16 * 1024;  // of a next request that comes early; times all connections
+constexpr int kMostAccepts = 64;  // in one turn of the loop
+constexpr std::size_t kMostPassedOver =
+    8;  // that have something to say, when one is looked for to be closed
+constexpr std::size_t kReserve =
+    6;  // a sixth more connections than wanted are accepted, for call-backs
+constexpr std::size_t kMostWaiting =
+    16 * 1024;  // of a next request that comes early; times all connections
 
 std::string_view reason(int status) {
   switch (status) {
@@ -82,66 +88,89 @@
   out += reason(status);
   out += "\r\n";
   for (const auto& [name, value] : headers)
-    if (name != "Connection") out += name + ": " + value + "\r\n";  // that one is the connection's own to say
+    if (name != "Connection")
+      out += name + ": " + value + "\r\n";  // that one is the connection's own to say
   return out;
 }
 
 }  // namespace
 
 InboundConnection::InboundConnection(Server& server, net::EventLoop& loop, Front& front)
-    : server_(server), loop_(loop), front_(front), connection_(loop, *this),
-      parser_(net::HttpParser::Kind::request, {}), since_(loop.now()) {
+    : server_(server),
+      loop_(loop),
+      front_(front),
+      connection_(loop, *this),
+      parser_(net::HttpParser::Kind::request, {}),
+      since_(loop.now()) {
   guard(kRequestPatience);
 }
 
-InboundConnection::~InboundConnection() { loop_.cancel(timer_); }
+InboundConnection::~InboundConnection() {
+  loop_.cancel(timer_);
+}
 
 void InboundConnection::guard(Duration patience) {
   loop_.cancel(timer_);
   timer_ = loop_.at(loop_.now() + patience, [this] {
-    // A request that came while this turn's other events were played has begun, though it is read in the next one.
+    // A request that came while this turn's other events were played has begun, though it is read
+    // in the next one.
     auto verdict = may_close();
     if (verdict.reason() == operation_guard::Reason::bytes_unread) {
-      if (server_.on_close_forbidden) server_.on_close_forbidden(verdict.reason());
+      if (server_.on_close_forbidden)
+        server_.on_close_forbidden(verdict.reason());
       return guard(kRequestPatience);
     }
     if (!busy_ && keep_alive_ && !parser_.idle())
       return respond(408, "request timed out\n", {{"Connection", "close"}});
-    if (connection_.pending() > 0) ++server_.counters_.slow_readers_closed;
+    if (connection_.pending() > 0)
+      ++server_.counters_.slow_readers_closed;
     abandon();
   });
 }
 
 operation_guard::Verdict InboundConnection::may_close() const {
-  if (!keep_alive_ && !busy_) return operation_guard::may_close({});  // it has its answer, and waits to see the end
-  return operation_guard::may_close({.request_in_hand = busy_ || !parser_.idle(), .answer_unsent = connection_.pending() > 0, .bytes_unread = connection_.unread()});
+  if (!keep_alive_ && !busy_)
+    return operation_guard::may_close({});  // it has its answer, and waits to see the end
+  return operation_guard::may_close({.request_in_hand = busy_ || !parser_.idle(),
+                                     .answer_unsent = connection_.pending() > 0,
+                                     .bytes_unread = connection_.unread()});
 }
 
 bool InboundConnection::crowded() {
   while (server_.connections_.size() > server_.most_)
-    if (!server_.free_one(this)) return true;
+    if (!server_.free_one(this))
+      return true;
   return false;
 }
 
 int InboundConnection::spare(TimePoint now) const {
-  if (busy_ || connection_.pending() > 0) return 0;
-  if (!keep_alive_) return kOnlyLingers;
-  if (!parser_.idle()) return now - begun_ >= kFresh ? 2 : 0;
-  if (asked_) return 1;
+  if (busy_ || connection_.pending() > 0)
+    return 0;
+  if (!keep_alive_)
+    return kOnlyLingers;
+  if (!parser_.idle())
+    return now - begun_ >= kFresh ? 2 : 0;
+  if (asked_)
+    return 1;
   return now - since_ >= kFresh ? 2 : 0;
 }
 
 void InboundConnection::on_data(std::string_view bytes) {
-  if (!busy_ && !keep_alive_) return;  // answered, and closing
+  if (!busy_ && !keep_alive_)
+    return;  // answered, and closing
   waiting_ += bytes;
-  if (!busy_) parse();
-  // One request at a time: little of a further one is read before the present one is answered. Reading goes on for
-  // as long as it does because that is how a client's going is noticed; a paused connection still hears of its end.
-  if (waiting_.size() > kMostWaiting) connection_.pause_reading(true);
+  if (!busy_)
+    parse();
+  // One request at a time: little of a further one is read before the present one is answered.
+  // Reading goes on for as long as it does because that is how a client's going is noticed; a
+  // paused connection still hears of its end.
+  if (waiting_.size() > kMostWaiting)
+    connection_.pause_reading(true);
 }
 
 void InboundConnection::parse() {
-  if (std::exchange(parsing_, true)) return;
+  if (std::exchange(parsing_, true))
+    return;
   std::size_t used = 0;
   while (used < waiting_.size() && !busy_ && keep_alive_ && !over_ && connection_.open()) {
     bool fresh = parser_.idle();
@@ -151,7 +180,9 @@
       reject();
     } else if (fresh && !busy_ && !parser_.idle()) {
       begun_ = loop_.now();
-      if (asked_) guard(kRequestPatience);  // a request that has begun must get on: a slow sender holds a descriptor
+      if (asked_)
+        guard(kRequestPatience);  // a request that has begun must get on: a slow sender holds a
+                                  // descriptor
     }
   }
   waiting_.erase(0, used);
@@ -161,7 +192,8 @@
 void InboundConnection::on_head(const net::Head& head) {
   request_.head = head;
   request_.body.clear();
-  if (net::same_word(head.find("Expect"), "100-continue")) connection_.write("HTTP/1.1 100 Continue\r\n\r\n");
+  if (net::same_word(head.find("Expect"), "100-continue"))
+    connection_.write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
 void InboundConnection::on_complete() {
@@ -171,12 +203,16 @@
   // A fault of a front must not reach the other connections.
   try {
     auto exchange = front_.on_request(*this, std::exchange(request_, {}));
-    if (exchange && over_) exchange->on_client_gone();  // it has gone while its request was taken
-    if (busy_ && !over_) exchange_ = std::move(exchange);
-    else loop_.dispose(std::move(exchange));
+    if (exchange && over_)
+      exchange->on_client_gone();  // it has gone while its request was taken
+    if (busy_ && !over_)
+      exchange_ = std::move(exchange);
+    else
+      loop_.dispose(std::move(exchange));
   } catch (const std::exception& fault) {
     log::error(log::Subsystem::inbound, "request-failed", {{"fault", fault.what()}});
-    if (busy_ && !over_) respond(500, "internal error\n", {{"Connection", "close"}});
+    if (busy_ && !over_)
+      respond(500, "internal error\n", {{"Connection", "close"}});
   }
 }
 
@@ -194,13 +230,17 @@
 }
 
 void InboundConnection::respond(int status, std::string_view body, const ExtraHeaders& headers) {
-  if (over_) return;
-  if (server_.draining_) keep_alive_ = false;
+  if (over_)
+    return;
+  if (server_.draining_)
+    keep_alive_ = false;
   for (const auto& [name, value] : headers)
-    if (name == "Connection" && value == "close") keep_alive_ = false;
+    if (name == "Connection" && value == "close")
+      keep_alive_ = false;
   std::string out = head_text(status, headers);
   out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  if (!keep_alive_) out += "Connection: close\r\n";
+  if (!keep_alive_)
+    out += "Connection: close\r\n";
   out += "\r\n";
   out += body;
   connection_.write(out);
@@ -208,14 +248,17 @@
 }
 
 void InboundConnection::begin_stream(int status, const ExtraHeaders& headers) {
-  if (server_.draining_) keep_alive_ = false;
+  if (server_.draining_)
+    keep_alive_ = false;
   std::string out = head_text(status, headers) + "Transfer-Encoding: chunked\r\n";
-  if (!keep_alive_) out += "Connection: close\r\n";
+  if (!keep_alive_)
+    out += "Connection: close\r\n";
   connection_.write(out + "\r\n");
 }
 
 void InboundConnection::stream(std::string_view piece) {
-  if (over_ || piece.empty()) return;
+  if (over_ || piece.empty())
+    return;
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
   std::string out = size;
@@ -225,7 +268,8 @@
 }
 
 void InboundConnection::end_stream() {
-  if (over_) return;
+  if (over_)
+    return;
   connection_.write("0\r\n\r\n");
   finished();
 }
@@ -234,7 +278,8 @@
   busy_ = false;
   since_ = loop_.now();
   loop_.dispose(std::move(exchange_));
-  if (!connection_.open()) return;
+  if (!connection_.open())
+    return;
   guard(connection_.pending() > 0 ? kFlushPatience : kIdlePatience);
   if (!keep_alive_) {
     guard(connection_.pending() > 0 ? kFlushPatience : kLinger);
@@ -243,24 +288,31 @@
   connection_.pause_reading(false);
   if (!waiting_.empty() && !parsing_)
     loop_.defer([this, &loop = loop_, alive = std::weak_ptr<int>(alive_)] {
-      if (!alive.expired()) parse();
+      if (!alive.expired())
+        parse();
     });
 }
 
 void InboundConnection::on_flushed() {
-  if (!busy_ && parser_.idle()) guard(kIdlePatience);
+  if (!busy_ && parser_.idle())
+    guard(kIdlePatience);
 }
 
-void InboundConnection::on_closed(int) { over(); }
+void InboundConnection::on_closed(int) {
+  over();
+}
 
 void InboundConnection::abandon() {
-  if (server_.monitor_) server_.monitor_->connection_closed(exchange_ != nullptr, connection_.peer_ended(), loop_.now());
+  if (server_.monitor_)
+    server_.monitor_->connection_closed(exchange_ != nullptr, connection_.peer_ended(),
+                                        loop_.now());
   connection_.close();
   over();
 }
 
 void InboundConnection::over() {
-  if (std::exchange(over_, true)) return;
+  if (std::exchange(over_, true))
+    return;
   loop_.cancel(timer_);
   if (auto exchange = std::move(exchange_)) {
     exchange->on_client_gone();
@@ -272,18 +324,22 @@
 Server::Server(net::EventLoop& loop, Front& front, std::size_t most_connections, Counters& counters)
     : loop_(loop), front_(front), most_(most_connections), counters_(counters) {}
 
-Server::~Server() { close(); }
+Server::~Server() {
+  close();
+}
 
 void Server::listen(const net::Address& address) {
   Descriptor made{net::open_socket(AF_INET, SOCK_STREAM)};
   must(made.fd >= 0, "socket");
   int on = 1;
   setsockopt(made.fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  must(::bind(made.fd, reinterpret_cast<const sockaddr*>(&address.in), sizeof address.in) == 0, "bind");
+  must(::bind(made.fd, reinterpret_cast<const sockaddr*>(&address.in), sizeof address.in) == 0,
+       "bind");
   serve(made.release());
 }
 
-// Whoever holds it has set its backlog. It does not block for them either; the flag is the socket's, not ours.
+// Whoever holds it has set its backlog. It does not block for them either; the flag is the
+// socket's, not ours.
 void Server::inherit(int fd) {
   fd_ = fd;
   must(::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) | O_NONBLOCK) == 0, "fcntl");
@@ -295,13 +351,16 @@
 void Server::listen(const std::string& path) {
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
-  if (path.size() >= sizeof to.sun_path) throw std::system_error(ENAMETOOLONG, std::generic_category(), path);
+  if (path.size() >= sizeof to.sun_path)
+    throw std::system_error(ENAMETOOLONG, std::generic_category(), path);
   path.copy(to.sun_path, sizeof to.sun_path - 1);
   const auto* address = reinterpret_cast<const sockaddr*>(&to);
   Descriptor probe{net::open_socket(AF_UNIX, SOCK_STREAM)};
   must(probe.fd >= 0, "socket");
-  if (::connect(probe.fd, address, sizeof to) == 0) throw std::system_error(EADDRINUSE, std::generic_category(), path);
-  if (errno == ECONNREFUSED) ::unlink(path.c_str());
+  if (::connect(probe.fd, address, sizeof to) == 0)
+    throw std::system_error(EADDRINUSE, std::generic_category(), path);
+  if (errno == ECONNREFUSED)
+    ::unlink(path.c_str());
   Descriptor made{net::open_socket(AF_UNIX, SOCK_STREAM)};
   must(made.fd >= 0, "socket");
   mode_t usual = ::umask(0177);  // there is never a moment in which others may connect
@@ -326,28 +385,37 @@
   return bound;
 }
 
-void Server::on_ready(std::uint32_t) { accept(); }
+void Server::on_ready(std::uint32_t) {
+  accept();
+}
 
-// What the kernel has accepted is taken by the platform's rules, so nothing waits in the backlog if it can be
-// helped: others make room first, and only when none can be spared does accepting pause. Who connects faster than we
-// accept must not hold the loop: after some the others get their turn.
+// What the kernel has accepted is taken by the platform's rules, so nothing waits in the backlog if
+// it can be helped: others make room first, and only when none can be spared does accepting pause.
+// Who connects faster than we accept must not hold the loop: after some the others get their turn.
 void Server::accept(bool all) {
   for (int count = 0; fd_ >= 0 && accepting_; ++count) {
-    if (count == kMostAccepts && !all) return loop_.next_turn(registration_);
-    if (connections_.size() >= most_ + most_ / kReserve && !free_one()) return pause();
+    if (count == kMostAccepts && !all)
+      return loop_.next_turn(registration_);
+    if (connections_.size() >= most_ + most_ / kReserve && !free_one())
+      return pause();
     int fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
-      if (errno == EAGAIN) return;
-      if (errno == EINTR || errno == ECONNABORTED) continue;
-      if (free_one() || (on_pressure && on_pressure())) continue;
+      if (errno == EAGAIN)
+        return;
+      if (errno == EINTR || errno == ECONNABORTED)
+        continue;
+      if (free_one() || (on_pressure && on_pressure()))
+        continue;
       return pause();  // EMFILE, ENFILE, ENOMEM
     }
-    if (connections_.size() >= most_) free_one();
+    if (connections_.size() >= most_)
+      free_one();
     ++counters_.connections_accepted;
     auto connection = std::make_unique<InboundConnection>(*this, loop_, front_);
     InboundConnection* raw = connection.get();
     connections_.emplace(raw, std::move(connection));
-    if (!raw->adopt(fd)) raw->over();
+    if (!raw->adopt(fd))
+      raw->over();
   }
 }
 
@@ -364,7 +432,8 @@
   TimePoint now = loop_.now();
   while (passed_over.size() <= kMostPassedOver) {
     InboundConnection* best = most_spare(now, passed_over);
-    if (!best) return false;
+    if (!best)
+      return false;
     if (best->spare(now) == InboundConnection::kOnlyLingers || best->quiet()) {
       ++counters_.connections_shed;
       best->abandon();
@@ -375,13 +444,16 @@
   return false;
 }
 
-InboundConnection* Server::most_spare(TimePoint now, const std::vector<const InboundConnection*>& but) const {
+InboundConnection* Server::most_spare(TimePoint now,
+                                      const std::vector<const InboundConnection*>& but) const {
   InboundConnection* best = nullptr;
   int most = 0;
   for (const auto& [raw, connection] : connections_) {
     int spare = raw->spare(now);
-    if (spare == 0 || spare < most || (spare == most && raw->since() >= best->since())) continue;
-    if (std::find(but.begin(), but.end(), raw) != but.end()) continue;
+    if (spare == 0 || spare < most || (spare == most && raw->since() >= best->since()))
+      continue;
+    if (std::find(but.begin(), but.end(), raw) != but.end())
+      continue;
     best = raw;
     most = spare;
   }
@@ -390,47 +462,58 @@
 
 void Server::remove(InboundConnection& connection) {
   auto it = connections_.find(&connection);
-  if (it == connections_.end()) return;
+  if (it == connections_.end())
+    return;
   loop_.dispose(std::move(it->second));
   connections_.erase(it);
 }
 
 std::size_t Server::busy() const {
   std::size_t count = 0;
-  for (const auto& [raw, connection] : connections_) count += !raw->idle();
+  for (const auto& [raw, connection] : connections_)
+    count += !raw->idle();
   return count;
 }
 
-void Server::drain() { draining_ = true; }
+void Server::drain() {
+  draining_ = true;
+}
 
 void Server::accepting(bool on) {
   accepting_ = on;
-  if (on) accept();
+  if (on)
+    accept();
 }
 
 void Server::close_idle() {
   std::vector<InboundConnection*> idle;
   for (auto& [raw, connection] : connections_)
-    if (raw->spare(loop_.now()) > 0 && raw->idle()) idle.push_back(raw);
+    if (raw->spare(loop_.now()) > 0 && raw->idle())
+      idle.push_back(raw);
   for (InboundConnection* connection : idle) {
     auto verdict = connection->may_close();  // asked at the last moment
-    if (verdict.allowed()) connection->abandon();
-    else if (on_close_forbidden) on_close_forbidden(verdict.reason());
+    if (verdict.allowed())
+      connection->abandon();
+    else if (on_close_forbidden)
+      on_close_forbidden(verdict.reason());
   }
 }
 
 void Server::take_the_last() {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   accept(true);
   close();
 }
 
 void Server::close() {
   loop_.cancel(pause_);
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   loop_.forget(registration_);
   ::close(std::exchange(fd_, -1));
-  if (!path_.empty()) ::unlink(path_.c_str());
+  if (!path_.empty())
+    ::unlink(path_.c_str());
 }
 
 }  // namespace keelflow
--- a/node/inbound/server.h
+++ b/node/inbound/server.h
@@ -21,7 +21,8 @@
 
 class InboundConnection;
 
-// A request that a front has not finished answering. Kept by its connection, and told when the client has gone.
+// A request that a front has not finished answering. Kept by its connection, and told when the
+// client has gone.
 class Exchange {
  public:
   virtual ~Exchange() = default;
@@ -32,7 +33,8 @@
  public:
   virtual ~Front() = default;
   // Answers at once and returns null, or returns what will answer later.
-  virtual std::unique_ptr<Exchange> on_request(InboundConnection& connection, HttpRequest request) = 0;
+  virtual std::unique_ptr<Exchange> on_request(InboundConnection& connection,
+                                               HttpRequest request) = 0;
   virtual void on_malformed() {}
 };
 
@@ -51,18 +53,25 @@
   void stream(std::string_view piece);
   void end_stream();
   std::size_t pending() const { return connection_.pending(); }
-  bool crowded();  // the server has more connections than it wants and none to spare: new jobs are refused
-  // How readily this one is closed when others need its descriptor; zero: not at all. Those that are only waiting for
-  // their client to see the end go first, then those that never asked or do not get on with asking, then idle ones.
-  // A connection that has just come is spared: a client whose first request is cut off counts as failed.
+  bool crowded();  // the server has more connections than it wants and none to spare: new jobs are
+                   // refused
+  // How readily this one is closed when others need its descriptor; zero: not at all. Those that
+  // are only waiting for their client to see the end go first, then those that never asked or do
+  // not get on with asking, then idle ones. A connection that has just come is spared: a client
+  // whose first request is cut off counts as failed.
   int spare(TimePoint now) const;
   static constexpr int kOnlyLingers = 3;  // waits only for its client to see the end
-  // Nothing begun, nothing owed, and nothing unread: a connection that is closed must not take a request with it.
-  bool idle() const { return !busy_ && parser_.idle() && connection_.pending() == 0 && connection_.quiet(); }
+  // Nothing begun, nothing owed, and nothing unread: a connection that is closed must not take a
+  // request with it.
+  bool idle() const {
+    return !busy_ && parser_.idle() && connection_.pending() == 0 && connection_.quiet();
+  }
   // By this process' own choice, while its client may still want something of it.
   operation_guard::Verdict may_close() const;
   bool quiet() const { return connection_.quiet(); }
-  bool client_left() const { return connection_.peer_ended(); }  // it sent no more than what has been read so far
+  bool client_left() const {
+    return connection_.peer_ended();
+  }  // it sent no more than what has been read so far
   TimePoint since() const { return since_; }
   void abandon();  // closes; an exchange in hand hears that its client has gone
 
@@ -89,7 +98,8 @@
   std::string waiting_;  // bytes of the next request, held until this one is answered
   std::unique_ptr<Exchange> exchange_;
   bool busy_ = false, parsing_ = false, keep_alive_ = true, over_ = false, asked_ = false;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // deferred work asks whether we still exist
+  std::shared_ptr<int> alive_ =
+      std::make_shared<int>(0);  // deferred work asks whether we still exist
   TimePoint since_, begun_;  // of the last answer, or the start; of the request that is being read
   TimerId timer_ = 0;
 };
@@ -101,9 +111,10 @@
 
   void listen(const net::Address& address);  // throws std::system_error
   void inherit(int fd);                      // a listening socket that others hold too
-  // A Unix socket of mode 0600. A leftover of a program that has ended is replaced; one that answers is an error.
+  // A Unix socket of mode 0600. A leftover of a program that has ended is replaced; one that
+  // answers is an error.
   void listen(const std::string& path);
-  net::Address address() const;              // the one bound
+  net::Address address() const;  // the one bound
   void accepting(bool on);  // off: connections are left to others who hold the listening socket
   void limit(std::size_t most) { most_ = most; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
@@ -112,7 +123,8 @@
   // From here on answers end their connection. Accepting goes on until `close`.
   void drain();
   void close_idle();
-  // Accepts what the kernel has accepted, all of it, and listens no more: whoever connects later is told so at once.
+  // Accepts what the kernel has accepted, all of it, and listens no more: whoever connects later is
+  // told so at once.
   void take_the_last();
   void close();
   std::size_t connections() const { return connections_.size(); }
@@ -128,7 +140,8 @@
   void serve(int fd);
   void pause();
   bool free_one(const InboundConnection* except = nullptr);
-  InboundConnection* most_spare(TimePoint now, const std::vector<const InboundConnection*>& but) const;
+  InboundConnection* most_spare(TimePoint now,
+                                const std::vector<const InboundConnection*>& but) const;
   void remove(InboundConnection& connection);
 
   net::EventLoop& loop_;
--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -18,7 +18,8 @@
 std::string_view header(std::string_view bytes, std::string_view name) {
   std::string wanted = "\r\n" + std::string(name) + ": ";
   auto at = bytes.find(wanted);
-  if (at == bytes.npos || at > bytes.find("\r\n\r\n")) return {};
+  if (at == bytes.npos || at > bytes.find("\r\n\r\n"))
+    return {};
   at += wanted.size();
   return bytes.substr(at, bytes.find("\r\n", at) - at);
 }
@@ -32,13 +33,15 @@
 }
 
 void Monitor::note(std::string event) {
-  if (events_.size() >= kMostEvents) events_.pop_front();
+  if (events_.size() >= kMostEvents)
+    events_.pop_front();
   events_.push_back(std::move(event));
 }
 
 std::string Monitor::last_events() const {
   std::string all;
-  for (const std::string& event : events_) all += event + "\n";
+  for (const std::string& event : events_)
+    all += event + "\n";
   return all;
 }
 
@@ -51,26 +54,35 @@
 
 void Monitor::list_received(std::string_view object, TimePoint now) {
   auto list = nlohmann::json::parse(object, nullptr, false);
-  if (!list.is_object() || !list.contains("hosts") || !list["hosts"].is_array()) return;
+  if (!list.is_object() || !list.contains("hosts") || !list["hosts"].is_array())
+    return;
   bool whole = list.contains("whole") && list["whole"] == true;
-  std::uint64_t version =
-      list.contains("seq") && list["seq"].is_number_unsigned() ? list["seq"].get<std::uint64_t>() : version_;
-  if (!whole && version < version_) return;  // overtaken
+  std::uint64_t version = list.contains("seq") && list["seq"].is_number_unsigned()
+                              ? list["seq"].get<std::uint64_t>()
+                              : version_;
+  if (!whole && version < version_)
+    return;  // overtaken
   version_ = version;
   if (whole)
-    for (auto& [host, since] : not_ready_since_) since = since.value_or(now);
+    for (auto& [host, since] : not_ready_since_)
+      since = since.value_or(now);
   for (const auto& entry : list["hosts"]) {
-    if (!entry.is_object() || !entry.contains("host") || !entry["host"].is_string()) continue;
+    if (!entry.is_object() || !entry.contains("host") || !entry["host"].is_string())
+      continue;
     bool ready = entry.contains("health") && entry["health"] == "ready";
     auto& since = not_ready_since_[entry["host"].get<std::string>()];
-    if (ready) since.reset();
-    else since = since.value_or(now);
+    if (ready)
+      since.reset();
+    else
+      since = since.value_or(now);
   }
   confirmed_ = now;
   note("list " + std::to_string(list["hosts"].size()) + (whole ? " whole" : ""));
 }
 
-void Monitor::heartbeat_received(TimePoint now) { confirmed_ = now; }
+void Monitor::heartbeat_received(TimePoint now) {
+  confirmed_ = now;
+}
 
 void Monitor::discovery_unavailable(TimePoint now) {
   confirmed_ = now;
@@ -85,21 +97,24 @@
 
 void Monitor::client_left(const std::string& id, TimePoint now) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.client_left) return;
+  if (it == requests_.end() || it->second.client_left)
+    return;
   it->second.client_left = now;
   note("client left " + id);
 }
 
 void Monitor::request_over(const std::string& id) {
   auto it = requests_.find(id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end())
+    return;
   it->second.over = true;
   forget_if_over(id);
 }
 
 void Monitor::forget_if_over(const std::string& id) {
   auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.over && it->second.out.empty()) requests_.erase(it);
+  if (it != requests_.end() && it->second.over && it->second.out.empty())
+    requests_.erase(it);
 }
 
 void Monitor::connection_closed(bool request_unanswered, bool client_left, TimePoint) {
@@ -109,14 +124,16 @@
 
 void Monitor::check_list(const std::string& id, const std::string& host, TimePoint now) {
   auto known = not_ready_since_.find(host);
-  if (known != not_ready_since_.end() && known->second && now > *known->second + terms_.drain_grace + kSlack)
+  if (known != not_ready_since_.end() && known->second &&
+      now > *known->second + terms_.drain_grace + kSlack)
     violate(Rule::drain, id + " to " + host);
   if (!confirmed_ || now > *confirmed_ + kChangeCountsWithin + terms_.drain_grace)
     violate(Rule::stale_list, id + " to " + host);
 }
 
 void Monitor::count_whole(Request& request, const std::string& id, reedlb::Effect effect) {
-  if (++request.whole_writes > 1 && effect == reedlb::Effect::unsafe) violate(Rule::repeat, id);
+  if (++request.whole_writes > 1 && effect == reedlb::Effect::unsafe)
+    violate(Rule::repeat, id);
 }
 
 void Monitor::attempt_written(const std::string& host, std::string_view bytes, bool whole,
@@ -125,7 +142,8 @@
   note("write " + id + " to " + host);
   check_list(id, host, now);
   auto it = requests_.find(id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end())
+    return;
   Request& request = it->second;
   if (request.client_left && now > *request.client_left + kClientLeftSlack)
     violate(Rule::client_gone, id + " to " + host);
@@ -137,14 +155,17 @@
   if (std::chrono::milliseconds(told) > request.deadline - now + kDeadlineSlack)
     violate(Rule::deadline, id + " to " + host);
   request.out.emplace(host, whole);
-  if (whole) count_whole(request, id, effect);
+  if (whole)
+    count_whole(request, id, effect);
 }
 
 void Monitor::last_byte_written(const std::string& id, reedlb::Effect effect, TimePoint) {
   auto it = requests_.find(id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end())
+    return;
   for (auto& [host, whole] : it->second.out) {
-    if (whole) continue;
+    if (whole)
+      continue;
     whole = true;
     return count_whole(it->second, id, effect);
   }
@@ -152,10 +173,13 @@
 
 void Monitor::attempt_over(const std::string& id, const std::string& host, bool never_ran) {
   auto it = requests_.find(id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end())
+    return;
   auto out = it->second.out.find(host);
-  if (out == it->second.out.end()) return;
-  if (out->second && never_ran) --it->second.whole_writes;
+  if (out == it->second.out.end())
+    return;
+  if (out->second && never_ran)
+    --it->second.whole_writes;
   it->second.out.erase(out);
   forget_if_over(id);
 }
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -1,7 +1,7 @@
-// Watches what this process really does: bytes written to endpoints, lists and refusals that came from
-// discovery, requests read, answers given, connections closed. It keeps records of its own, shares no code
-// with the operation guard, decides nothing, and counts what breaks a rule. In test builds a violation ends
-// the process with its last events.
+// Watches what this process really does: bytes written to endpoints, lists and refusals that came
+// from discovery, requests read, answers given, connections closed. It keeps records of its own,
+// shares no code with the operation guard, decides nothing, and counts what breaks a rule. In test
+// builds a violation ends the process with its last events.
 #pragma once
 
 #include <array>
@@ -20,12 +20,12 @@
 namespace keelflow::invariants {
 
 enum class Rule : std::uint8_t {
-  drain,  // nothing goes to an endpoint that the list received last did not name ready, once the grace is
-          // over
-  stale_list,   // nothing is sent by a list that nothing has confirmed for longer than a change may take to
-                // count
-  one_attempt,  // no attempt begins at an endpoint that still has one of the same request, nor beside any
-                // where that is barred
+  drain,  // nothing goes to an endpoint that the list received last did not name ready, once the
+          // grace is over
+  stale_list,   // nothing is sent by a list that nothing has confirmed for longer than a change may
+                // take to count
+  one_attempt,  // no attempt begins at an endpoint that still has one of the same request, nor
+                // beside any where that is barred
   repeat,       // unsafe work is written to its last byte once
   client_gone,  // no attempt begins for a client that left more than a moment ago
   deadline,     // an endpoint is told no more time than the client has left
@@ -47,8 +47,8 @@
 
   void change(const Terms& terms) { terms_ = terms; }
 
-  // Discovery: one whole JSON object, as it came; any further word on a call that has brought one; a call
-  // that was refused or never came up.
+  // Discovery: one whole JSON object, as it came; any further word on a call that has brought one;
+  // a call that was refused or never came up.
   void list_received(std::string_view object, TimePoint now);
   void heartbeat_received(TimePoint now);
   void discovery_unavailable(TimePoint now);
@@ -57,13 +57,13 @@
   void request_read(const std::string& id, Duration patience, TimePoint now);
   void client_left(const std::string& id, TimePoint now);
   void request_over(const std::string& id);  // its final answer is written, or its client has left
-  // Of a connection that has a request which was read: an answer begins; the connection is closed by this
-  // process.
+  // Of a connection that has a request which was read: an answer begins; the connection is closed
+  // by this process.
   void connection_closed(bool request_unanswered, bool client_left, TimePoint now);
 
   // Endpoints. `bytes`: what is written first of an attempt, with its head.
-  void attempt_written(const std::string& host, std::string_view bytes, bool whole, reedlb::Effect effect,
-                       TimePoint now);
+  void attempt_written(const std::string& host, std::string_view bytes, bool whole,
+                       reedlb::Effect effect, TimePoint now);
   void last_byte_written(const std::string& id, reedlb::Effect effect, TimePoint now);
   void attempt_over(const std::string& id, const std::string& host, bool never_ran);
 
@@ -77,7 +77,7 @@
     std::optional<TimePoint> client_left;
     TimePoint deadline;
     bool over = false;
-    int whole_writes = 0;                  // attempts that were written to their last byte and may have run
+    int whole_writes = 0;  // attempts that were written to their last byte and may have run
     std::multimap<std::string, bool> out;  // by host: whether its last byte was written
   };
 
@@ -89,7 +89,8 @@
 
   Terms terms_;
   Listener violated_;
-  std::unordered_map<std::string, std::optional<TimePoint>> not_ready_since_;  // by host; empty: it is ready
+  std::unordered_map<std::string, std::optional<TimePoint>>
+      not_ready_since_;  // by host; empty: it is ready
   std::uint64_t version_ = 0;
   std::optional<TimePoint> confirmed_;
   std::unordered_map<std::string, Request> requests_;
--- a/node/log/log.h
+++ b/node/log/log.h
@@ -1,6 +1,7 @@
-// Structured logging: an event, then fields, as key=value or as JSON lines. Records go through a bounded queue to a
-// thread that writes them; when whoever reads the log stalls, the oldest are dropped and counted, and the loop goes on.
-// spdlog does the queue, the thread and the levels. Nothing is formatted for a record that its level leaves out.
+// Structured logging: an event, then fields, as key=value or as JSON lines. Records go through a
+// bounded queue to a thread that writes them; when whoever reads the log stalls, the oldest are
+// dropped and counted, and the loop goes on. spdlog does the queue, the thread and the levels.
+// Nothing is formatted for a record that its level leaves out.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,17 @@
 
 namespace keelflow::log {
 
-enum class Subsystem : std::uint8_t { node, inbound, routes, moves, admin, progress, plugins, fleet, discovery };
+enum class Subsystem : std::uint8_t {
+  node,
+  inbound,
+  routes,
+  moves,
+  admin,
+  progress,
+  plugins,
+  fleet,
+  discovery
+};
 enum class Level : std::uint8_t { debug, info, warning, error };
 
 std::string_view word(Subsystem subsystem);
@@ -43,21 +54,29 @@
   Value value;
 };
 
-// Starts logging, or goes over to other settings. Signals must be blocked before, as a thread is started. Before it
-// and after `close`, records are dropped. Throws std::system_error if the file cannot be opened.
+// Starts logging, or goes over to other settings. Signals must be blocked before, as a thread is
+// started. Before it and after `close`, records are dropped. Throws std::system_error if the file
+// cannot be opened.
 void open(const Settings& settings);
 void reopen();  // the file, after it was renamed
-// Waits a little for what is queued to be written. False: whoever reads stalls; the process then ends by _exit, as the
-// thread cannot be joined.
+// Waits a little for what is queued to be written. False: whoever reads stalls; the process then
+// ends by _exit, as the thread cannot be joined.
 bool close();
 
 bool on(Subsystem subsystem, Level level);
-void write(Subsystem subsystem, Level level, std::string_view event, const std::vector<Field>& fields = {});
+void write(Subsystem subsystem, Level level, std::string_view event,
+           const std::vector<Field>& fields = {});
 std::uint64_t dropped();
 
-inline void info(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) { write(s, Level::info, event, fields); }
-inline void warning(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) { write(s, Level::warning, event, fields); }
-inline void error(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) { write(s, Level::error, event, fields); }
+inline void info(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) {
+  write(s, Level::info, event, fields);
+}
+inline void warning(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) {
+  write(s, Level::warning, event, fields);
+}
+inline void error(Subsystem s, std::string_view event, const std::vector<Field>& fields = {}) {
+  write(s, Level::error, event, fields);
+}
 
 // For tests: a record's text as it is written, without time and level.
 std::string render(bool json, std::string_view event, const std::vector<Field>& fields);
--- a/node/net/address.h
+++ b/node/net/address.h
@@ -25,7 +25,8 @@
 
 inline std::optional<Address> parse_address(std::string_view text) {
   auto colon = text.rfind(':');
-  if (colon == std::string_view::npos) return std::nullopt;
+  if (colon == std::string_view::npos)
+    return std::nullopt;
   std::string host(text.substr(0, colon));
   std::string_view digits = text.substr(colon + 1);
   std::uint16_t port = 0;
@@ -33,8 +34,10 @@
   Address address;
   address.in.sin_family = AF_INET;
   address.in.sin_port = htons(port);
-  if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
-  if (inet_pton(AF_INET, host.c_str(), &address.in.sin_addr) != 1) return std::nullopt;
+  if (error != std::errc() || end != digits.data() + digits.size())
+    return std::nullopt;
+  if (inet_pton(AF_INET, host.c_str(), &address.in.sin_addr) != 1)
+    return std::nullopt;
   return address;
 }
 
--- a/node/net/connection.cpp
+++ b/node/net/connection.cpp
@@ -12,7 +12,8 @@
 namespace keelflow::net {
 namespace {
 
-constexpr std::size_t kShare = 64 * 1024;    // read in one turn of the loop; a fast sender must not hold it
+constexpr std::size_t kShare =
+    64 * 1024;  // read in one turn of the loop; a fast sender must not hold it
 constexpr std::size_t kMostDropped = 1 << 20;  // of what a peer sends after its last answer
 
 }  // namespace
@@ -28,7 +29,8 @@
     return false;
   }
   fd_ = fd;
-  if (preferred_) loop_.prefer(registration_);
+  if (preferred_)
+    loop_.prefer(registration_);
   return true;
 }
 
@@ -39,8 +41,10 @@
 
 bool Connection::connect(const Address& to) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return false;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&to.in), sizeof to.in) != 0 && errno != EINPROGRESS) {
+  if (fd < 0)
+    return false;
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&to.in), sizeof to.in) != 0 &&
+      errno != EINPROGRESS) {
     int error = errno;
     ::close(fd);
     errno = error;
@@ -50,32 +54,38 @@
 }
 
 void Connection::write(std::string_view bytes) {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   out_.append(bytes);
-  if (connected_) flush();
+  if (connected_)
+    flush();
 }
 
 void Connection::close() {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   loop_.forget(registration_);
   ::close(std::exchange(fd_, -1));
 }
 
 void Connection::reset() {
   linger none{.l_onoff = 1, .l_linger = 0};
-  if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_LINGER, &none, sizeof none);
+  if (fd_ >= 0)
+    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &none, sizeof none);
   close();
 }
 
 void Connection::fail(int error) {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   close();
   events_.on_closed(error);
 }
 
 void Connection::pause_reading(bool pause) {
   paused_ = pause;
-  if (!pause && readable_) read();  // the edge came while paused and will not come again
+  if (!pause && readable_)
+    read();  // the edge came while paused and will not come again
 }
 
 bool Connection::quiet() const {
@@ -93,25 +103,33 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return fail(error);
-    if (!(events & EPOLLOUT)) return;
+    if (error != 0)
+      return fail(error);
+    if (!(events & EPOLLOUT))
+      return;
     connected_ = true;
     events_.on_connected();
-    if (fd_ < 0) return;
+    if (fd_ < 0)
+      return;
   }
   // What the peer sent before it went away is read before its going is reported.
   if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-    if (!std::exchange(readable_, true)) readable_since_ = loop_.last_look();
+    if (!std::exchange(readable_, true))
+      readable_since_ = loop_.last_look();
     hung_up_ = hung_up_ || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR));
-    if (!waits_turn_) read();
+    if (!waits_turn_)
+      read();
   }
-  if (fd_ >= 0 && (events & EPOLLOUT)) flush();
+  if (fd_ >= 0 && (events & EPOLLOUT))
+    flush();
 }
 
 EventLoop::Order Connection::order(std::uint32_t events) const {
   bool gone = (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-  if (preferred_) return EventLoop::Order::list;
-  if (!gone) return EventLoop::Order::other;
+  if (preferred_)
+    return EventLoop::Order::list;
+  if (!gone)
+    return EventLoop::Order::other;
   return adopted_ ? EventLoop::Order::client_gone : EventLoop::Order::peer_gone;
 }
 
@@ -124,14 +142,17 @@
   std::array<char, 16384> buffer;
   for (std::size_t share = 0; fd_ >= 0 && !paused_;) {
     if (share >= kShare) {
-      if (!std::exchange(waits_turn_, true)) loop_.next_turn(registration_);
+      if (!std::exchange(waits_turn_, true))
+        loop_.next_turn(registration_);
       return;
     }
     ssize_t got = ::recv(fd_, buffer.data(), buffer.size(), 0);
     if (got > 0) {
       share += static_cast<std::size_t>(got);
-      if (!lingering_) events_.on_data({buffer.data(), static_cast<std::size_t>(got)});
-      else if ((dropped_ += static_cast<std::size_t>(got)) > kMostDropped) return fail(0);
+      if (!lingering_)
+        events_.on_data({buffer.data(), static_cast<std::size_t>(got)});
+      else if ((dropped_ += static_cast<std::size_t>(got)) > kMostDropped)
+        return fail(0);
     } else if (got == 0) {
       return fail(0);
     } else if (errno == EAGAIN) {
@@ -142,11 +163,13 @@
     }
   }
   // Paused, perhaps by what was read just now: no edge will tell again that the peer has gone.
-  if (fd_ >= 0 && hung_up_) fail(0);
+  if (fd_ >= 0 && hung_up_)
+    fail(0);
 }
 
 void Connection::flush() {
-  if (fd_ < 0 || !connected_) return;
+  if (fd_ < 0 || !connected_)
+    return;
   bool had = pending() > 0;
   while (pending() > 0) {
     ssize_t sent = ::send(fd_, out_.data() + out_at_, pending(), MSG_NOSIGNAL);
@@ -156,14 +179,15 @@
     } else if (errno == EAGAIN) {
       return;
     } else if (errno != EINTR) {
-      // The peer is gone. Its last words may still be unread, and the owner may be the one who called write:
-      // the read side reports it, in a turn of its own.
+      // The peer is gone. Its last words may still be unread, and the owner may be the one who
+      // called write: the read side reports it, in a turn of its own.
       int error = errno;
       out_.clear();
       out_at_ = 0;
       std::uint64_t mine = registration_;
       loop_.defer([this, mine, error, &loop = loop_] {
-        if (loop.watched(mine)) fail(error);
+        if (loop.watched(mine))
+          fail(error);
       });
       return;
     }
@@ -171,13 +195,16 @@
   out_.clear();
   out_at_ = 0;
   if (close_when_flushed_ && !std::exchange(lingering_, true)) {
-    // Closing while bytes of the peer are unread would reset the connection and could take the answer with it.
+    // Closing while bytes of the peer are unread would reset the connection and could take the
+    // answer with it.
     ::shutdown(fd_, SHUT_WR);
     paused_ = false;
-    if (readable_) read();
+    if (readable_)
+      read();
     return;
   }
-  if (had) events_.on_flushed();
+  if (had)
+    events_.on_flushed();
 }
 
 }  // namespace keelflow::net
--- a/node/net/connection.h
+++ b/node/net/connection.h
@@ -17,7 +17,8 @@
     virtual void on_connected() {}
     virtual void on_data(std::string_view bytes) = 0;
     virtual void on_flushed() {}  // everything queued so far has been handed to the kernel
-    // The peer closed, reset, or never answered the connect. The Connection is closed already; last call.
+    // The peer closed, reset, or never answered the connect. The Connection is closed already; last
+    // call.
     virtual void on_closed(int error) = 0;
   };
 
@@ -26,24 +27,30 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  bool adopt(int fd);                // an accepted socket; false (errno set): refused, fd closed
-  bool connect(const Address& to);   // false: no descriptor or refused at once (errno)
+  bool adopt(int fd);                   // an accepted socket; false (errno set): refused, fd closed
+  bool connect(const Address& to);      // false: no descriptor or refused at once (errno)
   void prefer() { preferred_ = true; }  // before `connect`: see EventLoop
   void write(std::string_view bytes);
-  void close();                      // no callback comes after this
-  void reset();                      // as close, and the peer sees it broken
-  // Sends what is queued, then the end; on_closed comes when the peer has closed too, or has gone on sending for
-  // long. What it sends is dropped.
-  void close_when_flushed() { close_when_flushed_ = true; flush(); }
+  void close();  // no callback comes after this
+  void reset();  // as close, and the peer sees it broken
+  // Sends what is queued, then the end; on_closed comes when the peer has closed too, or has gone
+  // on sending for long. What it sends is dropped.
+  void close_when_flushed() {
+    close_when_flushed_ = true;
+    flush();
+  }
   void pause_reading(bool pause);
 
   bool open() const { return fd_ >= 0; }
-  bool quiet() const;  // open, and the peer has neither sent nor ended anything that is still unread
+  bool quiet()
+      const;  // open, and the peer has neither sent nor ended anything that is still unread
   bool unread() const;  // open, and bytes of the peer wait to be read
   bool connected() const { return connected_; }
   // Not later than the arrival of any byte that is being read.
   TimePoint readable_since() const { return readable_since_; }
-  bool peer_ended() const { return hung_up_; }  // told by the kernel, perhaps ahead of bytes that are still to be read
+  bool peer_ended() const {
+    return hung_up_;
+  }  // told by the kernel, perhaps ahead of bytes that are still to be read
   std::size_t pending() const { return out_.size() - out_at_; }
   std::uint64_t written() const { return written_; }  // bytes that the kernel has taken
 
@@ -61,7 +68,8 @@
   int fd_ = -1;
   std::uint64_t registration_ = 0;
   bool connected_ = false, paused_ = false, readable_ = false, close_when_flushed_ = false,
-       lingering_ = false, waits_turn_ = false, hung_up_ = false, preferred_ = false, adopted_ = false;
+       lingering_ = false, waits_turn_ = false, hung_up_ = false, preferred_ = false,
+       adopted_ = false;
   TimePoint readable_since_{};
   std::string out_;
   std::size_t out_at_ = 0, dropped_ = 0;
--- a/node/net/event_loop.h
+++ b/node/net/event_loop.h
@@ -17,8 +17,8 @@
 
 class EventLoop final : public TimerPort {
  public:
-  // In which the events of one turn are handled. A client that has gone is heard before anything could be done for it,
-  // and the list before anything could be sent by an older one.
+  // In which the events of one turn are handled. A client that has gone is heard before anything
+  // could be done for it, and the list before anything could be sent by an older one.
   enum class Order : std::uint8_t { client_gone, list, peer_gone, other };
   static constexpr std::size_t kOrders = 4;
 
@@ -35,9 +35,10 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Registers for every kind of event at once; a Handler is told of edges only and must work until EAGAIN.
-  // The number returned, not the descriptor, names the registration: the kernel reuses descriptors, and an event
-  // still queued for a closed one must not reach the new owner. Zero: the kernel refused (errno).
+  // Registers for every kind of event at once; a Handler is told of edges only and must work until
+  // EAGAIN. The number returned, not the descriptor, names the registration: the kernel reuses
+  // descriptors, and an event still queued for a closed one must not reach the new owner. Zero: the
+  // kernel refused (errno).
   std::uint64_t watch(int fd, Handler& handler);
   void forget(std::uint64_t registration) {
     handlers_.erase(registration);
@@ -50,17 +51,21 @@
   void next_turn(std::uint64_t registration) { unfinished_.push_back(registration); }
 
   TimePoint now() const override { return Clock::now(); }
-  // When the last look at all sockets before the present turn's began: what is found to be readable in this turn and had
-  // been read to its end came after that, however long the process was stopped in between.
+  // When the last look at all sockets before the present turn's began: what is found to be readable
+  // in this turn and had been read to its end came after that, however long the process was stopped
+  // in between.
   TimePoint last_look() const { return last_look_; }
-  TimerId at(TimePoint when, std::function<void()> task) override { return timers_.add(when, std::move(task)); }
+  TimerId at(TimePoint when, std::function<void()> task) override {
+    return timers_.add(when, std::move(task));
+  }
   void cancel(TimerId id) override { timers_.cancel(id); }
   // Runs the task after the events in hand, before the loop sleeps.
   void defer(std::function<void()> task) { deferred_.push_back(std::move(task)); }
   // Deletes the object when no frame of the present turn can be inside it any more.
   template <typename T>
   void dispose(std::unique_ptr<T> object) {
-    if (object) graveyard_.push_back(std::shared_ptr<T>(std::move(object)));
+    if (object)
+      graveyard_.push_back(std::shared_ptr<T>(std::move(object)));
   }
 
   void run();
--- a/node/net/http.cpp
+++ b/node/net/http.cpp
@@ -8,22 +8,28 @@
 namespace {
 
 std::string_view trim(std::string_view s) {
-  while (!s.empty() && (s.front() == ' ' || s.front() == '\t')) s.remove_prefix(1);
-  while (!s.empty() && (s.back() == ' ' || s.back() == '\t')) s.remove_suffix(1);
+  while (!s.empty() && (s.front() == ' ' || s.front() == '\t'))
+    s.remove_prefix(1);
+  while (!s.empty() && (s.back() == ' ' || s.back() == '\t'))
+    s.remove_suffix(1);
   return s;
 }
 
 bool token(std::string_view s) {
   return !s.empty() && std::all_of(s.begin(), s.end(), [](unsigned char c) {
-    return std::isalnum(c) || std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
+    return std::isalnum(c) ||
+           std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
   });
 }
 
-bool clean(std::string_view s) {  // no control characters, which could smuggle a line into what we send on
-  return std::none_of(s.begin(), s.end(), [](unsigned char c) { return (c < 32 && c != '\t') || c == 127; });
+bool clean(
+    std::string_view s) {  // no control characters, which could smuggle a line into what we send on
+  return std::none_of(s.begin(), s.end(),
+                      [](unsigned char c) { return (c < 32 && c != '\t') || c == 127; });
 }
 
-// A target goes into what we send on as it is, so it must be readable there: no spaces, nothing beyond ASCII.
+// A target goes into what we send on as it is, so it must be readable there: no spaces, nothing
+// beyond ASCII.
 bool visible(std::string_view s) {
   return std::all_of(s.begin(), s.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
@@ -32,17 +38,21 @@
 std::optional<std::size_t> chunk_size(std::string_view line) {
   std::size_t size = 0;
   auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), size, 16);
-  if (error == std::errc::result_out_of_range) return SIZE_MAX;
+  if (error == std::errc::result_out_of_range)
+    return SIZE_MAX;
   std::string_view rest = trim(line.substr(static_cast<std::size_t>(end - line.data())));
-  if (error != std::errc() || !clean(rest) || !(rest.empty() || rest.front() == ';')) return std::nullopt;
+  if (error != std::errc() || !clean(rest) || !(rest.empty() || rest.front() == ';'))
+    return std::nullopt;
   return size;
 }
 
 bool has_word(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     auto comma = list.find(',');
-    if (same_word(trim(list.substr(0, comma)), word)) return true;
-    if (comma == std::string_view::npos) return false;
+    if (same_word(trim(list.substr(0, comma)), word))
+      return true;
+    if (comma == std::string_view::npos)
+      return false;
     list.remove_prefix(comma + 1);
   }
   return false;
@@ -58,12 +68,15 @@
 
 std::string_view Head::find(std::string_view name) const {
   for (const auto& [key, value] : headers)
-    if (same_word(key, name)) return value;
+    if (same_word(key, name))
+      return value;
   return {};
 }
 
 std::size_t Head::count(std::string_view name) const {
-  auto same = [&](const auto& h) { return same_word(h.first, name); };
+  auto same = [&](const auto& h) {
+    return same_word(h.first, name);
+  };
   return static_cast<std::size_t>(std::count_if(headers.begin(), headers.end(), same));
 }
 
@@ -73,58 +86,72 @@
   buffer_.append(bytes.substr(0, end));
   bool whole = end != std::string_view::npos;
   bytes.remove_prefix(whole ? end + 1 : bytes.size());
-  if (buffer_.size() > limits_.head) fail(Fault::head_too_large);
-  if (!whole || fault_ != Fault::none) return std::nullopt;
-  if (buffer_.empty() || buffer_.back() != '\r') return fail(Fault::malformed), std::nullopt;
+  if (buffer_.size() > limits_.head)
+    fail(Fault::head_too_large);
+  if (!whole || fault_ != Fault::none)
+    return std::nullopt;
+  if (buffer_.empty() || buffer_.back() != '\r')
+    return fail(Fault::malformed), std::nullopt;
   buffer_.pop_back();
   return std::exchange(buffer_, {});
 }
 
 std::size_t HttpParser::feed(std::string_view bytes, Sink& sink) {
   std::string_view rest = bytes;
-  auto consumed = [&] { return bytes.size() - rest.size(); };
+  auto consumed = [&] {
+    return bytes.size() - rest.size();
+  };
   auto body = [&] {
     std::string_view piece = rest.substr(0, left_);
     rest.remove_prefix(piece.size());
     left_ -= piece.size();
-    if (!piece.empty()) sink.on_body(piece);
+    if (!piece.empty())
+      sink.on_body(piece);
   };
   while (fault_ == Fault::none && !rest.empty()) {
     switch (state_) {
       case State::head: {
         if (buffer_.empty() && kind_ == Kind::request)  // stray line ends between requests
-          while (!rest.empty() && (rest.front() == '\r' || rest.front() == '\n')) rest.remove_prefix(1);
+          while (!rest.empty() && (rest.front() == '\r' || rest.front() == '\n'))
+            rest.remove_prefix(1);
         std::size_t had = buffer_.size();
         std::size_t take = std::min(rest.size(), limits_.head + 1 - std::min(limits_.head, had));
         buffer_.append(rest.substr(0, take));
         auto end = buffer_.find("\r\n\r\n", had < 3 ? 0 : had - 3);
         if (end == std::string::npos) {
           rest.remove_prefix(take);
-          if (buffer_.size() > limits_.head) fail(Fault::head_too_large);
+          if (buffer_.size() > limits_.head)
+            fail(Fault::head_too_large);
           break;
         }
         rest.remove_prefix(end + 4 - had);
         buffer_.resize(end + 2);
         head_ = {};
-        if (!parse_head() || !frame_body()) break;
+        if (!parse_head() || !frame_body())
+          break;
         buffer_.clear();
         sink.on_head(head_);
-        if (state_ == State::sized && left_ == 0) return complete(sink), consumed();
+        if (state_ == State::sized && left_ == 0)
+          return complete(sink), consumed();
         break;
       }
       case State::sized:
         body();
-        if (left_ == 0) return complete(sink), consumed();
+        if (left_ == 0)
+          return complete(sink), consumed();
         break;
       case State::until_close:
         left_ = rest.size();
-        if ((body_seen_ += left_) > limits_.body) fail(Fault::body_too_large);
-        else body();
+        if ((body_seen_ += left_) > limits_.body)
+          fail(Fault::body_too_large);
+        else
+          body();
         break;
       case State::chunk_size:
         if (auto text = line(rest)) {
           auto size = chunk_size(*text);
-          if (!size) return fail(Fault::malformed), consumed();
+          if (!size)
+            return fail(Fault::malformed), consumed();
           left_ = *size;
           if (left_ > limits_.body || (body_seen_ += left_) > limits_.body)
             return fail(Fault::body_too_large), consumed();
@@ -133,18 +160,22 @@
         break;
       case State::chunk:
         body();
-        if (left_ == 0) state_ = State::chunk_end;
+        if (left_ == 0)
+          state_ = State::chunk_end;
         break;
       case State::chunk_end:
         if (auto text = line(rest)) {
-          if (!text->empty()) return fail(Fault::malformed), consumed();
+          if (!text->empty())
+            return fail(Fault::malformed), consumed();
           state_ = State::chunk_size;
         }
         break;
       case State::trailer:
         if (auto text = line(rest)) {
-          if (text->empty()) return complete(sink), consumed();
-          if ((left_ += text->size()) > limits_.head) fail(Fault::head_too_large);
+          if (text->empty())
+            return complete(sink), consumed();
+          if ((left_ += text->size()) > limits_.head)
+            fail(Fault::head_too_large);
         }
         break;
     }
@@ -159,7 +190,8 @@
 }
 
 bool HttpParser::finish(Sink& sink) {
-  if (fault_ != Fault::none || state_ != State::until_close) return idle();
+  if (fault_ != Fault::none || state_ != State::until_close)
+    return idle();
   complete(sink);
   return true;
 }
@@ -172,41 +204,51 @@
     text.remove_prefix(end + 2);
     return one;
   };
-  auto bad = [&] { return fail(Fault::malformed), false; };
+  auto bad = [&] {
+    return fail(Fault::malformed), false;
+  };
   std::string_view first = next();
-  if (!clean(first)) return bad();
+  if (!clean(first))
+    return bad();
   auto space = first.find(' ');
-  if (space == std::string_view::npos) return bad();
+  if (space == std::string_view::npos)
+    return bad();
   std::string_view version;
   if (kind_ == Kind::request) {
     auto second = first.find(' ', space + 1);
-    if (second == std::string_view::npos) return bad();
+    if (second == std::string_view::npos)
+      return bad();
     head_.method = first.substr(0, space);
     head_.target = first.substr(space + 1, second - space - 1);
     version = first.substr(second + 1);
-    if (!token(head_.method) || !head_.target.starts_with('/') || !visible(head_.target)) return bad();
+    if (!token(head_.method) || !head_.target.starts_with('/') || !visible(head_.target))
+      return bad();
   } else {
     version = first.substr(0, space);
     std::string_view code = first.substr(space + 1, 3);
     auto [end, error] = std::from_chars(code.data(), code.data() + code.size(), head_.status);
-    if (error != std::errc() || end != code.data() + 3 || head_.status < 100) return bad();
+    if (error != std::errc() || end != code.data() + 3 || head_.status < 100)
+      return bad();
   }
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return bad();
+  if (version != "HTTP/1.1" && version != "HTTP/1.0")
+    return bad();
   while (!text.empty()) {
     std::string_view field = next();
     auto colon = field.find(':');
-    if (colon == std::string_view::npos || !token(field.substr(0, colon)) || !clean(field)) return bad();
+    if (colon == std::string_view::npos || !token(field.substr(0, colon)) || !clean(field))
+      return bad();
     head_.headers.emplace_back(field.substr(0, colon), trim(field.substr(colon + 1)));
   }
   old_ = version == "HTTP/1.0";
   std::string_view connection = head_.find("Connection");
-  head_.keep_alive = version == "HTTP/1.1" ? !has_word(connection, "close") : has_word(connection, "keep-alive");
+  head_.keep_alive =
+      version == "HTTP/1.1" ? !has_word(connection, "close") : has_word(connection, "keep-alive");
   return true;
 }
 
-// Decides how the body is framed. Two lengths, or a length beside a coding, is how requests are smuggled past a
-// front; both are refused. It is the header's presence that counts: an empty coding, or a second one, is no licence
-// to go by the length.
+// Decides how the body is framed. Two lengths, or a length beside a coding, is how requests are
+// smuggled past a front; both are refused. It is the header's presence that counts: an empty
+// coding, or a second one, is no licence to go by the length.
 bool HttpParser::frame_body() {
   bool sized = head_.has("Content-Length");
   body_seen_ = left_ = 0;
@@ -219,14 +261,19 @@
   state_ = State::sized;
   if (sized) {
     std::string_view digits = head_.find("Content-Length");
-    if (head_.count("Content-Length") > 1) return fail(Fault::malformed), false;
+    if (head_.count("Content-Length") > 1)
+      return fail(Fault::malformed), false;
     auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), left_);
-    if (digits.empty() || end != digits.data() + digits.size()) return fail(Fault::malformed), false;
-    if (error != std::errc() || left_ > limits_.body) return fail(Fault::body_too_large), false;
+    if (digits.empty() || end != digits.data() + digits.size())
+      return fail(Fault::malformed), false;
+    if (error != std::errc() || left_ > limits_.body)
+      return fail(Fault::body_too_large), false;
     return true;
   }
-  bool bodiless = kind_ == Kind::request || head_.status < 200 || head_.status == 204 || head_.status == 304;
-  if (!bodiless) state_ = State::until_close;
+  bool bodiless =
+      kind_ == Kind::request || head_.status < 200 || head_.status == 204 || head_.status == 304;
+  if (!bodiless)
+    state_ = State::until_close;
   return true;
 }
 
--- a/node/net/http.h
+++ b/node/net/http.h
@@ -41,17 +41,26 @@
 
   HttpParser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-  // Consumes bytes up to the end of one message; returns how many. After on_complete the parser is ready for
-  // the next message. A fault is final.
+  // Consumes bytes up to the end of one message; returns how many. After on_complete the parser is
+  // ready for the next message. A fault is final.
   std::size_t feed(std::string_view bytes, Sink& sink);
-  // The connection has ended: completes a message whose body lasts until then. False: it was cut off.
+  // The connection has ended: completes a message whose body lasts until then. False: it was cut
+  // off.
   bool finish(Sink& sink);
   Fault fault() const { return fault_; }
   bool idle() const { return state_ == State::head && buffer_.empty(); }
   void allow_stream() { limits_.body = SIZE_MAX; }  // for a body that is consumed as it comes
 
  private:
-  enum class State : std::uint8_t { head, sized, until_close, chunk_size, chunk, chunk_end, trailer };
+  enum class State : std::uint8_t {
+    head,
+    sized,
+    until_close,
+    chunk_size,
+    chunk,
+    chunk_end,
+    trailer
+  };
   void fail(Fault fault) { fault_ = fault; }
   bool parse_head();
   bool frame_body();
--- a/node/net/timer_queue.h
+++ b/node/net/timer_queue.h
@@ -20,14 +20,16 @@
   }
   void cancel(TimerId id) {
     auto it = when_.find(id);
-    if (it == when_.end()) return;
+    if (it == when_.end())
+      return;
     queue_.erase(Key{it->second, id});
     when_.erase(it);
   }
   std::optional<TimePoint> next() const {
     return queue_.empty() ? std::nullopt : std::optional(queue_.begin()->first.first);
   }
-  // Runs what is due at `now`. What a task adds waits for the next call, so that no timer can starve the loop.
+  // Runs what is due at `now`. What a task adds waits for the next call, so that no timer can
+  // starve the loop.
   void run(TimePoint now) {
     TimerId newest = last_;
     for (auto it = queue_.begin(); it != queue_.end() && it->first.first <= now;) {
