--- a/node/node.cpp
+++ b/node/node.cpp
@@ -36,12 +36,15 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they have for as long as
-// these stay open. While the next node is still starting they have no other place to go to.
+// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they
+// have for as long as these stay open. While the next node is still starting they have no other
+// place to go to.
 constexpr Duration kStillServing = 1600ms;
-// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7 s. What came in more
-// than 0.7 s after SIGTERM must be answered by then; a little before that all answers are out.
-constexpr Duration kMostDeadline = 3s, kAfterDeadline = 700ms, kForgiven = 600ms, kAnswersTravel = 300ms;
+// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7
+// s. What came in more than 0.7 s after SIGTERM must be answered by then; a little before that all
+// answers are out.
+constexpr Duration kMostDeadline = 3s, kAfterDeadline = 700ms, kForgiven = 600ms,
+                   kAnswersTravel = 300ms;
 constexpr Duration kDrainCheck = 20ms;
 constexpr Duration kRetryAddress = 50ms;
 constexpr Duration kListArrives = 30ms;
@@ -53,10 +56,11 @@
 };
 Budget split(std::size_t sockets) {
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < sockets) sockets = limit.rlim_cur;
+  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < sockets)
+    sockets = limit.rlim_cur;
   std::size_t usable = sockets > 64 ? sockets - 48 : sockets / 2;
-  // Inbound grows by a sixth, and progress takes a third of that again. An outbound connection is busy only until
-  // its 202, so that few are needed beside the idle ones.
+  // Inbound grows by a sixth, and progress takes a third of that again. An outbound connection is
+  // busy only until its 202, so that few are needed beside the idle ones.
   return {usable * 5 / 8, usable / 8, std::clamp(usable / 16, std::size_t{4}, std::size_t{24})};
 }
 
@@ -71,40 +75,67 @@
 }
 
 discovery::LeaseTerms lease_terms(const reedlb::Settings& settings) {
-  return {.pushed = !settings.ask_list, .drain_grace = from_ms(settings.drain_grace_ms), .ask_within = from_ms(settings.ask_within_ms)};
+  return {.pushed = !settings.ask_list,
+          .drain_grace = from_ms(settings.drain_grace_ms),
+          .ask_within = from_ms(settings.ask_within_ms)};
 }
 
 invariants::Terms monitor_terms(const reedlb::Settings& settings) {
-  return {.drain_grace = from_ms(settings.drain_grace_ms), .parallel_attempts = settings.parallel_tries};
+  return {.drain_grace = from_ms(settings.drain_grace_ms),
+          .parallel_attempts = settings.parallel_tries};
 }
 
 sigset_t signals() {
   sigset_t set;
   sigemptyset(&set);
-  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1}) sigaddset(&set, number);
+  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1})
+    sigaddset(&set, number);
   return set;
 }
 
 class Node {
  public:
   Node(NodeFiles files, Config config, config::Own own)
-      : files_(std::move(files)), config_(std::move(config)), own_(std::move(own)), budget_(split(config_.sockets)),
-        engine_(for_module(config_.settings), config_.seed, {config_.most_held, config_.tick}, loop_, clock_, counters_),
+      : files_(std::move(files)),
+        config_(std::move(config)),
+        own_(std::move(own)),
+        budget_(split(config_.sockets)),
+        engine_(for_module(config_.settings), config_.seed, {config_.most_held, config_.tick},
+                loop_, clock_, counters_),
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
-        destinations_(loop_, config_.discovery, config_.names,
-                      [this](reedlb::WorkerList list) { take_list(std::move(list)); }, counters_, config_.seed),
+        destinations_(
+            loop_, config_.discovery, config_.names,
+            [this](reedlb::WorkerList list) { take_list(std::move(list)); }, counters_,
+            config_.seed),
         pool_(loop_, config_.idle_limit * 6 / 10, budget_.idle_outbound, counters_),
-        outbound_(loop_, engine_, destinations_, pool_, {config_.connect_timeout, config_.report_names}, counters_),
-        peers_(loop_, config_.peers, config_.settings.rank,
-               [this](int peer, const std::string& bytes) {
-                 if (!destinations_.survey().hear(peer, bytes) && !members_.hear(peer, bytes)) engine_.told(peer, bytes);
-               }, counters_),
+        outbound_(loop_, engine_, destinations_, pool_,
+                  {config_.connect_timeout, config_.report_names}, counters_),
+        peers_(
+            loop_, config_.peers, config_.settings.rank,
+            [this](int peer, const std::string& bytes) {
+              if (!destinations_.survey().hear(peer, bytes) && !members_.hear(peer, bytes))
+                engine_.told(peer, bytes);
+            },
+            counters_),
         members_(loop_, clock_, peers_, engine_, counters_),
-        plugins_({.loop = loop_, .clock = clock_, .names = config_.names, .classes = config_.settings.classes, .seed = config_.seed}, engine_, counters_),
-        front_(loop_, engine_, outbound_, config_, counters_), server_(loop_, front_, budget_.inbound, counters_),
-        operators_({.not_ready = [this] { return not_ready(); }, .gauges = [this] { return gauges(); },
-                    .by_hand = [this](const std::string& host, bool out) { return by_hand(host, out); }}, counters_),
-        monitor_(monitor_terms(config_.settings), [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }),
+        plugins_({.loop = loop_,
+                  .clock = clock_,
+                  .names = config_.names,
+                  .classes = config_.settings.classes,
+                  .seed = config_.seed},
+                 engine_, counters_),
+        front_(loop_, engine_, outbound_, config_, counters_),
+        server_(loop_, front_, budget_.inbound, counters_),
+        operators_({.not_ready = [this] { return not_ready(); },
+                    .gauges = [this] { return gauges(); },
+                    .by_hand =
+                        [this](const std::string& host, bool out) {
+                          return by_hand(host, out);
+                        }},
+                   counters_),
+        monitor_(
+            monitor_terms(config_.settings),
+            [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }),
         signals_(*this) {}
 
   int run() {
@@ -114,29 +145,49 @@
     outbound_.observe(&monitor_);
     destinations_.observe(&monitor_);
     server_.observe(&monitor_);
-    server_.on_close_forbidden = [this](operation_guard::Reason reason) { engine_.count_refusal(operation_guard::Operation::close, reason); };
+    server_.on_close_forbidden = [this](operation_guard::Reason reason) {
+      engine_.count_refusal(operation_guard::Operation::close, reason);
+    };
     engine_.peers(&peers_);
     traffic_.connect(destinations_);
     traffic_.configure(own_.routes, own_.moves);
     plugins_.configure(own_.plugins, plugins::load_all(own_.plugins, files_.own, config_.names));
-    server_.on_pressure = [this] { return pool_.free_one(); };
-    destinations_.on_watching = [this] { watching(); };
+    server_.on_pressure = [this] {
+      return pool_.free_one();
+    };
+    destinations_.on_watching = [this] {
+      watching();
+    };
     destinations_.known(config_.known);
-    destinations_.on_lease = [this](bool may_send) { on_list_lease(may_send); };
+    destinations_.on_lease = [this](bool may_send) {
+      on_list_lease(may_send);
+    };
     destinations_.on_pressure = server_.on_pressure;
-    if (config_.peer_listen && config_.settings.peers) destinations_.survey().connect(&peers_, config_.settings.dispatchers, config_.settings.rank);
+    if (config_.peer_listen && config_.settings.peers)
+      destinations_.survey().connect(&peers_, config_.settings.dispatchers, config_.settings.rank);
     destinations_.start(call_policy(config_.settings), lease_terms(config_.settings));
     signals_.open();
-    if (config_.admin) open_operators();
-    // A process that may send nothing yet leaves clients to those that may, for a while: discovery may be away.
-    front_.ready = [this, latest = loop_.now() + kListBeforeReady] { return was_ready_ || loop_.now() >= latest; };
-    front_.pass_news = [this](const std::string& body) { return !handover_ || handover_->pass_news(body); };
-    if (config_.listen_fd >= 0) take_over_from_elder();
-    else serve();
+    if (config_.admin)
+      open_operators();
+    // A process that may send nothing yet leaves clients to those that may, for a while: discovery
+    // may be away.
+    front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
+      return was_ready_ || loop_.now() >= latest;
+    };
+    front_.pass_news = [this](const std::string& body) {
+      return !handover_ || handover_->pass_news(body);
+    };
+    if (config_.listen_fd >= 0)
+      take_over_from_elder();
+    else
+      serve();
     engine_.grants(own_.turns);
-    if (config_.peer_listen) open_peers();
-    if (own_.progress.listen) open_progress();
-    if (!own_.admin.socket.empty()) open_admin();
+    if (config_.peer_listen)
+      open_peers();
+    if (own_.progress.listen)
+      open_progress();
+    if (!own_.admin.socket.empty())
+      open_admin();
     loop_.run();
     tell_counters();
     return 0;
@@ -147,18 +198,23 @@
    public:
     explicit Signals(Node& node) : node_(node) {}
     ~Signals() override {
-      if (fd_ >= 0) ::close(fd_);
+      if (fd_ >= 0)
+        ::close(fd_);
     }
     void open() {
       sigset_t set = signals();
       fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-      if (fd_ < 0 || node_.loop_.watch(fd_, *this) == 0) throw std::runtime_error("signalfd failed");
+      if (fd_ < 0 || node_.loop_.watch(fd_, *this) == 0)
+        throw std::runtime_error("signalfd failed");
     }
     void on_ready(std::uint32_t) override {
       for (signalfd_siginfo info; ::read(fd_, &info, sizeof info) == sizeof info;) {
-        if (info.ssi_signo == SIGUSR1) node_.tell_counters();
-        else if (info.ssi_signo == SIGHUP) node_.reload();
-        else node_.drain();
+        if (info.ssi_signo == SIGUSR1)
+          node_.tell_counters();
+        else if (info.ssi_signo == SIGHUP)
+          node_.reload();
+        else
+          node_.drain();
       }
     }
 
@@ -179,15 +235,19 @@
   void open_progress() {
     const config::Progress& p = own_.progress;
     if (p.store) {
-      store_ = std::make_unique<Store>(loop_, Store::Settings{.address = *p.store, .expiry = p.expiry}, counters_);
+      store_ = std::make_unique<Store>(
+          loop_, Store::Settings{.address = *p.store, .expiry = p.expiry}, counters_);
       store_->open();
     }
-    progress_front_ = std::make_unique<ProgressFront>(loop_, engine_, front_, config_.names, plugins_, store_.get(),
-                                                      ProgressFront::Settings{.heartbeat = p.heartbeat}, counters_);
-    progress_server_ = std::make_unique<Server>(loop_, *progress_front_, budget_.inbound / 3, counters_);
+    progress_front_ = std::make_unique<ProgressFront>(
+        loop_, engine_, front_, config_.names, plugins_, store_.get(),
+        ProgressFront::Settings{.heartbeat = p.heartbeat}, counters_);
+    progress_server_ =
+        std::make_unique<Server>(loop_, *progress_front_, budget_.inbound / 3, counters_);
     progress_server_->on_pressure = server_.on_pressure;
     listen_when_free(*progress_server_, *p.listen, [this] {
-      log::info(Subsystem::progress, "listens", {{"name", config_.name}, {"address", progress_server_->address().text()}});
+      log::info(Subsystem::progress, "listens",
+                {{"name", config_.name}, {"address", progress_server_->address().text()}});
     });
   }
 
@@ -197,7 +257,8 @@
     try {
       server.listen(where);
     } catch (const std::system_error& fault) {
-      if (!handover_ || !handover_->partner() || fault.code().value() != EADDRINUSE) throw;
+      if (!handover_ || !handover_->partner() || fault.code().value() != EADDRINUSE)
+        throw;
       return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
         try {
           listen_when_free(server, where, then);
@@ -210,67 +271,92 @@
   }
 
   void open_admin() {
-    admin_front_ = std::make_unique<AdminFront>(traffic_, plugins_, AdminFront::Pages{[this] { return status(); }, [this] { return fleet(); }}, counters_);
+    admin_front_ = std::make_unique<AdminFront>(traffic_, plugins_,
+                                                AdminFront::Pages{[this] { return status(); },
+                                                                  [this] {
+                                                                    return fleet();
+                                                                  }},
+                                                counters_);
     admin_server_ = std::make_unique<Server>(loop_, *admin_front_, kAdminConnections, counters_);
     listen_when_free(*admin_server_, own_.admin.socket, [this] {
-      log::info(Subsystem::admin, "listens", {{"name", config_.name}, {"socket", own_.admin.socket}});
+      log::info(Subsystem::admin, "listens",
+                {{"name", config_.name}, {"socket", own_.admin.socket}});
     });
   }
 
   void open_operators() {
     operator_server_ = std::make_unique<LineServer>(
-        loop_, [this](std::string_view line) { return operators_.answer(line); }, budget_.operators, counters_);
+        loop_, [this](std::string_view line) { return operators_.answer(line); }, budget_.operators,
+        counters_);
     try {
       operator_server_->listen(*config_.admin);
     } catch (const std::system_error& fault) {
-      throw ConfigError("config: 'admin' " + config_.admin->text() + " cannot be listened on: " + fault.code().message());
+      throw ConfigError("config: 'admin' " + config_.admin->text() +
+                        " cannot be listened on: " + fault.code().message());
     }
-    log::info(Subsystem::admin, "operators-listen", {{"name", config_.name}, {"address", operator_server_->address().text()}});
+    log::info(Subsystem::admin, "operators-listen",
+              {{"name", config_.name}, {"address", operator_server_->address().text()}});
   }
 
   void serve() {
     serving_ = true;
-    if (config_.listen_fd >= 0) server_.inherit(config_.listen_fd);
-    else server_.listen(config_.listen);
-    if (handover_) handover_->listen();
-    log::info(Subsystem::node, "listens", {{"name", config_.name}, {"address", server_.address().text()}});
+    if (config_.listen_fd >= 0)
+      server_.inherit(config_.listen_fd);
+    else
+      server_.listen(config_.listen);
+    if (handover_)
+      handover_->listen();
+    log::info(Subsystem::node, "listens",
+              {{"name", config_.name}, {"address", server_.address().text()}});
   }
 
-  // Whoever starts while another process of this node serves asks it first. Until both are one they share all limits.
+  // Whoever starts while another process of this node serves asks it first. Until both are one they
+  // share all limits.
   void take_over_from_elder() {
     const char* folder = std::getenv("TMPDIR");
-    if (!folder || !*folder) log::warning(Subsystem::node, "no-handover", {{"fault", "TMPDIR is not set"}});
+    if (!folder || !*folder)
+      log::warning(Subsystem::node, "no-handover", {{"fault", "TMPDIR is not set"}});
     else
-      handover_ = std::make_unique<Handover>(loop_, folder, config_.name, Handover::Deeds{
-          .welcome = [this] { return welcome(); },
-          .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
-          .partner = [this](bool here) { partner(here); },
-          .successor_ready = [this] { successor_ready(); },
-          .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
-          .note = [this](const std::string& note) { engine_.told(config_.settings.rank, note); },
-          .news = [this](const std::string& body) {
-            auto news = decode_news(body, config_.report_names);
-            return news && outbound_.news(*news);
-          }}, counters_);
+      handover_ = std::make_unique<Handover>(
+          loop_, folder, config_.name,
+          Handover::Deeds{
+              .welcome = [this] { return welcome(); },
+              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
+              .partner = [this](bool here) { partner(here); },
+              .successor_ready = [this] { successor_ready(); },
+              .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
+              .note =
+                  [this](const std::string& note) { engine_.told(config_.settings.rank, note); },
+              .news =
+                  [this](const std::string& body) {
+                    auto news = decode_news(body, config_.report_names);
+                    return news && outbound_.news(*news);
+                  }},
+          counters_);
     succession_.emplace(clock_.unix_ms(loop_.now()), handover_ && handover_->ask());
     loop_.at(clock_.at(succession_->latest()), [this] { serve_if_ready(); });
   }
 
   void serve_if_ready() {
-    if (!serving_ && succession_ && not_ready().empty()) serve();
+    if (!serving_ && succession_ && not_ready().empty())
+      serve();
   }
 
   nlohmann::json welcome() const {
     nlohmann::json knowledge = nlohmann::json::array();
-    for (const reedlb::Knowledge& k : engine_.knowledge()) knowledge.push_back(to_json(k, config_.names));
+    for (const reedlb::Knowledge& k : engine_.knowledge())
+      knowledge.push_back(to_json(k, config_.names));
     return {{"out", by_hand_.hosts()}, {"knowledge", knowledge}};
   }
 
   void welcomed(const nlohmann::json& word) {
-    for (const auto& host : word.at("out")) lay_over(host.get<std::string>(), true);
+    for (const auto& host : word.at("out"))
+      lay_over(host.get<std::string>(), true);
     learned_.clear();
-    for (const auto& told : word.at("knowledge")) learned_.push_back(from_json(told, config_.names));
-    engine_.learn(learned_);  // of the executors on the list that the platform keeps; of the others when they are listed
+    for (const auto& told : word.at("knowledge"))
+      learned_.push_back(from_json(told, config_.names));
+    engine_.learn(learned_);  // of the executors on the list that the platform keeps; of the others
+                              // when they are listed
     succession_->answered();
     log::info(Subsystem::node, "taken-over", {{"out", word.at("out").size()}});
     serve_if_ready();
@@ -278,14 +364,18 @@
 
   void take_list(reedlb::WorkerList list) {
     traffic_.list(by_hand_.laid_over(std::move(list)));
-    if (!serving_ && !learned_.empty()) engine_.learn(learned_);
+    if (!serving_ && !learned_.empty())
+      engine_.learn(learned_);
   }
 
   void on_violation(invariants::Rule rule, const std::string& what) {
     ++counters_.invariant_violations;
-    log::error(Subsystem::node, "invariant-violated", {{"rule", invariants::to_string(rule)}, {"what", what}});
+    log::error(Subsystem::node, "invariant-violated",
+               {{"rule", invariants::to_string(rule)}, {"what", what}});
 #ifdef KEELFLOW_STRICT_INVARIANTS
-    std::fprintf(stderr, "invariant violated: %s: %s\n%s", std::string(invariants::to_string(rule)).c_str(), what.c_str(), monitor_.last_events().c_str());
+    std::fprintf(stderr, "invariant violated: %s: %s\n%s",
+                 std::string(invariants::to_string(rule)).c_str(), what.c_str(),
+                 monitor_.last_events().c_str());
     std::abort();
 #endif
   }
@@ -293,12 +383,14 @@
   void on_list_lease(bool may_send) {
     was_ready_ = was_ready_ || may_send;
     engine_.allow_sends(may_send);
-    if (may_send) outbound_.resume_withheld();
+    if (may_send)
+      outbound_.resume_withheld();
   }
 
   // What discovery has to tell follows at once, in this turn of the loop or the next.
   void watching() {
-    if (!succession_ || serving_) return;
+    if (!succession_ || serving_)
+      return;
     loop_.at(loop_.now() + kListArrives, [this] {
       succession_->listed();
       serve_if_ready();
@@ -315,44 +407,55 @@
       engine_.twin(nullptr);
       successor_ = false;
       server_.accepting(true);
-      if (succession_) succession_->gone();
+      if (succession_)
+        succession_->gone();
       serve_if_ready();
     }
   }
 
   void successor_ready() {
     successor_ = true;
-    if (counters_.drain_stage > 0) leave();
+    if (counters_.drain_stage > 0)
+      leave();
   }
 
   // While the process before us lives the address is its own.
   void open_peers() {
-    if (peers_.open(*config_.peer_listen)) return members_.start(own_.members, config_.settings.dispatchers, config_.settings.rank);
+    if (peers_.open(*config_.peer_listen))
+      return members_.start(own_.members, config_.settings.dispatchers, config_.settings.rank);
     if (handover_ && errno == EADDRINUSE)
       return void(loop_.at(loop_.now() + kRetryAddress, [this] { open_peers(); }));
-    log::error(Subsystem::node, "peers-unheard", {{"address", config_.peer_listen->text()}, {"errno", errno}});
+    log::error(Subsystem::node, "peers-unheard",
+               {{"address", config_.peer_listen->text()}, {"errno", errno}});
   }
 
   std::string not_ready() const {
     if (!serving_) {
-      std::string why = succession_ ? succession_->waits_for(clock_.unix_ms(loop_.now())) : "it starts";
-      if (!why.empty()) return why;
+      std::string why =
+          succession_ ? succession_->waits_for(clock_.unix_ms(loop_.now())) : "it starts";
+      if (!why.empty())
+        return why;
     }
-    if (counters_.drain_stage > 0) return "it was told to end";
+    if (counters_.drain_stage > 0)
+      return "it was told to end";
     return "";
   }
 
   Gauges gauges() const {
-    std::size_t away = by_hand_.unavailable([this](WorkerId worker) { return engine_.avoids(worker); });
-    return {.pending = engine_.pending(), .members = by_hand_.listed(), .members_unavailable = away};
+    std::size_t away =
+        by_hand_.unavailable([this](WorkerId worker) { return engine_.avoids(worker); });
+    return {
+        .pending = engine_.pending(), .members = by_hand_.listed(), .members_unavailable = away};
   }
 
   std::string by_hand(const std::string& host, bool out) {
     WorkerId worker = worker_id(host);
     const Destination* known = destinations_.find(worker);
-    if (!(known && known->host == host) && !by_hand_.is_out(worker)) return "no executor '" + host + "' was ever listed";
+    if (!(known && known->host == host) && !by_hand_.is_out(worker))
+      return "no executor '" + host + "' was ever listed";
     lay_over(host, out);
-    if (handover_) handover_->tell_by_hand(host, out);
+    if (handover_)
+      handover_->tell_by_hand(host, out);
     return "";
   }
 
@@ -360,7 +463,8 @@
     WorkerId worker = worker_id(host);
     destinations_.disable(worker, out);
     auto told = out ? by_hand_.out(worker, host) : by_hand_.back(worker);
-    if (told) traffic_.list(std::move(*told));
+    if (told)
+      traffic_.list(std::move(*told));
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
   }
 
@@ -370,26 +474,35 @@
 #define X(name) counters[#name] = counters_.name;
     KEELFLOW_COUNTERS(X)
 #undef X
-    return {{"name", config_.name}, {"address", server_.address().text()}, {"version", KEELFLOW_VERSION}, {"forbidden", forbidden()}, {"violations", violations()},
-            {"draining", counters_.drain_stage > 0}, {"open_requests", engine_.open_requests()},
-            {"open_attempts", engine_.open_attempts()}, {"counters", counters}};
+    return {{"name", config_.name},
+            {"address", server_.address().text()},
+            {"version", KEELFLOW_VERSION},
+            {"forbidden", forbidden()},
+            {"violations", violations()},
+            {"draining", counters_.drain_stage > 0},
+            {"open_requests", engine_.open_requests()},
+            {"open_attempts", engine_.open_attempts()},
+            {"counters", counters}};
   }
 
   // What the operation guard has forbidden, by operation and reason.
   nlohmann::json forbidden() const {
     using namespace operation_guard;
     nlohmann::json all = nlohmann::json::object();
-    for (Operation operation : {Operation::send, Operation::repeat, Operation::close, Operation::start})
+    for (Operation operation :
+         {Operation::send, Operation::repeat, Operation::close, Operation::start})
       for (std::size_t i = 1; i < kReasons; ++i)
         if (auto count = engine_.refusals().of(operation, static_cast<Reason>(i)); count > 0)
-          all[std::string(to_string(operation))][std::string(to_string(static_cast<Reason>(i)))] = count;
+          all[std::string(to_string(operation))][std::string(to_string(static_cast<Reason>(i)))] =
+              count;
     return all;
   }
 
   nlohmann::json violations() const {
     nlohmann::json all = nlohmann::json::object();
     for (std::size_t i = 0; i < invariants::kRules; ++i)
-      if (auto count = monitor_.violations(static_cast<invariants::Rule>(i)); count > 0) all[std::string(invariants::to_string(static_cast<invariants::Rule>(i)))] = count;
+      if (auto count = monitor_.violations(static_cast<invariants::Rule>(i)); count > 0)
+        all[std::string(invariants::to_string(static_cast<invariants::Rule>(i)))] = count;
     return all;
   }
 
@@ -399,39 +512,61 @@
     engine_.each_turn([&](int pool, const fleet::Turns::Turn& turn, const reedlb::ColdRoom& room) {
       const Destination* known = destinations_.find(turn.entry.worker);
       double granted = 0;
-      for (const auto& [node, given] : turn.given) granted += given.until > now && !given.back ? given.work : 0;
-      at.push_back({{"pool", pool}, {"executor", known ? known->host : ""}, {"age_s", (now - turn.entry.born) / 1000}, {"share", turn.told_share},
-                    {"left_ms", room.own}, {"held_ms", room.granted}, {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-                    {"granted_ms", granted}});
+      for (const auto& [node, given] : turn.given)
+        granted += given.until > now && !given.back ? given.work : 0;
+      at.push_back(
+          {{"pool", pool},
+           {"executor", known ? known->host : ""},
+           {"age_s", (now - turn.entry.born) / 1000},
+           {"share", turn.told_share},
+           {"left_ms", room.own},
+           {"held_ms", room.granted},
+           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
+           {"granted_ms", granted}});
     });
     fleet::Turns::Figures f = engine_.turn_figures();
-    return {{"on", own_.turns && config_.settings.peers}, {"executors", at}, {"asked", f.asked}, {"got", f.got}, {"granted", f.granted}, {"denied", f.denied},
-            {"came_back", f.came_back}, {"late", f.late}};
+    return {{"on", own_.turns && config_.settings.peers},
+            {"executors", at},
+            {"asked", f.asked},
+            {"got", f.got},
+            {"granted", f.granted},
+            {"denied", f.denied},
+            {"came_back", f.came_back},
+            {"late", f.late}};
   }
 
   nlohmann::json fleet() {
     nlohmann::json homes = nlohmann::json::array();
     engine_.each_home([&](int pool, const reedlb::Homes::At& at) {
       const Destination* known = destinations_.find(at.worker);
-      homes.push_back({{"pool", pool}, {"executor", known ? known->host : ""}, {"own", at.own}, {"others", at.others}});
+      homes.push_back({{"pool", pool},
+                       {"executor", known ? known->host : ""},
+                       {"own", at.own},
+                       {"others", at.others}});
     });
-    return {{"self", config_.settings.rank}, {"nodes", config_.settings.dispatchers}, {"membership", members_.status()}, {"homes", homes}, {"turns", turns()}};
+    return {{"self", config_.settings.rank},
+            {"nodes", config_.settings.dispatchers},
+            {"membership", members_.status()},
+            {"homes", homes},
+            {"turns", turns()}};
   }
 
-  // SIGHUP: of the platform's file the settings and the discovery are taken over; the addresses to listen on, the limits
-  // of the process and the peers hold until a restart. Of our own file pools, routes, moves, plug-ins and the log are
-  // taken over, and what listens holds until a restart. All is read before anything changes: a bad file changes nothing.
+  // SIGHUP: of the platform's file the settings and the discovery are taken over; the addresses to
+  // listen on, the limits of the process and the peers hold until a restart. Of our own file pools,
+  // routes, moves, plug-ins and the log are taken over, and what listens holds until a restart. All
+  // is read before anything changes: a bad file changes nothing.
   void reload() {
     log::reopen();
     try {
-      Retuned next = retune(config_, read_config(files_.platform), [this](int cls) { return engine_.class_in_use(cls); });
+      Retuned next = retune(config_, read_config(files_.platform),
+                            [this](int cls) { return engine_.class_in_use(cls); });
       const Names& names = next.config.names;
       config::Own own = config::read_own(files_.own, !files_.own_given);
       Traffic::check(own.routes, names);
       traffic_.check_numbers(own.routes);
       auto packages = plugins::load_all(own.plugins, files_.own, names);
-      if (own.log.json != own_.log.json || own.log.file != own_.log.file || own.log.level != own_.log.level ||
-          own.log.levels != own_.log.levels)
+      if (own.log.json != own_.log.json || own.log.file != own_.log.file ||
+          own.log.level != own_.log.level || own.log.levels != own_.log.levels)
         log::open(own.log);  // the last that may throw
       traffic_.retune({names, next.config.settings});
       traffic_.configure(own.routes, own.moves);
@@ -444,14 +579,16 @@
       log::info(Subsystem::node, "reloaded");
     } catch (const std::exception& fault) {
       ++counters_.reloads_failed;
-      log::error(Subsystem::node, "reload-refused", {{"file", files_.platform}, {"fault", fault.what()}});
+      log::error(Subsystem::node, "reload-refused",
+                 {{"file", files_.platform}, {"fault", fault.what()}});
     }
   }
 
   void take_over(Retuned next) {
     config_ = std::move(next.config);
     engine_.name_classes(config_.names.classes);
-    engine_.retune(for_module(config_.settings), std::move(next.from), {config_.most_held, config_.tick});
+    engine_.retune(for_module(config_.settings), std::move(next.from),
+                   {config_.most_held, config_.tick});
     outbound_.retune({config_.connect_timeout, config_.report_names});
     pool_.keep(config_.idle_limit * 6 / 10);
     destinations_.names(config_.names);
@@ -460,49 +597,63 @@
     destinations_.move(config_.discovery);
   }
 
-  // Nothing is turned away. At first all goes on as before; what comes later has only until the last answer. Then
-  // answers end their connections, and when nothing is open any more the program ends.
+  // Nothing is turned away. At first all goes on as before; what comes later has only until the
+  // last answer. Then answers end their connections, and when nothing is open any more the program
+  // ends.
   void drain() {
-    if (counters_.drain_stage > 0) return;
+    if (counters_.drain_stage > 0)
+      return;
     counters_.drain_stage = 1;
     log::info(Subsystem::node, "told-to-end");
     plugins_.drain();
     TimePoint told = loop_.now();
     loop_.at(told + kForgiven, [this, told] {
-      if (counters_.drain_stage < 2) counters_.drain_stage = 2;
+      if (counters_.drain_stage < 2)
+        counters_.drain_stage = 2;
       engine_.answer_all_by(told + last_answer());
     });
     loop_.at(told + std::min(kStillServing, last_answer()), [this] { leave(); });
-    if (handover::leaves_accepting(true, successor_)) leave();
+    if (handover::leaves_accepting(true, successor_))
+      leave();
   }
 
   Duration last_answer() const {
     return std::min(config_.longest_deadline, kMostDeadline) + kAfterDeadline - kAnswersTravel;
   }
 
-  // With a successor at once: it accepts from the same socket, and clients lose nothing by coming back to it.
+  // With a successor at once: it accepts from the same socket, and clients lose nothing by coming
+  // back to it.
   void leave() {
-    if (counters_.drain_stage == 3) return;
+    if (counters_.drain_stage == 3)
+      return;
     counters_.drain_stage = 3;
-    if (successor_) server_.accepting(false);
-    else members_.leave();
+    if (successor_)
+      server_.accepting(false);
+    else
+      members_.leave();
     server_.drain();
-    if (progress_server_) progress_server_->drain();
+    if (progress_server_)
+      progress_server_->drain();
     check_drained();
   }
 
   void check_drained() {
     server_.close_idle();
-    if (progress_server_) progress_server_->close_idle();
-    bool over = engine_.open_requests() == 0 && engine_.open_attempts() == 0 && server_.busy() == 0 &&
-                (!progress_server_ || progress_server_->busy() == 0);
-    // One in the middle passes call-backs from its successor to its elder; without a successor the elder accepts again.
+    if (progress_server_)
+      progress_server_->close_idle();
+    bool over = engine_.open_requests() == 0 && engine_.open_attempts() == 0 &&
+                server_.busy() == 0 && (!progress_server_ || progress_server_->busy() == 0);
+    // One in the middle passes call-backs from its successor to its elder; without a successor the
+    // elder accepts again.
     bool passes = handover_ && successor_ && handover_->elder_here();
     if (over && !passes && (!handover_ || handover_->flushed())) {
-      // What the kernel has accepted is taken: it is served before the end, and nothing comes after it.
+      // What the kernel has accepted is taken: it is served before the end, and nothing comes after
+      // it.
       server_.take_the_last();
-      if (progress_server_) progress_server_->take_the_last();
-      if (server_.connections() == 0 && (!progress_server_ || progress_server_->connections() == 0)) return loop_.stop();
+      if (progress_server_)
+        progress_server_->take_the_last();
+      if (server_.connections() == 0 && (!progress_server_ || progress_server_->connections() == 0))
+        return loop_.stop();
     }
     loop_.at(loop_.now() + kDrainCheck, [this] { check_drained(); });
   }
@@ -551,7 +702,8 @@
 int run_node(const NodeFiles& files) {
   std::signal(SIGPIPE, SIG_IGN);
   block_signals();
-  if (files.platform.empty()) throw ConfigError("EDGE_CONFIG is not set");
+  if (files.platform.empty())
+    throw ConfigError("EDGE_CONFIG is not set");
   config::Own own = config::read_own(files.own, !files.own_given);
   Config config = read_config(files.platform);
   read_environment(config);
@@ -564,7 +716,8 @@
     log::close();
     throw;
   }
-  if (!log::close()) _exit(code);  // its thread is stuck in a write that nobody reads, and cannot be joined
+  if (!log::close())
+    _exit(code);  // its thread is stuck in a write that nobody reads, and cannot be joined
   return code;
 }
 
--- a/node/node.h
+++ b/node/node.h
@@ -8,8 +8,9 @@
 
 namespace keelflow {
 
-// The signals that the node reads from a descriptor. They are blocked before anything else is done, and before any
-// thread is started: by default each of them ends the program, and one that comes early must not.
+// The signals that the node reads from a descriptor. They are blocked before anything else is done,
+// and before any thread is started: by default each of them ends the program, and one that comes
+// early must not.
 void block_signals();
 
 struct NodeFiles {
@@ -18,7 +19,8 @@
   bool own_given = false;                    // it was named, so that it must be there
 };
 
-// Serves; returns the program's exit code. Throws ConfigError and std::system_error while it starts.
+// Serves; returns the program's exit code. Throws ConfigError and std::system_error while it
+// starts.
 int run_node(const NodeFiles& files);
 
 }  // namespace keelflow
--- a/node/outbound/client_connection.h
+++ b/node/outbound/client_connection.h
@@ -30,9 +30,10 @@
   bool connect(const net::Address& to) { return dial_ = to, connection_.connect(to); }
   void prefer() { connection_.prefer(); }  // before `connect`
   void attach(User* user) { user_ = user; }
-  // A request to run something, which the operation guard has permitted at this moment. Its last `held_back` bytes go out
-  // with `send_rest`.
-  void send_job(operation_guard::SendPermit permit, const std::string& request, std::size_t held_back);
+  // A request to run something, which the operation guard has permitted at this moment. Its last
+  // `held_back` bytes go out with `send_rest`.
+  void send_job(operation_guard::SendPermit permit, const std::string& request,
+                std::size_t held_back);
   void send_rest(operation_guard::SendPermit permit, std::string_view rest);
   // One that runs nothing: a probe, the end of a job, a call to discovery.
   void send(const std::string& request) { write_request(request, 0); }
@@ -43,7 +44,9 @@
   bool quiet() const { return connection_.quiet(); }
   bool connected() const { return connection_.connected(); }
   const net::Address& dial() const { return dial_; }
-  int error() const { return error_; }  // of a connection that is over, as errno; 0: it was closed in order
+  int error() const {
+    return error_;
+  }  // of a connection that is over, as errno; 0: it was closed in order
   TimePoint readable_since() const { return connection_.readable_since(); }
   Reach reach() const;  // of the exchange in hand
   // How long it had stood idle before it was taken for this one; zero: it is new.
@@ -52,16 +55,19 @@
 
  private:
   void on_connected() override {
-    if (user_) user_->on_connected();
+    if (user_)
+      user_->on_connected();
   }
   void on_flushed() override {
-    if (user_) user_->on_flushed();
+    if (user_)
+      user_->on_flushed();
   }
   void on_data(std::string_view bytes) override;
   void on_closed(int error) override;
   void on_head(const net::Head& head) override;
   void on_body(std::string_view bytes) override {
-    if (user_) user_->on_body(bytes);
+    if (user_)
+      user_->on_body(bytes);
   }
   void on_complete() override;
   void broken();
--- a/node/outbound/outbound.cpp
+++ b/node/outbound/outbound.cpp
@@ -11,7 +11,8 @@
 // One probe: a GET beside the jobs.
 class ProbeCall final : ClientConnection::User {
  public:
-  ProbeCall(Outbound& owner, WorkerId worker) : owner_(owner), worker_(worker), sent_(owner.loop_.now()) {}
+  ProbeCall(Outbound& owner, WorkerId worker)
+      : owner_(owner), worker_(worker), sent_(owner.loop_.now()) {}
   ~ProbeCall() override { owner_.loop_.cancel(timer_); }
 
   void begin(const Destination& to) {
@@ -21,17 +22,22 @@
       owner_.pool_.forget(worker_);
       on_broken();
     });
-    if (!connection_) return;
+    if (!connection_)
+      return;
     connection_->attach(this);
-    if (connection_->connected()) on_connected();
+    if (connection_->connected())
+      on_connected();
   }
 
  private:
-  void on_connected() override { connection_->send("GET /metrics/load HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n"); }
+  void on_connected() override {
+    connection_->send("GET /metrics/load HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n");
+  }
   void on_head(const net::Head& head) override { ok_ = head.status == 200; }
   void on_body(std::string_view bytes) override { body_ += bytes; }
   void on_complete(bool reusable) override {
-    if (reusable) owner_.pool_.give_back(worker_, std::move(connection_));
+    if (reusable)
+      owner_.pool_.give_back(worker_, std::move(connection_));
     end(ok_);
   }
   void on_broken() override { end(false); }
@@ -57,14 +63,19 @@
 
 Outbound::Outbound(net::EventLoop& loop, Engine& engine, DestinationSet& destinations, Pool& pool,
                    Settings settings, Counters& counters)
-    : loop_(loop), engine_(engine), destinations_(destinations), pool_(pool), settings_(std::move(settings)),
+    : loop_(loop),
+      engine_(engine),
+      destinations_(destinations),
+      pool_(pool),
+      settings_(std::move(settings)),
       counters_(counters) {}
 
 Outbound::~Outbound() = default;
 
 void Outbound::start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) {
   const Destination* to = destinations_.find(worker);
-  if (!to) return engine_.attempt_ended(ref, {.ending = Ending::broken, .reach = Reach::never_written});
+  if (!to)
+    return engine_.attempt_ended(ref, {.ending = Ending::broken, .reach = Reach::never_written});
   auto& call = calls_[{ref.request, ref.attempt}];
   call = std::make_unique<OutboundCall>(*this, ref, worker, *to, job, terms);
   by_name_[call->id()] = ref.request;
@@ -73,17 +84,20 @@
 
 void Outbound::give_up(AttemptRef ref) {
   auto it = calls_.find({ref.request, ref.attempt});
-  if (it != calls_.end()) it->second->give_up();
+  if (it != calls_.end())
+    it->second->give_up();
 }
 
 void Outbound::give_up_unsent(AttemptRef ref) {
   auto it = calls_.find({ref.request, ref.attempt});
-  if (it != calls_.end() && it->second->unsent()) it->second->give_up();
+  if (it != calls_.end() && it->second->unsent())
+    it->second->give_up();
 }
 
 void Outbound::probe(WorkerId worker) {
   const Destination* to = destinations_.find(worker);
-  if (!to) return engine_.probed(worker, false, {}, {});
+  if (!to)
+    return engine_.probed(worker, false, {}, {});
   auto call = std::make_unique<ProbeCall>(*this, worker);
   ProbeCall* raw = call.get();
   probes_.emplace(raw, std::move(call));
@@ -92,17 +106,21 @@
 
 void Outbound::resume_withheld() {
   std::vector<std::pair<RequestId, int>> all;
-  for (const auto& [ref, call] : calls_) all.push_back(ref);
+  for (const auto& [ref, call] : calls_)
+    all.push_back(ref);
   for (const auto& ref : all)
-    if (auto it = calls_.find(ref); it != calls_.end()) it->second->resume_withheld();
+    if (auto it = calls_.find(ref); it != calls_.end())
+      it->second->resume_withheld();
 }
 
 bool Outbound::news(const News& news) {
   ++counters_.news_received;
   auto name = by_name_.find(news.id);
   if (name != by_name_.end())
-    for (auto it = calls_.lower_bound({name->second, 0}); it != calls_.end() && it->first.first == name->second; ++it)
-      if (it->second->host() == news.from) return it->second->news(news), true;
+    for (auto it = calls_.lower_bound({name->second, 0});
+         it != calls_.end() && it->first.first == name->second; ++it)
+      if (it->second->host() == news.from)
+        return it->second->news(news), true;
   ++counters_.news_unmatched;
   return false;
 }
@@ -111,11 +129,15 @@
   AttemptRef ref = call.ref();
   auto it = calls_.find({ref.request, ref.attempt});
   auto next = calls_.lower_bound({ref.request, 0});
-  bool alone = next == it && (std::next(it) == calls_.end() || std::next(it)->first.first != ref.request);
-  if (alone) by_name_.erase(call.id());
+  bool alone =
+      next == it && (std::next(it) == calls_.end() || std::next(it)->first.first != ref.request);
+  if (alone)
+    by_name_.erase(call.id());
   loop_.dispose(std::move(it->second));  // it is calling us
   calls_.erase(it);
-  if (monitor_) monitor_->attempt_over(call.id(), call.host(), end.ending == Ending::turned_away || end.reach < Reach::fully_written);
+  if (monitor_)
+    monitor_->attempt_over(call.id(), call.host(),
+                           end.ending == Ending::turned_away || end.reach < Reach::fully_written);
   engine_.attempt_ended(ref, std::move(end));
 }
 
--- a/node/outbound/outbound.h
+++ b/node/outbound/outbound.h
@@ -34,8 +34,8 @@
     Duration connect_timeout;
     std::vector<std::string> report_names;
   };
-  Outbound(net::EventLoop& loop, Engine& engine, DestinationSet& destinations, Pool& pool, Settings settings,
-           Counters& counters);
+  Outbound(net::EventLoop& loop, Engine& engine, DestinationSet& destinations, Pool& pool,
+           Settings settings, Counters& counters);
   ~Outbound() override;
 
   void start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) override;
@@ -48,8 +48,8 @@
 
   void resume_withheld();  // attempts that waited for a list to be sent by go on
 
-  // A call-back is believed only if its id, its sender and a running attempt fit; others change nothing.
-  // False: of no attempt that this process has.
+  // A call-back is believed only if its id, its sender and a running attempt fit; others change
+  // nothing. False: of no attempt that this process has.
   bool news(const News& news);
 
   std::size_t calls() const { return calls_.size(); }
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -10,12 +10,14 @@
 namespace keelflow {
 namespace {
 
-// A request that must not run twice goes on a new connection, and its last byte a little after the others: by then it
-// has shown whether the connection is reset. Up to there it never ran, and may be sent again.
+// A request that must not run twice goes on a new connection, and its last byte a little after the
+// others: by then it has shown whether the connection is reset. Up to there it never ran, and may
+// be sent again.
 constexpr Duration kSettle = std::chrono::milliseconds(5);
-constexpr Duration kBodyPatience = std::chrono::milliseconds(100);  // from an answer's head to its end
-// An endpoint may answer twice, some milliseconds apart. On a connection that was used so shortly before, an answer that ends
-// the attempt may be the second one to the request before.
+constexpr Duration kBodyPatience =
+    std::chrono::milliseconds(100);  // from an answer's head to its end
+// An endpoint may answer twice, some milliseconds apart. On a connection that was used so shortly
+// before, an answer that ends the attempt may be the second one to the request before.
 constexpr Duration kSecondAnswer = std::chrono::milliseconds(100);
 constexpr int kMostDeletes = 3;  // tries to tell an endpoint that its job is given up
 constexpr Duration kDeletePause = std::chrono::milliseconds(100);
@@ -23,10 +25,17 @@
 
 }  // namespace
 
-OutboundCall::OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to, const Job& job,
-                           const EndpointPort::Terms& terms)
-    : owner_(owner), ref_(ref), worker_(worker), host_(to.host), dial_(to.dial), payload_(job.payload),
-      wants_progress_(job.wants_progress), once_(job.once), terms_(terms) {}
+OutboundCall::OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to,
+                           const Job& job, const EndpointPort::Terms& terms)
+    : owner_(owner),
+      ref_(ref),
+      worker_(worker),
+      host_(to.host),
+      dial_(to.dial),
+      payload_(job.payload),
+      wants_progress_(job.wants_progress),
+      once_(job.once),
+      terms_(terms) {}
 
 OutboundCall::~OutboundCall() {
   owner_.loop_.cancel(timer_);
@@ -35,21 +44,26 @@
 
 void OutboundCall::begin() {
   connection_ = owner_.pool_.take(worker_, dial_, once_);
-  if (!connection_) return end(Ending::broken);
+  if (!connection_)
+    return end(Ending::broken);
   connection_->attach(this);
   soon_ = connection_->stood() > Duration::zero() && connection_->stood() < kSecondAnswer;
-  if (connection_->connected()) return write_request();
-  timer_ = owner_.loop_.at(owner_.loop_.now() + owner_.settings_.connect_timeout, [this] { on_broken(); });
+  if (connection_->connected())
+    return write_request();
+  timer_ = owner_.loop_.at(owner_.loop_.now() + owner_.settings_.connect_timeout,
+                           [this] { on_broken(); });
 }
 
 void OutboundCall::on_connected() {
   owner_.loop_.cancel(timer_);
-  if (state_ == State::giving_up) return send_delete();
+  if (state_ == State::giving_up)
+    return send_delete();
   write_request();
 }
 
 void OutboundCall::resume_withheld() {
-  if (std::exchange(waits_for_list_, false) && state_ == State::connecting) write_request();
+  if (std::exchange(waits_for_list_, false) && state_ == State::connecting)
+    write_request();
 }
 
 // What holds at this moment: the connection may have come up late.
@@ -66,24 +80,33 @@
 
 void OutboundCall::withhold(operation_guard::Reason reason) {
   owner_.engine_.count_refusal(operation_guard::Operation::send, reason);
-  log::info(log::Subsystem::node, "send-forbidden", {{"id", payload_->id}, {"host", host_}, {"why", operation_guard::to_string(reason)}});
+  log::info(log::Subsystem::node, "send-forbidden",
+            {{"id", payload_->id}, {"host", host_}, {"why", operation_guard::to_string(reason)}});
 }
 
 void OutboundCall::write_request() {
   auto verdict = may_send();
   waits_for_list_ = verdict.reason() == operation_guard::Reason::list_lease_expired;
-  if (!verdict.allowed()) withhold(verdict.reason());
-  if (waits_for_list_) return;
-  if (!verdict.allowed()) return on_broken();
+  if (!verdict.allowed())
+    withhold(verdict.reason());
+  if (waits_for_list_)
+    return;
+  if (!verdict.allowed())
+    return on_broken();
   state_ = State::asked;
-  auto left = std::chrono::floor<std::chrono::milliseconds>(terms_.until - owner_.loop_.now()).count();
+  auto left =
+      std::chrono::floor<std::chrono::milliseconds>(terms_.until - owner_.loop_.now()).count();
   const Payload& p = *payload_;
-  std::string request = p.method + " " + p.target + " HTTP/1.1\r\nHost: " + host_ + "\r\nX-Trace-Id: " + p.id + "\r\n";
-  if (!p.idempotency_key.empty()) request += "Idempotency-Key: " + p.idempotency_key + "\r\n";
-  if (wants_progress_) request += "Accept: text/event-stream\r\n";
+  std::string request = p.method + " " + p.target + " HTTP/1.1\r\nHost: " + host_ +
+                        "\r\nX-Trace-Id: " + p.id + "\r\n";
+  if (!p.idempotency_key.empty())
+    request += "Idempotency-Key: " + p.idempotency_key + "\r\n";
+  if (wants_progress_)
+    request += "Accept: text/event-stream\r\n";
   request += "X-Expires-In-Ms: " + std::to_string(std::max<std::int64_t>(1, left)) + "\r\n";
   request += "Content-Length: " + std::to_string(p.body.size()) + "\r\n\r\n" + p.body;
-  if (owner_.monitor_) owner_.monitor_->attempt_written(host_, request, !once_, terms_.effect, owner_.loop_.now());
+  if (owner_.monitor_)
+    owner_.monitor_->attempt_written(host_, request, !once_, terms_.effect, owner_.loop_.now());
   connection_->send_job(verdict.permit(), request, once_ ? 1 : 0);
   if (once_) {
     rest_ = request.back();
@@ -100,28 +123,35 @@
     withhold(verdict.reason());
     return on_broken();
   }
-  if (owner_.monitor_) owner_.monitor_->last_byte_written(payload_->id, terms_.effect, owner_.loop_.now());
+  if (owner_.monitor_)
+    owner_.monitor_->last_byte_written(payload_->id, terms_.effect, owner_.loop_.now());
   connection_->send_rest(verdict.permit(), std::exchange(rest_, {}));
   watch_connection();
 }
 
 void OutboundCall::watch_connection() {
-  // A machine that is cut off leaves connections open and says nothing. What is written to another of them may have
-  // run and can often not be repeated; on a new connection, which never comes up, it has not.
+  // A machine that is cut off leaves connections open and says nothing. What is written to another
+  // of them may have run and can often not be repeated; on a new connection, which never comes up,
+  // it has not.
   timer_ = owner_.loop_.at(owner_.loop_.now() + owner_.settings_.connect_timeout,
                            [this] { owner_.pool_.forget(worker_); });
 }
 
 void OutboundCall::on_flushed() {
-  if (state_ != State::asked || reach() < Reach::fully_written) return;
-  if (!std::exchange(counted_, true)) ++owner_.counters_.attempts_written;
+  if (state_ != State::asked || reach() < Reach::fully_written)
+    return;
+  if (!std::exchange(counted_, true))
+    ++owner_.counters_.attempts_written;
 }
 
 // Once the connection is gone, what it had reached is what counts.
-Reach OutboundCall::reach() const { return connection_ ? std::max(reached_, connection_->reach()) : reached_; }
+Reach OutboundCall::reach() const {
+  return connection_ ? std::max(reached_, connection_->reach()) : reached_;
+}
 
 void OutboundCall::on_head(const net::Head& head) {
-  if (state_ == State::giving_up || state_ == State::ended) return;
+  if (state_ == State::giving_up || state_ == State::ended)
+    return;
   owner_.loop_.cancel(timer_);
   status_ = head.status;
   never_ran_ = head.find("X-Never-Ran") == "1";
@@ -136,32 +166,43 @@
   timer_ = owner_.loop_.at(owner_.loop_.now() + kBodyPatience, [this] { cut_off(); });
 }
 
-// An answer whose end does not come. That it has been taken is believed, as there may be something to call off; that it
-// never ran is not: half an answer proves nothing.
+// An answer whose end does not come. That it has been taken is believed, as there may be something
+// to call off; that it never ran is not: half an answer proves nothing.
 void OutboundCall::cut_off() {
-  if (status_ != 202 || !rest_.empty()) return on_broken();
+  if (status_ != 202 || !rest_.empty())
+    return on_broken();
   owner_.pool_.discard(std::move(connection_));
   answered();
 }
 
 void OutboundCall::on_body(std::string_view bytes) {
-  if (state_ != State::streaming) return;
+  if (state_ != State::streaming)
+    return;
   bool fine = events_.feed(bytes, [this](const SseEvent& event) {
-    if (state_ == State::streaming) read_event(event);
+    if (state_ == State::streaming)
+      read_event(event);
   });
-  if (!fine && state_ == State::streaming) on_broken();
+  if (!fine && state_ == State::streaming)
+    on_broken();
 }
 
 void OutboundCall::on_complete(bool reusable) {
-  if (state_ == State::streaming) return on_broken();  // an end without a final event
-  if (!rest_.empty()) reusable = false, reached_ = reach();
+  if (state_ == State::streaming)
+    return on_broken();  // an end without a final event
+  if (!rest_.empty())
+    reusable = false, reached_ = reach();
   owner_.loop_.cancel(timer_);
   auto connection = std::move(connection_);
-  if (reusable) owner_.pool_.give_back(worker_, std::move(connection));
-  else owner_.pool_.discard(std::move(connection));
-  if (state_ == State::giving_up) return end(doubtful_.value_or(Ending::cancelled));
-  if (state_ != State::asked) return;
-  if (status_ == 202 && !rest_.empty()) return on_broken();  // it cannot have taken what it does not have yet
+  if (reusable)
+    owner_.pool_.give_back(worker_, std::move(connection));
+  else
+    owner_.pool_.discard(std::move(connection));
+  if (state_ == State::giving_up)
+    return end(doubtful_.value_or(Ending::cancelled));
+  if (state_ != State::asked)
+    return;
+  if (status_ == 202 && !rest_.empty())
+    return on_broken();  // it cannot have taken what it does not have yet
   answered();
 }
 
@@ -173,19 +214,22 @@
   }
   bool turned_away = never_ran_ && (status_ == 503 || status_ == 504);
   Ending ending = turned_away ? Ending::turned_away : Ending::error;
-  if (soon_) return call_off(ending);
+  if (soon_)
+    return call_off(ending);
   end(ending, {}, report_);
 }
 
 void OutboundCall::on_broken() {
   reached_ = reach();
-  if (connection_ && status_ == 0) owner_.pool_.worn(connection_->stood());
+  if (connection_ && status_ == 0)
+    owner_.pool_.worn(connection_->stood());
   owner_.pool_.discard(std::move(connection_));
   owner_.loop_.cancel(timer_);
   if (state_ == State::giving_up) {
     owner_.pool_.forget(worker_);
     if (deletes_ >= most_deletes_) {
-      if (accepted_) ++owner_.counters_.give_ups_unheard;
+      if (accepted_)
+        ++owner_.counters_.give_ups_unheard;
       return end(accepted_ ? Ending::unheard : doubtful_.value_or(Ending::cancelled));
     }
     timer_ = owner_.loop_.at(owner_.loop_.now() + kDeletePause, [this] { send_delete(); });
@@ -194,17 +238,20 @@
   end(Ending::broken);
 }
 
-// Before the 202 the connection's end gives the attempt up. The 202 may be on its way, though, so an endpoint
-// that has had the whole request is told by name as well: once, as a silent machine would else hold up the next attempt.
+// Before the 202 the connection's end gives the attempt up. The 202 may be on its way, though, so
+// an endpoint that has had the whole request is told by name as well: once, as a silent machine
+// would else hold up the next attempt.
 void OutboundCall::give_up() {
-  if (state_ == State::ended || state_ == State::giving_up) return;
+  if (state_ == State::ended || state_ == State::giving_up)
+    return;
   bool streaming = state_ == State::streaming;
   accepted_ = state_ == State::accepted;
   most_deletes_ = accepted_ ? kMostDeletes : 1;
   reached_ = reach();
   owner_.loop_.cancel(timer_);
   owner_.pool_.discard(std::move(connection_));
-  if (streaming || reached_ < Reach::fully_written) return end(Ending::cancelled);
+  if (streaming || reached_ < Reach::fully_written)
+    return end(Ending::cancelled);
   state_ = State::giving_up;
   send_delete();
 }
@@ -213,45 +260,59 @@
   owner_.loop_.cancel(timer_);
   if (!connection_) {
     connection_ = owner_.pool_.take(worker_, dial_);
-    if (!connection_ || connection_->stood() == Duration::zero()) ++deletes_;  // an old one proves nothing
-    if (!connection_) return on_broken();
+    if (!connection_ || connection_->stood() == Duration::zero())
+      ++deletes_;  // an old one proves nothing
+    if (!connection_)
+      return on_broken();
     connection_->attach(this);
   }
   bool up = connection_->connected();
-  timer_ = owner_.loop_.at(owner_.loop_.now() + (up ? kDeletePatience : owner_.settings_.connect_timeout),
-                           [this] {
-                             connection_->stood({});  // silent, which has nothing to do with its age
-                             on_broken();
-                           });
-  if (!up) return;
+  timer_ = owner_.loop_.at(
+      owner_.loop_.now() + (up ? kDeletePatience : owner_.settings_.connect_timeout), [this] {
+        connection_->stood({});  // silent, which has nothing to do with its age
+        on_broken();
+      });
+  if (!up)
+    return;
   connection_->send("DELETE /jobs/" + payload_->id + " HTTP/1.1\r\nHost: " + host_ +
                     "\r\nContent-Length: 0\r\n\r\n");
 }
 
-void OutboundCall::news(const News& news) { hear(news, !terms_.again); }
+void OutboundCall::news(const News& news) {
+  hear(news, !terms_.again);
+}
 
 // `certain`: it is of this attempt and no other.
 void OutboundCall::hear(const News& news, bool certain) {
-  // A call-back that comes before the last byte is out belongs to an earlier attempt at the same endpoint.
+  // A call-back that comes before the last byte is out belongs to an earlier attempt at the same
+  // endpoint.
   if (state_ == State::ended || reach() < Reach::fully_written) {
     ++owner_.counters_.news_unmatched;
     return;
   }
-  if (news.state == "done") return end(Ending::served, news.result, news.report);
+  if (news.state == "done")
+    return end(Ending::served, news.result, news.report);
   bool over = news.state == "failed" || news.state == "returned" || news.state == "lost";
   told_ = true;
-  if (over && !certain) return call_off(Ending::error);
-  if (news.state == "failed") return end(Ending::error, {}, news.report);
-  if (news.state == "returned") return end(Ending::turned_away, {}, news.report);
-  if (news.state == "lost") return reached_ = reach(), end(Ending::broken, {}, news.report);
-  if (state_ == State::giving_up) return;
-  if (news.state == "started") owner_.engine_.attempt_started(ref_);
-  if (news.state == "running") owner_.engine_.attempt_progress(ref_, news.share);
+  if (over && !certain)
+    return call_off(Ending::error);
+  if (news.state == "failed")
+    return end(Ending::error, {}, news.report);
+  if (news.state == "returned")
+    return end(Ending::turned_away, {}, news.report);
+  if (news.state == "lost")
+    return reached_ = reach(), end(Ending::broken, {}, news.report);
+  if (state_ == State::giving_up)
+    return;
+  if (news.state == "started")
+    owner_.engine_.attempt_started(ref_);
+  if (news.state == "running")
+    owner_.engine_.attempt_progress(ref_, news.share);
 }
 
-// A call-back names no attempt and comes again until it has been answered: where this endpoint has had the request before,
-// an end may be that of the earlier attempt. An answer may be the second one to another request. In both cases the attempt is
-// called off, which makes its end true.
+// A call-back names no attempt and comes again until it has been answered: where this endpoint has
+// had the request before, an end may be that of the earlier attempt. An answer may be the second
+// one to another request. In both cases the attempt is called off, which makes its end true.
 void OutboundCall::call_off(Ending ending) {
   ++owner_.counters_.answers_doubted;
   doubtful_ = ending;
@@ -265,7 +326,8 @@
     told.result = event.data;
   } else if (event.type == "progress" || event.type == "running") {
     auto data = nlohmann::json::parse(event.data, nullptr, false);
-    if (!data.is_object() || !data.contains("share") || !data["share"].is_number()) return;
+    if (!data.is_object() || !data.contains("share") || !data["share"].is_number())
+      return;
     told.state = "running";
     told.share = data["share"].get<double>();
   }
@@ -274,14 +336,21 @@
 
 void OutboundCall::end(Ending ending, std::string result, const reedlb::LoadReport& report) {
   State was = std::exchange(state_, State::ended);
-  if (was == State::ended) return;
+  if (was == State::ended)
+    return;
   owner_.loop_.cancel(timer_);
-  bool refused = was == State::asked && status_ != 0 && !told_;  // its own answer says that it was not taken
+  bool refused =
+      was == State::asked && status_ != 0 && !told_;  // its own answer says that it was not taken
   reached_ = reach();
-  // It is deleted at the end of the turn only: a connection that comes up in this same turn must find nothing to write.
+  // It is deleted at the end of the turn only: a connection that comes up in this same turn must
+  // find nothing to write.
   owner_.pool_.discard(std::move(connection_));
-  owner_.ended(*this, {.ending = ending, .reach = reach(), .withheld = waits_for_list_, .may_tell = !refused && reach() >= Reach::fully_written,
-                       .result = std::move(result), .report = report});
+  owner_.ended(*this, {.ending = ending,
+                       .reach = reach(),
+                       .withheld = waits_for_list_,
+                       .may_tell = !refused && reach() >= Reach::fully_written,
+                       .result = std::move(result),
+                       .report = report});
 }
 
 }  // namespace keelflow
--- a/node/outbound/outbound_call.h
+++ b/node/outbound/outbound_call.h
@@ -10,8 +10,8 @@
 
 class OutboundCall final : ClientConnection::User {
  public:
-  OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to, const Job& job,
-               const EndpointPort::Terms& terms);
+  OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to,
+               const Job& job, const EndpointPort::Terms& terms);
   ~OutboundCall() override;
 
   void begin();
@@ -53,9 +53,10 @@
   std::string host_;
   net::Address dial_;
   std::shared_ptr<const Payload> payload_;
-  bool wants_progress_, once_, counted_ = false, accepted_ = false, told_ = false, soon_ = false, waits_for_list_ = false;
+  bool wants_progress_, once_, counted_ = false, accepted_ = false, told_ = false, soon_ = false,
+                               waits_for_list_ = false;
   std::optional<Ending> doubtful_;  // how it may have ended; or an earlier attempt there
-  std::string rest_;  // of the request, held back
+  std::string rest_;                // of the request, held back
   EndpointPort::Terms terms_;
   State state_ = State::connecting;
   Reach reached_ = Reach::never_written;
--- a/node/outbound/pool.h
+++ b/node/outbound/pool.h
@@ -14,19 +14,22 @@
 
 class Pool {
  public:
-  // `keep`: how long an idle connection is kept at most; must lie under what the endpoint's machine allows.
+  // `keep`: how long an idle connection is kept at most; must lie under what the endpoint's machine
+  // allows.
   Pool(net::EventLoop& loop, Duration keep, std::size_t most_idle, Counters& counters);
   ~Pool();
 
   void keep(Duration most) { most_keep_ = most, keep_ = std::min(keep_, most); }
   void most_idle(std::size_t most) { most_idle_ = most; }
 
-  // An idle connection to that address, connected; or else a new one, still connecting; or null where the
-  // kernel refused. A connection to an address that the endpoint has left is never handed out.
-  // `fresh`: a new one in any case.
-  std::unique_ptr<ClientConnection> take(WorkerId worker, const net::Address& dial, bool fresh = false);
-  // A connection that had stood idle for so long broke under its next exchange. Something on the way drops them
-  // earlier than it says, so they are kept for less from now on; little by little that is forgotten.
+  // An idle connection to that address, connected; or else a new one, still connecting; or null
+  // where the kernel refused. A connection to an address that the endpoint has left is never handed
+  // out. `fresh`: a new one in any case.
+  std::unique_ptr<ClientConnection> take(WorkerId worker, const net::Address& dial,
+                                         bool fresh = false);
+  // A connection that had stood idle for so long broke under its next exchange. Something on the
+  // way drops them earlier than it says, so they are kept for less from now on; little by little
+  // that is forgotten.
   void worn(Duration stood);
   void give_back(WorkerId worker, std::unique_ptr<ClientConnection> connection);
   void discard(std::unique_ptr<ClientConnection> connection);
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -1,4 +1,5 @@
-// Short messages between the nodes of a tier: UDP datagrams that come late or never. What they say is the module's.
+// Short messages between the nodes of a tier: UDP datagrams that come late or never. What they say
+// is the module's.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +22,15 @@
   using Listener = std::function<void(int peer, std::string bytes)>;
 
   // `peers`: by rank, this node among them; whoever sends from another address is not heard.
-  Peers(net::EventLoop& loop, std::vector<net::Address> peers, int rank, Listener listener, Counters& counters);
+  Peers(net::EventLoop& loop, std::vector<net::Address> peers, int rank, Listener listener,
+        Counters& counters);
   ~Peers() override;
 
-  // false: the address cannot be had (errno). The node serves without, and what it would tell is counted as dropped.
+  // false: the address cannot be had (errno). The node serves without, and what it would tell is
+  // counted as dropped.
   bool open(const net::Address& listen);
-  // Nothing waits: where the kernel has no room, or there is no such peer, the message is dropped and counted.
+  // Nothing waits: where the kernel has no room, or there is no such peer, the message is dropped
+  // and counted.
   void tell(int peer, std::string_view bytes) override;
   net::Address address() const;  // the one it has; port 0 while it is closed
 
--- a/node/plugins/host.h
+++ b/node/plugins/host.h
@@ -1,6 +1,6 @@
-// The node's side of one host: the child process, the packet socket to it, and the calls that are open there. It
-// believes nothing that comes back: a packet that is malformed, an answer to a call that is not owed, or a flood ends
-// the host, and its user starts another.
+// The node's side of one host: the child process, the packet socket to it, and the calls that are
+// open there. It believes nothing that comes back: a packet that is malformed, an answer to a call
+// that is not owed, or a flood ends the host, and its user starts another.
 #pragma once
 
 #include <sys/types.h>
@@ -20,7 +20,8 @@
 
 using CallId = std::uint64_t;
 
-// Child processes that were told to end and have not been waited for yet. All of them were sent SIGKILL.
+// Child processes that were told to end and have not been waited for yet. All of them were sent
+// SIGKILL.
 class Reaper {
  public:
   using Told = std::function<void(pid_t pid, const std::string& how)>;  // "exit 1", "signal 11"
@@ -53,16 +54,20 @@
     virtual void on_ready(Host& host) = 0;  // loaded, and its own test passed
     virtual void on_judged(Host& host, CallId call, Verdict verdict) = 0;
     virtual void on_shaped(Host& host, CallId call, Shape shape) = 0;
-    virtual void on_faulted(Host& host, CallId call, const std::string& why) = 0;  // zero: a call that wants no answer
-    virtual void on_late(Host& host, CallId call) = 0;  // its deadline has passed; it is not open any more
+    virtual void on_faulted(Host& host, CallId call,
+                            const std::string& why) = 0;  // zero: a call that wants no answer
+    virtual void on_late(Host& host,
+                         CallId call) = 0;  // its deadline has passed; it is not open any more
     virtual void on_kept(Host& host, const wire::Kept& entry) = 0;
     virtual void on_count(Host& host, const wire::Count& count) = 0;
     virtual void on_line(Host& host, const wire::Line& line) = 0;
-    // The process is gone, or is being ended; without a reason after `leave`. `open` calls will not be answered.
+    // The process is gone, or is being ended; without a reason after `leave`. `open` calls will not
+    // be answered.
     virtual void on_ended(Host& host, const std::string& why, const std::vector<CallId>& open) = 0;
   };
 
-  Host(net::EventLoop& loop, Reaper& reaper, User& user, Settings settings, std::uint64_t generation);
+  Host(net::EventLoop& loop, Reaper& reaper, User& user, Settings settings,
+       std::uint64_t generation);
   ~Host() override { stop(); }
 
   // False (errno): no descriptor or no process could be had.
@@ -102,10 +107,10 @@
   int fd_ = -1;
   std::uint64_t registration_ = 0;
   bool ready_ = false, leaving_ = false;
-  std::deque<std::string> starting_;                        // what is said before it is ready
-  std::deque<std::pair<TimePoint, CallId>> deadlines_;      // in order, as all calls have the same time
-  std::unordered_map<CallId, bool> open_;                   // and whether its answer is still wanted
-  std::map<CallId, TimePoint> late_;                        // past their deadline, still owed; the oldest first
+  std::deque<std::string> starting_;                    // what is said before it is ready
+  std::deque<std::pair<TimePoint, CallId>> deadlines_;  // in order, as all calls have the same time
+  std::unordered_map<CallId, bool> open_;               // and whether its answer is still wanted
+  std::map<CallId, TimePoint> late_;  // past their deadline, still owed; the oldest first
   double unasked_left_ = 64;
   TimePoint unasked_filled_{};
   TimerId timer_ = 0, load_timer_ = 0;
--- a/node/plugins/host_main.cpp
+++ b/node/plugins/host_main.cpp
@@ -22,9 +22,10 @@
 
 constexpr double kLinesASecond = 10, kLinesAtOnce = 20;
 constexpr std::size_t kMostCounters = 32;
-constexpr int kFlushMs = 100;  // counts go out so often at most
+constexpr int kFlushMs = 100;                    // counts go out so often at most
 constexpr rlim_t kBeyondLua = 64 * 1024 * 1024;  // address space for everything but the Lua state
-// A call that its budget in Lua did not end is in a library's C code. The processor clock then ends the whole host.
+// A call that its budget in Lua did not end is in a library's C code. The processor clock then ends
+// the whole host.
 constexpr Duration kGraceForC = 20ms, kLoadLimit = 1s;
 constexpr int kTimesForC = 4;
 
@@ -35,7 +36,8 @@
 
 void confine() {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGPIPE}) signal(number, SIG_IGN);  // it ends when its node says so
+  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGPIPE})
+    signal(number, SIG_IGN);  // it ends when its node says so
   limit(RLIMIT_CORE, 0);
   limit(RLIMIT_FSIZE, 0);
   limit(RLIMIT_NOFILE, 8);
@@ -64,7 +66,8 @@
     auto ns = std::chrono::duration_cast<std::chrono::nanoseconds>(span).count();
     spec.it_value.tv_sec = ns / 1'000'000'000;
     spec.it_value.tv_nsec = ns % 1'000'000'000;
-    if (made_) timer_settime(timer_, 0, &spec, nullptr);
+    if (made_)
+      timer_settime(timer_, 0, &spec, nullptr);
   }
   void clear() { set(Duration::zero()); }
 
@@ -81,14 +84,21 @@
     confine();
     std::string packet(wire::kMostMessage, '\0');
     for (;;) {
-      if (!counts_.empty() && !wait()) flush();
+      if (!counts_.empty() && !wait())
+        flush();
       ssize_t got = recv(fd_, packet.data(), packet.size(), 0);
-      if (got < 0 && errno == EINTR) continue;
-      if (got <= 0) return 0;
-      auto message = wire::decode_to_host(std::string_view(packet).substr(0, static_cast<std::size_t>(got)));
-      if (!message) return 1;
-      if (std::holds_alternative<wire::Leave>(*message)) return flush(), 0;
-      if (!std::visit([this](const auto& m) { return on(m); }, *message)) return 1;
+      if (got < 0 && errno == EINTR)
+        continue;
+      if (got <= 0)
+        return 0;
+      auto message =
+          wire::decode_to_host(std::string_view(packet).substr(0, static_cast<std::size_t>(got)));
+      if (!message)
+        return 1;
+      if (std::holds_alternative<wire::Leave>(*message))
+        return flush(), 0;
+      if (!std::visit([this](const auto& m) { return on(m); }, *message))
+        return 1;
     }
   }
 
@@ -96,23 +106,28 @@
   // False: nothing has come within the time after which counts are told.
   bool wait() {
     pollfd ready{fd_, POLLIN, 0};
-    auto left = std::chrono::ceil<std::chrono::milliseconds>(flushed_ + std::chrono::milliseconds(kFlushMs) - Clock::now()).count();
+    auto left = std::chrono::ceil<std::chrono::milliseconds>(
+                    flushed_ + std::chrono::milliseconds(kFlushMs) - Clock::now())
+                    .count();
     return left > 0 && poll(&ready, 1, static_cast<int>(left)) > 0;
   }
 
   void flush() {
-    for (const auto& [name, by] : counts_) send(wire::Count{name, by});
+    for (const auto& [name, by] : counts_)
+      send(wire::Count{name, by});
     counts_.clear();
     flushed_ = Clock::now();
   }
 
   void send(const wire::ToNode& message) {
     std::string packet = wire::encode(message);
-    while (::send(fd_, packet.data(), packet.size(), MSG_NOSIGNAL) < 0 && errno == EINTR) continue;
+    while (::send(fd_, packet.data(), packet.size(), MSG_NOSIGNAL) < 0 && errno == EINTR)
+      continue;
   }
 
   bool on(const wire::Hello& hello) {
-    if (machine_) return false;
+    if (machine_)
+      return false;
     hello_ = hello;
     setpriority(PRIO_PROCESS, 0, hello.nice);
     confine_memory(hello.memory);
@@ -125,11 +140,13 @@
     return true;
   }
   bool on(const wire::Kept& entry) {
-    if (machine_) machine_->table().put(entry, 0);
+    if (machine_)
+      machine_->table().put(entry, 0);
     return true;
   }
   bool on(const wire::Begin& begin) {
-    if (!machine_) return true;
+    if (!machine_)
+      return true;
     guard_.set(kLoadLimit);
     try {
       machine_->load(begin.now);
@@ -156,7 +173,8 @@
   bool on(const wire::Leave&) { return true; }
 
   bool call(std::uint64_t number, const auto& body) {
-    if (!machine_) return false;
+    if (!machine_)
+      return false;
     guard_.set(kTimesForC * from_ms(hello_.time_ms) + kGraceForC);
     try {
       body();
@@ -169,8 +187,10 @@
 
   void kept(const wire::Kept& entry) override { send(wire::ToNode(entry)); }
   void count(const wire::Count& count) override {
-    if (counts_.empty()) flushed_ = Clock::now();
-    if (counts_.contains(count.name) || counts_.size() < kMostCounters) counts_[count.name] += count.by;
+    if (counts_.empty())
+      flushed_ = Clock::now();
+    if (counts_.contains(count.name) || counts_.size() < kMostCounters)
+      counts_[count.name] += count.by;
   }
   void line(std::string_view text) override {
     TimePoint now = Clock::now();
@@ -196,6 +216,8 @@
 
 }  // namespace
 
-int host_main(int fd) { return Child(fd).run(); }
+int host_main(int fd) {
+  return Child(fd).run();
+}
 
 }  // namespace keelflow::plugins
--- a/node/plugins/host_main.h
+++ b/node/plugins/host_main.h
@@ -1,4 +1,5 @@
-// The host: a process of one plug-in, started by a node with one end of a packet socket, alive as long as that is.
+// The host: a process of one plug-in, started by a node with one end of a packet socket, alive as
+// long as that is.
 #pragma once
 
 namespace keelflow::plugins {
--- a/node/plugins/machine.cpp
+++ b/node/plugins/machine.cpp
@@ -15,9 +15,10 @@
 constexpr int kStepsBetweenLooks = 1000;
 constexpr Duration kLoadTime = 200ms;  // of processor time, for the source and for its own test
 
-// Left out: whatever reaches the outside (io, os, load, require), and what could dodge the budget inside Lua: pcall and
-// coroutines, and metatables, whose finalizers run without being counted.
-constexpr const char* kBase[] = {"assert", "error", "ipairs", "next", "pairs", "select", "tonumber", "tostring", "type"};
+// Left out: whatever reaches the outside (io, os, load, require), and what could dodge the budget
+// inside Lua: pcall and coroutines, and metatables, whose finalizers run without being counted.
+constexpr const char* kBase[] = {"assert", "error",    "ipairs",   "next", "pairs",
+                                 "select", "tonumber", "tostring", "type"};
 
 Duration processor_time() {
   timespec now{};
@@ -25,7 +26,9 @@
   return std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec);
 }
 
-Machine* self(lua_State* lua) { return *static_cast<Machine**>(lua_getextraspace(lua)); }
+Machine* self(lua_State* lua) {
+  return *static_cast<Machine**>(lua_getextraspace(lua));
+}
 
 void set(lua_State* lua, const char* key, std::string_view value) {
   lua_pushlstring(lua, value.data(), value.size());
@@ -40,13 +43,17 @@
   lua_setfield(lua, -2, key);
 }
 
-// Of the table at the top. Absent or of another type are told apart: the second is the author's mistake.
+// Of the table at the top. Absent or of another type are told apart: the second is the author's
+// mistake.
 bool number(lua_State* lua, const char* key, double& into) {
   int type = lua_getfield(lua, -1, key);
-  if (type != LUA_TNIL && type != LUA_TNUMBER) luaL_error(lua, "'%s' is no number", key);
-  if (type == LUA_TNUMBER) into = lua_tonumber(lua, -1);
+  if (type != LUA_TNIL && type != LUA_TNUMBER)
+    luaL_error(lua, "'%s' is no number", key);
+  if (type == LUA_TNUMBER)
+    into = lua_tonumber(lua, -1);
   lua_pop(lua, 1);
-  if (type == LUA_TNUMBER && !std::isfinite(into)) luaL_error(lua, "'%s' is not finite", key);
+  if (type == LUA_TNUMBER && !std::isfinite(into))
+    luaL_error(lua, "'%s' is not finite", key);
   return type == LUA_TNUMBER;
 }
 
@@ -54,15 +61,18 @@
   int type = lua_getfield(lua, -1, key);
   bool value = lua_toboolean(lua, -1);
   lua_pop(lua, 1);
-  if (type != LUA_TNIL && type != LUA_TBOOLEAN) luaL_error(lua, "'%s' is neither true nor false", key);
+  if (type != LUA_TNIL && type != LUA_TBOOLEAN)
+    luaL_error(lua, "'%s' is neither true nor false", key);
   return value;
 }
 
 // Leaves the text on the stack, as it must live until the caller has copied it.
 const char* text(lua_State* lua, const char* key, std::size_t& size) {
   int type = lua_getfield(lua, -1, key);
-  if (type == LUA_TNIL) return nullptr;
-  if (type != LUA_TSTRING) luaL_error(lua, "'%s' is no string", key);
+  if (type == LUA_TNIL)
+    return nullptr;
+  if (type != LUA_TSTRING)
+    luaL_error(lua, "'%s' is no string", key);
   const char* out = lua_tolstring(lua, -1, &size);
   size = std::min(size, kMostLabel);
   return out;
@@ -71,7 +81,8 @@
 void check_keys(lua_State* lua, std::initializer_list<const char*> known) {
   for (lua_pushnil(lua); lua_next(lua, -2) != 0; lua_pop(lua, 1)) {
     const char* key = lua_type(lua, -2) == LUA_TSTRING ? lua_tostring(lua, -2) : "?";
-    if (std::none_of(known.begin(), known.end(), [&](const char* k) { return std::string_view(k) == key; }))
+    if (std::none_of(known.begin(), known.end(),
+                     [&](const char* k) { return std::string_view(k) == key; }))
       luaL_error(lua, "an answer may not have '%s'", key);
   }
 }
@@ -87,7 +98,8 @@
 
 }  // namespace
 
-// What the source may call. No object with a destructor lives across a call that can raise: an error is a long jump.
+// What the source may call. No object with a destructor lives across a call that can raise: an
+// error is a long jump.
 struct Machine::Api {
   static int now(lua_State* lua) { return lua_pushnumber(lua, self(lua)->now_), 1; }
 
@@ -95,7 +107,8 @@
     std::size_t size = 0;
     const char* key = luaL_checklstring(lua, 1, &size);
     const std::string* value = self(lua)->table_.find({key, size}, self(lua)->now_);
-    if (!value) return lua_pushnil(lua), 1;
+    if (!value)
+      return lua_pushnil(lua), 1;
     lua_pushlstring(lua, value->data(), value->size());
     return 1;
   }
@@ -109,7 +122,8 @@
     luaL_argcheck(lua, key_size > 0 && key_size <= wire::kMostKey, 1, "a key has 1 to 64 bytes");
     luaL_argcheck(lua, value_size <= wire::kMostKept, 2, "a value has at most 1024 bytes");
     luaL_argcheck(lua, std::isfinite(seconds) && seconds >= 0, 3, "seconds from 0 on");
-    if (++self(lua)->changes_ > wire::kMostChanges) return luaL_error(lua, "more than %d changes of its table in one call", wire::kMostChanges);
+    if (++self(lua)->changes_ > wire::kMostChanges)
+      return luaL_error(lua, "more than %d changes of its table in one call", wire::kMostChanges);
     lua_pushboolean(lua, self(lua)->keep({key, key_size}, {value, value_size}, seconds));
     return 1;
   }
@@ -118,7 +132,8 @@
     std::size_t size = 0;
     const char* name = luaL_checklstring(lua, 1, &size);
     double by = luaL_optnumber(lua, 2, 1);
-    luaL_argcheck(lua, size > 0 && size <= wire::kMostName, 1, "a counter's name has 1 to 40 bytes");
+    luaL_argcheck(lua, size > 0 && size <= wire::kMostName, 1,
+                  "a counter's name has 1 to 40 bytes");
     luaL_argcheck(lua, std::isfinite(by) && by >= 0, 2, "a counter only grows");
     self(lua)->tell_count({name, size}, by);
     return 0;
@@ -132,7 +147,8 @@
   }
 
   static void out_of_time(lua_State* lua, lua_Debug*) {
-    if (processor_time() >= self(lua)->ends_) luaL_error(lua, "out of time");
+    if (processor_time() >= self(lua)->ends_)
+      luaL_error(lua, "out of time");
   }
 
   static int open(lua_State* lua) {
@@ -142,7 +158,11 @@
       lua_getfield(lua, -2, name);
       lua_setfield(lua, -2, name);
     }
-    for (const auto& [name, open_library] : {std::pair<const char*, lua_CFunction>{"string", luaopen_string}, {"table", luaopen_table}, {"math", luaopen_math}, {"utf8", luaopen_utf8}}) {
+    for (const auto& [name, open_library] :
+         {std::pair<const char*, lua_CFunction>{"string", luaopen_string},
+          {"table", luaopen_table},
+          {"math", luaopen_math},
+          {"utf8", luaopen_utf8}}) {
       luaL_requiref(lua, name, open_library, 0);
       lua_setfield(lua, -2, name);
     }
@@ -159,16 +179,20 @@
     lua_pushcfunction(lua, log), lua_setfield(lua, -2, "log");
     settings(lua);
     lua_setfield(lua, -2, "settings");
-    lua_rawseti(lua, LUA_REGISTRYINDEX, LUA_RIDX_GLOBALS);  // the source sees these and nothing else
+    lua_rawseti(lua, LUA_REGISTRYINDEX,
+                LUA_RIDX_GLOBALS);  // the source sees these and nothing else
     return 0;
   }
 
   static void settings(lua_State* lua) {
     lua_newtable(lua);
     for (const auto& [name, value] : self(lua)->hello_.values) {
-      if (const auto* yes = std::get_if<bool>(&value)) lua_pushboolean(lua, *yes);
-      if (const auto* figure = std::get_if<double>(&value)) lua_pushnumber(lua, *figure);
-      if (const auto* word = std::get_if<std::string>(&value)) lua_pushlstring(lua, word->data(), word->size());
+      if (const auto* yes = std::get_if<bool>(&value))
+        lua_pushboolean(lua, *yes);
+      if (const auto* figure = std::get_if<double>(&value))
+        lua_pushnumber(lua, *figure);
+      if (const auto* word = std::get_if<std::string>(&value))
+        lua_pushlstring(lua, word->data(), word->size());
       if (const auto* words = std::get_if<std::vector<std::string>>(&value)) {
         lua_newtable(lua);
         for (std::size_t i = 0; i < words->size(); ++i) {
@@ -184,17 +208,26 @@
     const wire::Hello& hello = self(lua)->hello_;
     lua_pushfstring(lua, "=%s/main.lua", hello.name.c_str());
     // Text only: Lua does not check bytecode.
-    if (luaL_loadbufferx(lua, hello.source.data(), hello.source.size(), lua_tostring(lua, -1), "t") != LUA_OK) return lua_error(lua);
+    if (luaL_loadbufferx(lua, hello.source.data(), hello.source.size(), lua_tostring(lua, -1),
+                         "t") != LUA_OK)
+      return lua_error(lua);
     lua_call(lua, 0, 0);
     for (std::size_t i = 0; i < kEntries.size(); ++i) {
-      bool wanted = hello.entries >> i & 1, there = lua_getglobal(lua, kEntries[i].data()) == LUA_TFUNCTION;
-      if (wanted && !there) return luaL_error(lua, "the manifest names %s, which the source does not define", kEntries[i].data());
-      if (!wanted && there) return luaL_error(lua, "the source defines %s, which the manifest does not name", kEntries[i].data());
+      bool wanted = hello.entries >> i & 1,
+           there = lua_getglobal(lua, kEntries[i].data()) == LUA_TFUNCTION;
+      if (wanted && !there)
+        return luaL_error(lua, "the manifest names %s, which the source does not define",
+                          kEntries[i].data());
+      if (!wanted && there)
+        return luaL_error(lua, "the source defines %s, which the manifest does not name",
+                          kEntries[i].data());
       lua_pop(lua, 1);
     }
-    if (lua_getglobal(lua, "self_test") != LUA_TFUNCTION) return 0;
+    if (lua_getglobal(lua, "self_test") != LUA_TFUNCTION)
+      return 0;
     lua_call(lua, 0, 1);
-    if (lua_isboolean(lua, -1) && !lua_toboolean(lua, -1)) return luaL_error(lua, "its self_test said false");
+    if (lua_isboolean(lua, -1) && !lua_toboolean(lua, -1))
+      return luaL_error(lua, "its self_test said false");
     return 0;
   }
 
@@ -203,21 +236,28 @@
     const wire::Request& r = call->request;
     lua_getglobal(lua, "on_request");
     lua_newtable(lua);
-    set(lua, "id", r.id), set(lua, "class", r.cls), set(lua, "tenant", r.tenant), set(lua, "path", r.path);
+    set(lua, "id", r.id), set(lua, "class", r.cls), set(lua, "tenant", r.tenant),
+        set(lua, "path", r.path);
     set(lua, "object", r.object), set(lua, "again", r.repeat);
     set(lua, "patience", r.patience_ms / 1000), set(lua, "hint", r.hint_ms / 1000);
     lua_call(lua, 1, 1);
-    if (lua_isnil(lua, -1)) return 0;
-    if (!lua_istable(lua, -1)) return luaL_error(lua, "on_request must return nothing or a table");
+    if (lua_isnil(lua, -1))
+      return 0;
+    if (!lua_istable(lua, -1))
+      return luaL_error(lua, "on_request must return nothing or a table");
     check_keys(lua, {"refuse", "come_back", "hold", "weigh", "label"});
     Verdict& v = call->verdict;
     v.refuse = flag(lua, "refuse");
-    if (number(lua, "come_back", v.come_back_ms)) v.come_back_ms *= 1000;
-    if (number(lua, "hold", v.hold_ms)) v.hold_ms *= 1000;
+    if (number(lua, "come_back", v.come_back_ms))
+      v.come_back_ms *= 1000;
+    if (number(lua, "hold", v.hold_ms))
+      v.hold_ms *= 1000;
     number(lua, "weigh", v.weigh);
-    if (v.come_back_ms < 0 || v.hold_ms < 0 || v.weigh <= 0) return luaL_error(lua, "a time is below zero, or a weight not above it");
+    if (v.come_back_ms < 0 || v.hold_ms < 0 || v.weigh <= 0)
+      return luaL_error(lua, "a time is below zero, or a weight not above it");
     std::size_t size = 0;
-    if (const char* label = text(lua, "label", size)) v.label.assign(label, size);
+    if (const char* label = text(lua, "label", size))
+      v.label.assign(label, size);
     return 0;
   }
 
@@ -226,18 +266,23 @@
     const wire::Event& e = call->event;
     lua_getglobal(lua, "on_progress");
     lua_newtable(lua);
-    set(lua, "request", e.request), set(lua, "class", e.cls), set(lua, "tenant", e.tenant), set(lua, "label", e.label);
+    set(lua, "request", e.request), set(lua, "class", e.cls), set(lua, "tenant", e.tenant),
+        set(lua, "label", e.label);
     set(lua, "type", e.started ? std::string_view("started") : "progress");
     set(lua, "attempt", static_cast<double>(e.attempt)), set(lua, "share", e.share);
     lua_call(lua, 1, 1);
     Shape& s = call->shape;
-    if (lua_isnil(lua, -1)) return 0;
-    if (lua_isboolean(lua, -1)) return s.drop = !lua_toboolean(lua, -1), 0;
-    if (!lua_istable(lua, -1)) return luaL_error(lua, "on_progress must return nothing, false or a table");
+    if (lua_isnil(lua, -1))
+      return 0;
+    if (lua_isboolean(lua, -1))
+      return s.drop = !lua_toboolean(lua, -1), 0;
+    if (!lua_istable(lua, -1))
+      return luaL_error(lua, "on_progress must return nothing, false or a table");
     check_keys(lua, {"label", "share"});
     s.has_share = number(lua, "share", s.share);
     std::size_t size = 0;
-    if (const char* label = text(lua, "label", size)) s.has_label = true, s.label.assign(label, size);
+    if (const char* label = text(lua, "label", size))
+      s.has_label = true, s.label.assign(label, size);
     return 0;
   }
 
@@ -245,7 +290,8 @@
     const auto& a = *static_cast<const wire::Answer*>(lua_touserdata(lua, 1));
     lua_getglobal(lua, "on_answer");
     lua_newtable(lua);
-    set(lua, "id", a.id), set(lua, "class", a.cls), set(lua, "tenant", a.tenant), set(lua, "how", a.how);
+    set(lua, "id", a.id), set(lua, "class", a.cls), set(lua, "tenant", a.tenant),
+        set(lua, "how", a.how);
     set(lua, "elapsed", a.elapsed_ms / 1000);
     lua_call(lua, 1, 0);
     return 0;
@@ -263,7 +309,9 @@
 
 const std::string* KeptTable::find(std::string_view key, double now) const {
   auto it = entries_.find(key);
-  return it != entries_.end() && (it->second.until == 0 || it->second.until > now) ? &it->second.value : nullptr;
+  return it != entries_.end() && (it->second.until == 0 || it->second.until > now)
+             ? &it->second.value
+             : nullptr;
 }
 
 void KeptTable::erase(std::map<std::string, Entry, std::less<>>::iterator it) {
@@ -272,16 +320,24 @@
 }
 
 bool KeptTable::put(const wire::Kept& entry, double now) {
-  if (entry.key.empty() || entry.key.size() > wire::kMostKey || entry.value.size() > wire::kMostKept) return false;
-  if (auto it = entries_.find(entry.key); it != entries_.end()) erase(it);
-  if (entry.value.empty()) return true;
-  auto fits = [&] { return entries_.size() < kMostEntries && bytes_ + size(entry.key, entry.value) <= kMostBytes; };
+  if (entry.key.empty() || entry.key.size() > wire::kMostKey ||
+      entry.value.size() > wire::kMostKept)
+    return false;
+  if (auto it = entries_.find(entry.key); it != entries_.end())
+    erase(it);
+  if (entry.value.empty())
+    return true;
+  auto fits = [&] {
+    return entries_.size() < kMostEntries && bytes_ + size(entry.key, entry.value) <= kMostBytes;
+  };
   for (auto it = entries_.begin(); !fits() && it != entries_.end();) {
     auto next = std::next(it);
-    if (it->second.until != 0 && it->second.until <= now) erase(it);
+    if (it->second.until != 0 && it->second.until <= now)
+      erase(it);
     it = next;
   }
-  if (!fits()) return false;
+  if (!fits())
+    return false;
   bytes_ += size(entry.key, entry.value);
   entries_[entry.key] = {entry.value, entry.until};
   return true;
@@ -289,7 +345,8 @@
 
 std::vector<wire::Kept> KeptTable::entries() const {
   std::vector<wire::Kept> out;
-  for (const auto& [key, entry] : entries_) out.push_back({key, entry.value, entry.until});
+  for (const auto& [key, entry] : entries_)
+    out.push_back({key, entry.value, entry.until});
   return out;
 }
 
@@ -297,28 +354,38 @@
 
 void* Machine::allocate(void* memory, void* block, std::size_t old_size, std::size_t new_size) {
   auto& account = *static_cast<Memory*>(memory);
-  if (!block) old_size = 0;  // then it tells the kind of object
+  if (!block)
+    old_size = 0;  // then it tells the kind of object
   if (new_size == 0) {
     account.used -= old_size;
     std::free(block);
     return nullptr;
   }
-  if (new_size > old_size && account.used + (new_size - old_size) > account.most) return nullptr;
+  if (new_size > old_size && account.used + (new_size - old_size) > account.most)
+    return nullptr;
   void* fresh = std::realloc(block, new_size);
-  if (fresh) account.used = account.used - old_size + new_size;
+  if (fresh)
+    account.used = account.used - old_size + new_size;
   return fresh;
 }
 
 Machine::Machine(const wire::Hello& hello, Outside& outside)
-    : hello_(hello), outside_(outside), memory_{0, hello.memory}, lua_(lua_newstate(allocate, &memory_)) {
-  if (!lua_) throw PluginFault("its memory does not hold an empty Lua state");
+    : hello_(hello),
+      outside_(outside),
+      memory_{0, hello.memory},
+      lua_(lua_newstate(allocate, &memory_)) {
+  if (!lua_)
+    throw PluginFault("its memory does not hold an empty Lua state");
   *static_cast<Machine**>(lua_getextraspace(lua_)) = this;
 }
 
-Machine::~Machine() { lua_close(lua_); }
+Machine::~Machine() {
+  lua_close(lua_);
+}
 
 void Machine::fail() {
-  std::string why = lua_type(lua_, -1) == LUA_TSTRING ? lua_tostring(lua_, -1) : "an error that is no string";
+  std::string why =
+      lua_type(lua_, -1) == LUA_TSTRING ? lua_tostring(lua_, -1) : "an error that is no string";
   lua_settop(lua_, 0);
   throw PluginFault(why.substr(0, wire::kMostText));
 }
@@ -330,18 +397,21 @@
   lua_sethook(lua_, Api::out_of_time, LUA_MASKCOUNT, kStepsBetweenLooks);  // the count starts anew
   lua_pushcfunction(lua_, body);
   lua_pushlightuserdata(lua_, argument);
-  if (lua_pcall(lua_, 1, 0, 0) != LUA_OK) fail();
+  if (lua_pcall(lua_, 1, 0, 0) != LUA_OK)
+    fail();
   lua_settop(lua_, 0);
 }
 
 void Machine::load(double now) {
   now_ = now;
   lua_pushcfunction(lua_, Api::open);
-  if (lua_pcall(lua_, 0, 0, 0) != LUA_OK) fail();
+  if (lua_pcall(lua_, 0, 0, 0) != LUA_OK)
+    fail();
   ends_ = processor_time() + kLoadTime;
   lua_sethook(lua_, Api::out_of_time, LUA_MASKCOUNT, kStepsBetweenLooks);
   lua_pushcfunction(lua_, Api::start);
-  if (lua_pcall(lua_, 0, 0, 0) != LUA_OK) fail();
+  if (lua_pcall(lua_, 0, 0, 0) != LUA_OK)
+    fail();
   lua_settop(lua_, 0);
 }
 
@@ -357,16 +427,23 @@
   return std::move(call.shape);
 }
 
-void Machine::on_answer(const wire::Answer& answer) { run(Api::answer, const_cast<wire::Answer*>(&answer), answer.now); }
-void Machine::on_tick(double now) { run(Api::tick, nullptr, now); }
+void Machine::on_answer(const wire::Answer& answer) {
+  run(Api::answer, const_cast<wire::Answer*>(&answer), answer.now);
+}
+void Machine::on_tick(double now) {
+  run(Api::tick, nullptr, now);
+}
 
 bool Machine::keep(std::string_view key, std::string_view value, double seconds) {
   wire::Kept entry{std::string(key), std::string(value), seconds > 0 ? now_ + seconds : 0};
-  if (!table_.put(entry, now_)) return false;
+  if (!table_.put(entry, now_))
+    return false;
   outside_.kept(entry);
   return true;
 }
 
-void Machine::tell_count(std::string_view name, double by) { outside_.count({std::string(name), by}); }
+void Machine::tell_count(std::string_view name, double by) {
+  outside_.count({std::string(name), by});
+}
 
 }  // namespace keelflow::plugins
--- a/node/plugins/machine.h
+++ b/node/plugins/machine.h
@@ -1,6 +1,6 @@
-// The Lua state of one plug-in, with its budgets. It runs in a host, and in the command line's `plugin test`; never in
-// the node's own process. A library call that runs in C is no step of Lua's and is not ended here: the host's processor
-// clock does that, by ending the host.
+// The Lua state of one plug-in, with its budgets. It runs in a host, and in the command line's
+// `plugin test`; never in the node's own process. A library call that runs in C is no step of Lua's
+// and is not ended here: the host's processor clock does that, by ending the host.
 #pragma once
 
 #include <cstddef>
@@ -46,7 +46,9 @@
     std::string value;
     double until = 0;
   };
-  static std::size_t size(std::string_view key, std::string_view value) { return key.size() + value.size() + 64; }
+  static std::size_t size(std::string_view key, std::string_view value) {
+    return key.size() + value.size() + 64;
+  }
   void erase(std::map<std::string, Entry, std::less<>>::iterator it);
   std::map<std::string, Entry, std::less<>> entries_;
   std::size_t bytes_ = 0;
@@ -61,10 +63,11 @@
   Machine& operator=(const Machine&) = delete;
 
   KeptTable& table() { return table_; }
-  // Runs the source, checks that its entry points are those of the manifest, and runs its `self_test` if there is one.
-  // Throws PluginFault, with the line where Lua knows one.
+  // Runs the source, checks that its entry points are those of the manifest, and runs its
+  // `self_test` if there is one. Throws PluginFault, with the line where Lua knows one.
   void load(double now);
-  // Each throws PluginFault: an error in it, out of time, out of memory, or an answer of a wrong type.
+  // Each throws PluginFault: an error in it, out of time, out of memory, or an answer of a wrong
+  // type.
   Verdict on_request(const wire::Request& request);
   Shape on_progress(const wire::Event& event);
   void on_answer(const wire::Answer& answer);
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -19,7 +19,9 @@
 
 namespace {
 
-std::string cut(std::string_view text, std::size_t most = wire::kMostText) { return std::string(text.substr(0, most)); }
+std::string cut(std::string_view text, std::size_t most = wire::kMostText) {
+  return std::string(text.substr(0, most));
+}
 
 std::string hex(std::uint64_t number) {
   char text[20];
@@ -28,7 +30,9 @@
 }
 
 std::string name_at(const std::vector<std::string>& names, int i) {
-  return i >= 0 && static_cast<std::size_t>(i) < names.size() ? cut(names[static_cast<std::size_t>(i)]) : "";
+  return i >= 0 && static_cast<std::size_t>(i) < names.size()
+             ? cut(names[static_cast<std::size_t>(i)])
+             : "";
 }
 
 const char* word(RoutePort::End how) {
@@ -45,90 +49,120 @@
   return "";
 }
 
-std::vector<bool> flags(const std::vector<std::string>& wanted, const std::vector<std::string>& all) {
+std::vector<bool> flags(const std::vector<std::string>& wanted,
+                        const std::vector<std::string>& all) {
   std::vector<bool> out;
-  if (wanted.empty()) return out;
-  for (const std::string& name : all) out.push_back(std::find(wanted.begin(), wanted.end(), name) != wanted.end());
+  if (wanted.empty())
+    return out;
+  for (const std::string& name : all)
+    out.push_back(std::find(wanted.begin(), wanted.end(), name) != wanted.end());
   return out;
 }
 
-bool allowed(const std::vector<bool>& flags, int i) { return flags.empty() || (i >= 0 && static_cast<std::size_t>(i) < flags.size() && flags[static_cast<std::size_t>(i)]); }
+bool allowed(const std::vector<bool>& flags, int i) {
+  return flags.empty() || (i >= 0 && static_cast<std::size_t>(i) < flags.size() &&
+                           flags[static_cast<std::size_t>(i)]);
+}
 
 }  // namespace
 
-std::vector<Package> plugins::load_all(const Settings& settings, const std::string& file, const Names& names) {
+std::vector<Package> plugins::load_all(const Settings& settings, const std::string& file,
+                                       const Names& names) {
   std::vector<Package> out;
   config::Faults faults;
   std::string all;
   for (const Wanted& wanted : settings.plugins) {
     out.push_back(load(settings.folder + "/" + wanted.name, wanted, file, faults));
     const Manifest& m = out.back().manifest;
-    auto look = [&](const std::vector<std::string>& wanted_names, const std::vector<std::string>& known, const char* what) {
+    auto look = [&](const std::vector<std::string>& wanted_names,
+                    const std::vector<std::string>& known, const char* what) {
       for (const std::string& name : wanted_names)
         if (std::find(known.begin(), known.end(), name) == known.end())
-          all += "plug-in '" + wanted.name + "': the platform knows no " + what + " '" + name + "'\n";
+          all +=
+              "plug-in '" + wanted.name + "': the platform knows no " + what + " '" + name + "'\n";
     };
     look(m.classes, names.classes, "class"), look(m.tenants, names.tenants, "tenant");
   }
-  for (const config::Fault& fault : faults) all += fault.text() + "\n";
-  if (all.empty()) return out;
+  for (const config::Fault& fault : faults)
+    all += fault.text() + "\n";
+  if (all.empty())
+    return out;
   all.pop_back();
   throw ConfigError(all);
 }
 
 Plugins::Plugins(World world, Engine& engine, Counters& counters)
-    : world_(std::move(world)), engine_(engine), counters_(counters),
-      reaper_(world_.loop, [](pid_t pid, const std::string& how) { log::info(Subsystem::plugins, "host-gone", {{"pid", pid}, {"how", how}}); }),
+    : world_(std::move(world)),
+      engine_(engine),
+      counters_(counters),
+      reaper_(world_.loop,
+              [](pid_t pid, const std::string& how) {
+                log::info(Subsystem::plugins, "host-gone", {{"pid", pid}, {"how", how}});
+              }),
       holds_(0, 0) {}
 
 Plugins::~Plugins() {
   world_.loop.cancel(hold_timer_);
-  for (auto& plugin : plugins_) world_.loop.cancel(plugin->restart), world_.loop.cancel(plugin->tick);
+  for (auto& plugin : plugins_)
+    world_.loop.cancel(plugin->restart), world_.loop.cancel(plugin->tick);
 }
 
 // ---- what is there ----
 
 Plugins::Plugin* Plugins::find(std::string_view name) const {
-  auto it = std::find_if(plugins_.begin(), plugins_.end(), [&](auto& p) { return p->wanted.name == name; });
+  auto it = std::find_if(plugins_.begin(), plugins_.end(),
+                         [&](auto& p) { return p->wanted.name == name; });
   return it == plugins_.end() ? nullptr : it->get();
 }
 
 Plugins::Plugin* Plugins::owner(const Host& host) const {
   for (const auto& plugin : plugins_) {
-    if (plugin->current.get() == &host || plugin->next.get() == &host) return plugin.get();
+    if (plugin->current.get() == &host || plugin->next.get() == &host)
+      return plugin.get();
     for (const auto& old : plugin->retiring)
-      if (old.get() == &host) return plugin.get();
+      if (old.get() == &host)
+        return plugin.get();
   }
   return nullptr;
 }
 
 void Plugins::configure(const plugins::Settings& settings, std::vector<Package> packages) {
   settings_ = settings;
-  release(holds_.bound(static_cast<std::size_t>(settings.most_held), static_cast<std::size_t>(settings.most_held_kb * 1024)));
+  release(holds_.bound(static_cast<std::size_t>(settings.most_held),
+                       static_cast<std::size_t>(settings.most_held_kb * 1024)));
   std::vector<std::unique_ptr<Plugin>> old = std::exchange(plugins_, {});
   std::vector<std::size_t> begins;
   for (std::size_t i = 0; i < settings.plugins.size(); ++i) {
     const plugins::Wanted& wanted = settings.plugins[i];
-    auto same = std::find_if(old.begin(), old.end(), [&](auto& p) { return p && p->wanted.name == wanted.name; });
+    auto same = std::find_if(old.begin(), old.end(),
+                             [&](auto& p) { return p && p->wanted.name == wanted.name; });
     bool fresh = same == old.end();
-    plugins_.push_back(fresh ? std::make_unique<Plugin>(wanted, settings.breaker, world_.seed + i) : std::move(*same));
+    plugins_.push_back(fresh ? std::make_unique<Plugin>(wanted, settings.breaker, world_.seed + i)
+                             : std::move(*same));
     Plugin& plugin = *plugins_.back();
     const Package& newest = plugin.next && plugin.takes_over ? plugin.next_package : plugin.package;
-    bool changed = fresh || newest.fingerprint != packages[i].fingerprint || plugin.wanted.answer_within != wanted.answer_within;
+    bool changed = fresh || newest.fingerprint != packages[i].fingerprint ||
+                   plugin.wanted.answer_within != wanted.answer_within;
     bool was_enabled = std::exchange(plugin.wanted, wanted).enabled;
-    if (fresh) plugin.package = packages[i], see(plugin, packages[i]);  // its fallback holds until it has loaded
+    if (fresh)
+      plugin.package = packages[i],
+      see(plugin, packages[i]);  // its fallback holds until it has loaded
     if (!wanted.enabled) {
-      if (fresh || was_enabled) enable(wanted.name, false);
+      if (fresh || was_enabled)
+        enable(wanted.name, false);
       plugin.package = packages[i];
     } else if (changed || !was_enabled) {
       begins.push_back(i);
     }
   }
   for (auto& gone : old)
-    if (gone) abandon(*gone);
-  for (std::size_t i : begins) begin(*plugins_[i], packages[i], true);
+    if (gone)
+      abandon(*gone);
+  for (std::size_t i : begins)
+    begin(*plugins_[i], packages[i], true);
   engine_.screen(on() ? this : nullptr);
-  if (!on()) release(holds_.all());
+  if (!on())
+    release(holds_.all());
 }
 
 // A plug-in that the file no longer has: its calls count as not answered, and its hosts end.
@@ -136,14 +170,18 @@
   world_.loop.cancel(plugin.restart);
   world_.loop.cancel(plugin.tick);
   drop(plugin.next), drop(plugin.current);
-  for (auto& host : plugin.retiring) drop(host);
-  for (auto& [id, screening] : screenings_) std::replace(screening.plugins.begin(), screening.plugins.end(), &plugin, static_cast<Plugin*>(nullptr));
+  for (auto& host : plugin.retiring)
+    drop(host);
+  for (auto& [id, screening] : screenings_)
+    std::replace(screening.plugins.begin(), screening.plugins.end(), &plugin,
+                 static_cast<Plugin*>(nullptr));
   give_up(plugin, 0);
   log::info(Subsystem::plugins, "removed", {{"plugin", plugin.wanted.name}});
 }
 
 void Plugins::drop(std::unique_ptr<Host>& host) {
-  if (!host) return;
+  if (!host)
+    return;
   host->stop();
   world_.loop.dispose(std::move(host));
 }
@@ -152,10 +190,12 @@
 void Plugins::give_up(Plugin& plugin, std::uint64_t generation) {
   std::vector<CallId> open;
   for (const auto& [id, call] : calls_)
-    if (call.plugin == &plugin && (generation == 0 || call.generation == generation)) open.push_back(id);
+    if (call.plugin == &plugin && (generation == 0 || call.generation == generation))
+      open.push_back(id);
   std::sort(open.begin(), open.end());
   for (CallId id : open)
-    if (auto call = close(id)) call->plugin = nullptr, settled(*call);
+    if (auto call = close(id))
+      call->plugin = nullptr, settled(*call);
 }
 
 // ---- generations ----
@@ -166,7 +206,9 @@
   drop(plugin.next);  // one that was still loading
   plugin.next_package = package;
   plugin.takes_over = takes_over;
-  Host::Settings s{.program = world_.program, .answer_within = plugin.wanted.answer_within, .silence = settings_.silence};
+  Host::Settings s{.program = world_.program,
+                   .answer_within = plugin.wanted.answer_within,
+                   .silence = settings_.silence};
   s.most_in_flight = static_cast<std::size_t>(settings_.in_flight);
   s.nice = static_cast<std::uint8_t>(settings_.nice);
   Host::User& user = *this;
@@ -177,27 +219,35 @@
   }
   drop(plugin.next);
   plugin.problem = std::string("no host could be started: ") + std::strerror(errno);
-  log::warning(Subsystem::plugins, "host-not-started", {{"plugin", plugin.wanted.name}, {"fault", plugin.problem}});
-  if (!plugin.current) plugin.breaker.died(clock_ms()), watch_restart(plugin);
+  log::warning(Subsystem::plugins, "host-not-started",
+               {{"plugin", plugin.wanted.name}, {"fault", plugin.problem}});
+  if (!plugin.current)
+    plugin.breaker.died(clock_ms()), watch_restart(plugin);
 }
 
 void Plugins::on_ready(Host& host) {
   Plugin* plugin = owner(host);
-  if (!plugin || plugin->next.get() != &host) return;
+  if (!plugin || plugin->next.get() != &host)
+    return;
   Breaker::State before = plugin->breaker.state();
   if (plugin->takes_over) {
     plugin->package = plugin->next_package;
     see(*plugin, plugin->package);
     // Another generation is not guilty of what the one before did.
     plugin->breaker = Breaker(plugin->breaker_settings, world_.seed + plugin->generation);
-    if (plugin->current) ++counters_.plugin_reloads;
+    if (plugin->current)
+      ++counters_.plugin_reloads;
   } else {
     plugin->breaker.begin_trial(clock_ms());
   }
-  if (plugin->current) retire(*plugin, std::move(plugin->current));
+  if (plugin->current)
+    retire(*plugin, std::move(plugin->current));
   plugin->current = std::move(plugin->next);
-  log::info(Subsystem::plugins, "in-charge", {{"plugin", plugin->wanted.name}, {"version", plugin->package.manifest.version},
-                                              {"generation", host.generation()}, {"pid", host.pid()}});
+  log::info(Subsystem::plugins, "in-charge",
+            {{"plugin", plugin->wanted.name},
+             {"version", plugin->package.manifest.version},
+             {"generation", host.generation()},
+             {"pid", host.pid()}});
   tell_state(*plugin, before);
   tick(*plugin);
 }
@@ -210,14 +260,16 @@
 void Plugins::retune(const Names& names, const std::vector<reedlb::ClassSettings>& classes) {
   world_.names = names;
   world_.classes = classes;
-  for (auto& plugin : plugins_) see(*plugin, plugin->package);
+  for (auto& plugin : plugins_)
+    see(*plugin, plugin->package);
 }
 
 void Plugins::retire(Plugin& plugin, std::unique_ptr<Host> host) {
   constexpr std::size_t kMostRetiring = 3;
   plugin.retiring.push_back(std::move(host));
   let_leave(plugin);
-  if (plugin.retiring.size() <= kMostRetiring) return;
+  if (plugin.retiring.size() <= kMostRetiring)
+    return;
   std::uint64_t oldest = plugin.retiring.front()->generation();
   drop(plugin.retiring.front());
   plugin.retiring.erase(plugin.retiring.begin());
@@ -228,16 +280,21 @@
 void Plugins::let_leave(Plugin& plugin) {
   std::vector<Host*> idle;  // one that cannot be told is dropped at once
   for (auto& old : plugin.retiring)
-    if (old->in_flight() == 0 && !old->leaving()) idle.push_back(old.get());
-  for (Host* host : idle) host->leave();
+    if (old->in_flight() == 0 && !old->leaving())
+      idle.push_back(old.get());
+  for (Host* host : idle)
+    host->leave();
 }
 
 void Plugins::on_ended(Host& host, const std::string& why, const std::vector<CallId>& open) {
   Plugin* plugin = owner(host);
-  if (!plugin) return;
+  if (!plugin)
+    return;
   if (why.empty()) {  // a former generation, as it was told
-    auto old = std::find_if(plugin->retiring.begin(), plugin->retiring.end(), [&](auto& h) { return h.get() == &host; });
-    if (old == plugin->retiring.end()) return;
+    auto old = std::find_if(plugin->retiring.begin(), plugin->retiring.end(),
+                            [&](auto& h) { return h.get() == &host; });
+    if (old == plugin->retiring.end())
+      return;
     drop(*old);
     plugin->retiring.erase(old);
     return;
@@ -247,28 +304,39 @@
   plugin->problem = why;
   bool current = plugin->current.get() == &host, next = plugin->next.get() == &host;
   log::warning(Subsystem::plugins, next ? "not-loaded" : "host-ended",
-               {{"plugin", plugin->wanted.name}, {"generation", host.generation()}, {"why", why}, {"open-calls", std::uint64_t{open.size()}}});
-  if (current) drop(plugin->current);
-  else if (next) drop(plugin->next);
+               {{"plugin", plugin->wanted.name},
+                {"generation", host.generation()},
+                {"why", why},
+                {"open-calls", std::uint64_t{open.size()}}});
+  if (current)
+    drop(plugin->current);
+  else if (next)
+    drop(plugin->next);
   else
     for (auto& old : plugin->retiring)
-      if (old.get() == &host) drop(old);
+      if (old.get() == &host)
+        drop(old);
   std::erase(plugin->retiring, nullptr);
-  if (next) counters_.plugin_reloads_failed += plugin->takes_over;
+  if (next)
+    counters_.plugin_reloads_failed += plugin->takes_over;
   if (current || (next && !plugin->current)) {
     Breaker::State before = plugin->breaker.state();
     plugin->breaker.died(clock_ms());
     tell_state(*plugin, before);
-    if (!plugin->next) watch_restart(*plugin);
+    if (!plugin->next)
+      watch_restart(*plugin);
   }
   for (CallId id : open)
-    if (auto call = close(id)) settled(*call);
+    if (auto call = close(id))
+      settled(*call);
 }
 
 void Plugins::watch_restart(Plugin& plugin) {
   world_.loop.cancel(plugin.restart);
   plugin.restart = 0;
-  if (plugin.breaker.state() != Breaker::State::open && plugin.breaker.state() != Breaker::State::out) return;
+  if (plugin.breaker.state() != Breaker::State::open &&
+      plugin.breaker.state() != Breaker::State::out)
+    return;
   plugin.restart = world_.loop.at(world_.clock.at(plugin.breaker.until()), [this, &plugin] {
     plugin.restart = 0;
     begin(plugin, plugin.package, false);
@@ -277,9 +345,14 @@
 
 void Plugins::tell_state(const Plugin& plugin, Breaker::State before) {
   Breaker::State now = plugin.breaker.state();
-  if (now == before) return;
-  log::info(Subsystem::plugins, "breaker", {{"plugin", plugin.wanted.name}, {"from", plugins::word(before)}, {"to", plugins::word(now)},
-                                            {"turns", plugin.breaker.turns()}, {"why", plugin.problem}});
+  if (now == before)
+    return;
+  log::info(Subsystem::plugins, "breaker",
+            {{"plugin", plugin.wanted.name},
+             {"from", plugins::word(before)},
+             {"to", plugins::word(now)},
+             {"turns", plugin.breaker.turns()},
+             {"why", plugin.problem}});
 }
 
 // A call was not answered as it should.
@@ -288,7 +361,8 @@
   ++counters_.plugin_faults;
   plugin.problem = why;
   Breaker::State before = plugin.breaker.state();
-  if (!plugin.breaker.strike(clock_ms())) return;
+  if (!plugin.breaker.strike(clock_ms()))
+    return;
   tell_state(plugin, before);
   left_out(plugin);
 }
@@ -296,18 +370,22 @@
 // The breaker has opened: its host ends, and what is out there counts as not answered.
 void Plugins::left_out(Plugin& plugin) {
   drop(plugin.current);
-  for (auto& old : plugin.retiring) drop(old);
+  for (auto& old : plugin.retiring)
+    drop(old);
   plugin.retiring.clear();
-  if (!plugin.next) watch_restart(plugin);
+  if (!plugin.next)
+    watch_restart(plugin);
   give_up(plugin, 0);
 }
 
 void Plugins::tick(Plugin& plugin) {
   world_.loop.cancel(plugin.tick);
   plugin.tick = 0;
-  if (!plugin.package.manifest.has(Entry::on_tick)) return;
+  if (!plugin.package.manifest.has(Entry::on_tick))
+    return;
   plugin.tick = world_.loop.at(world_.loop.now() + plugin.package.manifest.tick, [this, &plugin] {
-    if (plugin.current && plugin.breaker.state() == Breaker::State::closed) plugin.current->tell(wire::Tick{unix_seconds()});
+    if (plugin.current && plugin.breaker.state() == Breaker::State::closed)
+      plugin.current->tell(wire::Tick{unix_seconds()});
     tick(plugin);
   });
 }
@@ -315,8 +393,8 @@
 // ---- calls ----
 
 bool Plugins::sees(const Plugin& plugin, int cls, int tenant, Entry entry) const {
-  return plugin.package.manifest.has(entry) && plugin.breaker.state() != Breaker::State::disabled && allowed(plugin.classes, cls) &&
-         allowed(plugin.tenants, tenant);
+  return plugin.package.manifest.has(entry) && plugin.breaker.state() != Breaker::State::disabled &&
+         allowed(plugin.classes, cls) && allowed(plugin.tenants, tenant);
 }
 
 // Zero: it cannot be asked now.
@@ -338,7 +416,8 @@
 
 std::optional<Plugins::Call> Plugins::close(CallId id) {
   auto it = calls_.find(id);
-  if (it == calls_.end()) return std::nullopt;
+  if (it == calls_.end())
+    return std::nullopt;
   Call call = it->second;
   calls_.erase(it);
   if (call.request) {
@@ -353,55 +432,75 @@
   return call;
 }
 
-// A call has come back, or will not: when it was the last one of its request or event, that goes on.
+// A call has come back, or will not: when it was the last one of its request or event, that goes
+// on.
 void Plugins::settled(const Call& call) {
   if (call.plugin)
     let_leave(*call.plugin);
   if (!call.request) {
     auto it = shapings_.find(call.of);
-    if (it == shapings_.end() || it->second.open > 0) return;
+    if (it == shapings_.end() || it->second.open > 0)
+      return;
     Shaping shaping = std::move(it->second);
     shapings_.erase(it);
     return shaping.who->on_shaped(call.of, plugins::combine(shaping.said));
   }
   auto id = static_cast<RequestId>(call.of);
   auto it = screenings_.find(id);
-  if (it == screenings_.end() || it->second.open > 0) return;
+  if (it == screenings_.end() || it->second.open > 0)
+    return;
   Screening screening = std::move(it->second);
   screenings_.erase(it);
   bool waits = false;
   Said said = this->said(id, screening, waits);
-  if (!waits) engine_.screened(id, said);
+  if (!waits)
+    engine_.screened(id, said);
 }
 
 std::optional<ScreenPort::Said> Plugins::screen(RequestId id, const Job& job, TimePoint deadline) {
   Screening s;
   wire::Request message;
   for (const auto& plugin : plugins_) {
-    if (!sees(*plugin, job.cls, job.tenant, Entry::on_request)) continue;
+    if (!sees(*plugin, job.cls, job.tenant, Entry::on_request))
+      continue;
     if (s.said.empty()) {
-      message = {.call = 0, .now = unix_seconds(), .patience_ms = to_ms(job.patience), .hint_ms = Milliseconds(job.hint).count(),
-                 .repeat = job.repeat, .id = cut(job.id), .cls = name_at(world_.names.classes, job.cls),
-                 .tenant = name_at(world_.names.tenants, job.tenant), .path = cut(job.path), .object = hex(job.key)};
+      message = {.call = 0,
+                 .now = unix_seconds(),
+                 .patience_ms = to_ms(job.patience),
+                 .hint_ms = Milliseconds(job.hint).count(),
+                 .repeat = job.repeat,
+                 .id = cut(job.id),
+                 .cls = name_at(world_.names.classes, job.cls),
+                 .tenant = name_at(world_.names.tenants, job.tenant),
+                 .path = cut(job.path),
+                 .object = hex(job.key)};
     }
     // A client that waits hardly longer than a plug-in may take is not made to.
     bool time = job.patience > 2 * plugin->wanted.answer_within;
     message.call = ++last_call_;
-    CallId call = time ? ask(*plugin, message, {.request = true, .of = id, .place = s.said.size()}) : 0;
-    s.said.push_back({.spoke = false, .fallback = plugin->package.manifest.fallback, .verdict = {}});
+    CallId call =
+        time ? ask(*plugin, message, {.request = true, .of = id, .place = s.said.size()}) : 0;
+    s.said.push_back(
+        {.spoke = false, .fallback = plugin->package.manifest.fallback, .verdict = {}});
     s.plugins.push_back(plugin.get());
     s.calls.push_back(call);
     s.open += call != 0;
   }
-  if (s.said.empty()) return Said{};
+  if (s.said.empty())
+    return Said{};
   const reedlb::ClassSettings& cls = world_.classes.at(static_cast<std::size_t>(job.cls));
-  s.subject = {.effect = cls.effect, .repeat = job.repeat, .patience_ms = 0, .need_ms = cls.target_ms + cls.stretch * Milliseconds(job.hint).count()};
+  s.subject = {.effect = cls.effect,
+               .repeat = job.repeat,
+               .patience_ms = 0,
+               .need_ms = cls.target_ms + cls.stretch * Milliseconds(job.hint).count()};
   s.deadline = deadline;
   s.bytes = job.bytes;
-  if (s.open > 0) return screenings_.emplace(id, std::move(s)), std::nullopt;
+  if (s.open > 0)
+    return screenings_.emplace(id, std::move(s)), std::nullopt;
   bool waits = false;
   Said out = said(id, s, waits);
-  if (waits) return std::nullopt;
+  if (waits)
+    return std::nullopt;
   return out;
 }
 
@@ -411,30 +510,40 @@
   s.subject.patience_ms = to_ms(s.deadline - now);
   plugins::Bounds bounds{.most_hold_ms = draining_ ? 0 : to_ms(settings_.most_hold)};
   plugins::Combined all = plugins::combine(s.said, s.subject, bounds);
-  auto plugin = [&](int place) { return place >= 0 ? s.plugins[static_cast<std::size_t>(place)] : nullptr; };
-  Said out{.refuse = all.verdict.refuse, .come_back = from_ms(all.verdict.come_back_ms), .weigh = all.verdict.weigh, .label = all.verdict.label};
+  auto plugin = [&](int place) {
+    return place >= 0 ? s.plugins[static_cast<std::size_t>(place)] : nullptr;
+  };
+  Said out{.refuse = all.verdict.refuse,
+           .come_back = from_ms(all.verdict.come_back_ms),
+           .weigh = all.verdict.weigh,
+           .label = all.verdict.label};
   if (out.refuse) {
     ++counters_.plugin_refused;
-    if (Plugin* by = plugin(all.refused_by)) ++by->refused;
+    if (Plugin* by = plugin(all.refused_by))
+      ++by->refused;
     return out;
   }
-  if (all.verdict.hold_ms <= 0) return out;
+  if (all.verdict.hold_ms <= 0)
+    return out;
   ++counters_.plugin_held;
-  if (Plugin* by = plugin(all.held_by)) ++by->held;
+  if (Plugin* by = plugin(all.held_by))
+    ++by->held;
   waits = true;
   waiting_[id] = std::move(out);
   auto pushed_out = holds_.add(id, s.bytes, clock_ms() + all.verdict.hold_ms);
   counters_.plugin_holds_cut = holds_.pushed_out();
   watch_holds();
   // Not at once: whoever asks may not know the request's number yet.
-  if (!pushed_out.empty()) world_.loop.defer([this, pushed_out] { release(pushed_out); });
+  if (!pushed_out.empty())
+    world_.loop.defer([this, pushed_out] { release(pushed_out); });
   return {};
 }
 
 void Plugins::release(const std::vector<RequestId>& ids) {
   for (RequestId id : ids) {
     auto it = waiting_.find(id);
-    if (it == waiting_.end()) continue;
+    if (it == waiting_.end())
+      continue;
     Said said = std::move(it->second);
     waiting_.erase(it);
     engine_.screened(id, said);
@@ -459,17 +568,22 @@
 }
 
 void Plugins::forget(RequestId id) {
-  if (holds_.remove(id)) watch_holds();
+  if (holds_.remove(id))
+    watch_holds();
   waiting_.erase(id);
   auto it = screenings_.find(id);
-  if (it == screenings_.end()) return;
+  if (it == screenings_.end())
+    return;
   for (std::size_t i = 0; i < it->second.calls.size(); ++i) {
     CallId call = it->second.calls[i];
     Plugin* plugin = it->second.plugins[i];
-    if (call == 0 || !plugin) continue;
+    if (call == 0 || !plugin)
+      continue;
     calls_.erase(call);
-    if (plugin->current) plugin->current->forget(call);
-    for (auto& old : plugin->retiring) old->forget(call);
+    if (plugin->current)
+      plugin->current->forget(call);
+    for (auto& old : plugin->retiring)
+      old->forget(call);
     plugin->breaker.dropped();
   }
   screenings_.erase(it);
@@ -477,9 +591,12 @@
 
 void Plugins::ended(const Job& job, Duration elapsed, RoutePort::End how) {
   for (const auto& plugin : plugins_) {
-    if (!plugin->current || plugin->breaker.state() != Breaker::State::closed || !sees(*plugin, job.cls, job.tenant, Entry::on_answer)) continue;
-    bool told = plugin->current->tell(wire::Answer{unix_seconds(), to_ms(elapsed), cut(job.id), name_at(world_.names.classes, job.cls),
-                                                   name_at(world_.names.tenants, job.tenant), word(how)});
+    if (!plugin->current || plugin->breaker.state() != Breaker::State::closed ||
+        !sees(*plugin, job.cls, job.tenant, Entry::on_answer))
+      continue;
+    bool told = plugin->current->tell(wire::Answer{
+        unix_seconds(), to_ms(elapsed), cut(job.id), name_at(world_.names.classes, job.cls),
+        name_at(world_.names.tenants, job.tenant), word(how)});
     counters_.plugin_not_asked += !told;
   }
 }
@@ -489,9 +606,17 @@
   std::uint64_t ticket = last_ticket_ + 1;
   int cls = Names::place(world_.names.classes, event.cls);
   for (const auto& plugin : plugins_) {
-    if (!sees(*plugin, cls, event.tenant, Entry::on_progress)) continue;
-    wire::Event message{++last_call_, unix_seconds(), event.share, event.started, event.attempt, cut(event.request), cut(event.cls),
-                        name_at(world_.names.tenants, event.tenant), cut(event.label, plugins::kMostLabel)};
+    if (!sees(*plugin, cls, event.tenant, Entry::on_progress))
+      continue;
+    wire::Event message{++last_call_,
+                        unix_seconds(),
+                        event.share,
+                        event.started,
+                        event.attempt,
+                        cut(event.request),
+                        cut(event.cls),
+                        name_at(world_.names.tenants, event.tenant),
+                        cut(event.label, plugins::kMostLabel)};
     CallId call = ask(*plugin, message, {.request = false, .of = ticket, .place = s.said.size()});
     plugins::Shape fallback;
     fallback.drop = plugin->package.manifest.fallback == plugins::Fallback::refuse;
@@ -499,25 +624,32 @@
     s.calls.push_back(call);
     s.open += call != 0;
   }
-  if (s.said.empty()) return 0;
+  if (s.said.empty())
+    return 0;
   s.who = &who;
   ++last_ticket_;
   bool waits = s.open > 0;
   shapings_.emplace(ticket, std::move(s));
-  if (!waits) world_.loop.defer([this, ticket] { settled({.plugin = nullptr, .request = false, .of = ticket}); });
+  if (!waits)
+    world_.loop.defer(
+        [this, ticket] { settled({.plugin = nullptr, .request = false, .of = ticket}); });
   return ticket;
 }
 
 plugins::Shape Plugins::take_back(std::uint64_t ticket) {
   auto it = shapings_.find(ticket);
-  if (it == shapings_.end()) return {};
+  if (it == shapings_.end())
+    return {};
   plugins::Shape known = plugins::combine(it->second.said);
   for (CallId call : it->second.calls) {
     auto open = calls_.find(call);
-    if (call == 0 || open == calls_.end()) continue;
+    if (call == 0 || open == calls_.end())
+      continue;
     Plugin* plugin = open->second.plugin;
-    if (plugin->current) plugin->current->forget(call);
-    for (auto& old : plugin->retiring) old->forget(call);
+    if (plugin->current)
+      plugin->current->forget(call);
+    for (auto& old : plugin->retiring)
+      old->forget(call);
     plugin->breaker.dropped();
     calls_.erase(open);
   }
@@ -529,8 +661,10 @@
 
 void Plugins::on_judged(Host& host, CallId id, plugins::Verdict verdict) {
   auto known = calls_.find(id);
-  if (known == calls_.end()) return;
-  if (!known->second.request) return on_faulted(host, id, "a verdict on a progress event");
+  if (known == calls_.end())
+    return;
+  if (!known->second.request)
+    return on_faulted(host, id, "a verdict on a progress event");
   Call call = *close(id);
   plugins::Said& said = screenings_.at(static_cast<RequestId>(call.of)).said[call.place];
   said.spoke = true;
@@ -540,8 +674,10 @@
 
 void Plugins::on_shaped(Host& host, CallId id, plugins::Shape shape) {
   auto known = calls_.find(id);
-  if (known == calls_.end()) return;
-  if (known->second.request) return on_faulted(host, id, "a shape for a request");
+  if (known == calls_.end())
+    return;
+  if (known->second.request)
+    return on_faulted(host, id, "a shape for a request");
   Call call = *close(id);
   shapings_.at(call.of).said[call.place] = std::move(shape);
   answered(call);
@@ -561,67 +697,89 @@
 
 void Plugins::on_faulted(Host& host, CallId id, const std::string& why) {
   Plugin* plugin = owner(host);
-  if (!plugin) return;
+  if (!plugin)
+    return;
   auto call = id == 0 ? std::nullopt : close(id);
   struck(*plugin, why);
-  if (call) settled(*call);
+  if (call)
+    settled(*call);
 }
 
-// Its fallback holds. That is no strike: the machine may be busy. A host that stays silent is ended by itself.
+// Its fallback holds. That is no strike: the machine may be busy. A host that stays silent is ended
+// by itself.
 void Plugins::on_late(Host& host, CallId id) {
   Plugin* plugin = owner(host);
   auto call = close(id);
   ++counters_.plugin_late;
-  if (plugin) ++plugin->late;
-  if (plugin && plugin->breaker.state() == Breaker::State::trial) struck(*plugin, "a call of its trial was late");
-  if (call) settled(*call);
+  if (plugin)
+    ++plugin->late;
+  if (plugin && plugin->breaker.state() == Breaker::State::trial)
+    struck(*plugin, "a call of its trial was late");
+  if (call)
+    settled(*call);
 }
 
 void Plugins::on_kept(Host& host, const wire::Kept& entry) {
   Plugin* plugin = owner(host);
-  if (!plugin) return;
+  if (!plugin)
+    return;
   plugin->table.put(entry, unix_seconds());
   // The generation that is loading is to know it too.
-  if (plugin->next && plugin->next.get() != &host) plugin->next->tell(entry);
+  if (plugin->next && plugin->next.get() != &host)
+    plugin->next->tell(entry);
 }
 
 void Plugins::on_count(Host& host, const wire::Count& count) {
   constexpr std::size_t kMostCounters = 32;
   Plugin* plugin = owner(host);
-  if (!plugin || !(count.by >= 0)) return;
-  if (plugin->counts.contains(count.name) || plugin->counts.size() < kMostCounters) plugin->counts[count.name] += count.by;
+  if (!plugin || !(count.by >= 0))
+    return;
+  if (plugin->counts.contains(count.name) || plugin->counts.size() < kMostCounters)
+    plugin->counts[count.name] += count.by;
 }
 
 void Plugins::on_line(Host& host, const wire::Line& line) {
   Plugin* plugin = owner(host);
-  if (!plugin) return;
+  if (!plugin)
+    return;
   counters_.plugin_lines_dropped += line.dropped;
-  log::info(Subsystem::plugins, "says", {{"plugin", plugin->wanted.name}, {"text", line.text}, {"dropped", std::uint64_t{line.dropped}}});
+  log::info(Subsystem::plugins, "says",
+            {{"plugin", plugin->wanted.name},
+             {"text", line.text},
+             {"dropped", std::uint64_t{line.dropped}}});
 }
 
 // ---- commands ----
 
 std::string Plugins::reload(std::string_view name) {
-  if (!name.empty() && !find(name)) return "no such plug-in";
+  if (!name.empty() && !find(name))
+    return "no such plug-in";
   std::string problems;
   for (const auto& plugin : plugins_) {
-    if (!name.empty() && plugin->wanted.name != name) continue;
+    if (!name.empty() && plugin->wanted.name != name)
+      continue;
     if (plugin->breaker.state() == Breaker::State::disabled) {
-      if (!name.empty()) return "it is disabled";
+      if (!name.empty())
+        return "it is disabled";
       continue;
     }
     config::Faults faults;
-    Package package = plugins::load(settings_.folder + "/" + plugin->wanted.name, plugin->wanted, "the settings file", faults);
-    for (const config::Fault& fault : faults) problems += (problems.empty() ? "" : "\n") + fault.text();
-    if (faults.empty()) begin(*plugin, package, true);
-    else ++counters_.plugin_reloads_failed;
+    Package package = plugins::load(settings_.folder + "/" + plugin->wanted.name, plugin->wanted,
+                                    "the settings file", faults);
+    for (const config::Fault& fault : faults)
+      problems += (problems.empty() ? "" : "\n") + fault.text();
+    if (faults.empty())
+      begin(*plugin, package, true);
+    else
+      ++counters_.plugin_reloads_failed;
   }
   return problems;
 }
 
 std::string Plugins::enable(std::string_view name, bool enabled) {
   Plugin* plugin = find(name);
-  if (!plugin) return "no such plug-in";
+  if (!plugin)
+    return "no such plug-in";
   Breaker::State before = plugin->breaker.state();
   plugin->problem = "by an operator";
   if (!enabled) {
@@ -648,16 +806,34 @@
   for (const auto& p : plugins_) {
     Breaker::State state = p->breaker.state();
     bool waits = state == Breaker::State::open || state == Breaker::State::out;
-    out.push_back({{"plugin", p->wanted.name}, {"version", p->package.manifest.version}, {"state", plugins::word(state)},
-                   {"ready", p->current && p->current->ready()}, {"generation", p->current ? p->current->generation() : 0},
-                   {"loading", p->next != nullptr}, {"pid", p->current ? p->current->pid() : 0},
-                   {"back_s", waits ? std::max(0.0, (p->breaker.until() - now) / 1000) : 0.0}, {"turns", p->breaker.turns()},
-                   {"strikes", p->breaker.strikes()}, {"fallback", p->package.manifest.fallback == plugins::Fallback::allow ? "allow" : "refuse"},
-                   {"in_flight", p->current ? p->current->in_flight() : 0}, {"asked", p->asked}, {"answered", p->answered},
-                   {"late", p->late}, {"not_asked", p->busy}, {"faults", p->faults}, {"hosts_ended", p->ends}, {"refused", p->refused},
-                   {"held", p->held}, {"mean_us", p->answered > 0 ? p->micros / static_cast<double>(p->answered) : 0.0},
-                   {"most_us", p->most_micros}, {"kept", p->table.count()}, {"kept_bytes", p->table.bytes()}, {"counts", p->counts},
-                   {"problem", p->problem}});
+    out.push_back(
+        {{"plugin", p->wanted.name},
+         {"version", p->package.manifest.version},
+         {"state", plugins::word(state)},
+         {"ready", p->current && p->current->ready()},
+         {"generation", p->current ? p->current->generation() : 0},
+         {"loading", p->next != nullptr},
+         {"pid", p->current ? p->current->pid() : 0},
+         {"back_s", waits ? std::max(0.0, (p->breaker.until() - now) / 1000) : 0.0},
+         {"turns", p->breaker.turns()},
+         {"strikes", p->breaker.strikes()},
+         {"fallback",
+          p->package.manifest.fallback == plugins::Fallback::allow ? "allow" : "refuse"},
+         {"in_flight", p->current ? p->current->in_flight() : 0},
+         {"asked", p->asked},
+         {"answered", p->answered},
+         {"late", p->late},
+         {"not_asked", p->busy},
+         {"faults", p->faults},
+         {"hosts_ended", p->ends},
+         {"refused", p->refused},
+         {"held", p->held},
+         {"mean_us", p->answered > 0 ? p->micros / static_cast<double>(p->answered) : 0.0},
+         {"most_us", p->most_micros},
+         {"kept", p->table.count()},
+         {"kept_bytes", p->table.bytes()},
+         {"counts", p->counts},
+         {"problem", p->problem}});
   }
   return out;
 }
--- a/node/plugins/plugins.h
+++ b/node/plugins/plugins.h
@@ -1,5 +1,5 @@
-// The plug-ins of a node: their hosts, their generations and their breakers, and what they are asked. All that is decided
-// about verdicts, holds and breakers is decided in logic/plugins.
+// The plug-ins of a node: their hosts, their generations and their breakers, and what they are
+// asked. All that is decided about verdicts, holds and breakers is decided in logic/plugins.
 #pragma once
 
 #include <map>
@@ -24,7 +24,8 @@
 namespace plugins {
 
 // All plug-ins that the settings name, read and checked. Throws ConfigError with all faults.
-std::vector<Package> load_all(const Settings& settings, const std::string& file, const Names& names);
+std::vector<Package> load_all(const Settings& settings, const std::string& file,
+                              const Names& names);
 
 }  // namespace plugins
 
@@ -48,9 +49,11 @@
   Plugins(World world, Engine& engine, Counters& counters);
   ~Plugins() override;
 
-  // At the start and on SIGHUP: another order, other plug-ins, other values. A plug-in whose folder and values are what
-  // they were goes on untouched; of one that has changed the next generation is loaded beside the present one.
-  void retune(const Names& names, const std::vector<reedlb::ClassSettings>& classes);  // of the platform
+  // At the start and on SIGHUP: another order, other plug-ins, other values. A plug-in whose folder
+  // and values are what they were goes on untouched; of one that has changed the next generation is
+  // loaded beside the present one.
+  void retune(const Names& names,
+              const std::vector<reedlb::ClassSettings>& classes);  // of the platform
   void configure(const plugins::Settings& settings, std::vector<plugins::Package> packages);
   bool on() const { return !plugins_.empty(); }
   // From now on nothing is held back, and what is held goes on: the node is being ended.
@@ -67,8 +70,8 @@
     double share = 0;
     bool started = false;
   };
-  // Zero: no plug-in has anything to say of it. Else `who` hears on_shaped for that ticket, once, unless it takes the
-  // ticket back, which tells what is known by then.
+  // Zero: no plug-in has anything to say of it. Else `who` hears on_shaped for that ticket, once,
+  // unless it takes the ticket back, which tells what is known by then.
   std::uint64_t shape(const Event& event, Shaper& who);
   plugins::Shape take_back(std::uint64_t ticket);
 
@@ -92,18 +95,19 @@
     std::unique_ptr<Host> current, next;
     std::vector<std::unique_ptr<Host>> retiring;  // with calls out
     std::uint64_t generation = 0;                 // of the newest host
-    bool takes_over = false;                      // `next` is another package, not the same one again
-    std::vector<bool> classes, tenants;           // that it sees; empty: all
+    bool takes_over = false;             // `next` is another package, not the same one again
+    std::vector<bool> classes, tenants;  // that it sees; empty: all
     TimerId restart = 0, tick = 0;
     std::map<std::string, double> counts;
-    std::uint64_t asked = 0, answered = 0, late = 0, busy = 0, faults = 0, ends = 0, refused = 0, held = 0;
+    std::uint64_t asked = 0, answered = 0, late = 0, busy = 0, faults = 0, ends = 0, refused = 0,
+                  held = 0;
     double micros = 0, most_micros = 0;  // from call to answer
     std::string problem;                 // the last one
   };
   struct Call {
     Plugin* plugin = nullptr;
-    bool request = true;   // else a progress event
-    std::uint64_t of = 0;  // RequestId or ticket
+    bool request = true;    // else a progress event
+    std::uint64_t of = 0;   // RequestId or ticket
     std::size_t place = 0;  // in `said`
     TimePoint made = {};
     std::uint64_t generation = 0;  // of the host that has it
@@ -153,7 +157,8 @@
   void abandon(Plugin& plugin);
   void struck(Plugin& plugin, const std::string& why);
   void left_out(Plugin& plugin);
-  void give_up(Plugin& plugin, std::uint64_t generation);  // the calls there; zero: of all generations
+  void give_up(Plugin& plugin,
+               std::uint64_t generation);  // the calls there; zero: of all generations
   void watch_restart(Plugin& plugin);
   void tick(Plugin& plugin);
   void see(Plugin& plugin, const plugins::Package& package);
--- a/node/plugins/wire.cpp
+++ b/node/plugins/wire.cpp
@@ -34,24 +34,28 @@
   template <typename T>
   T get() {
     T number{};
-    if (in_.size() < sizeof number) return fail(), number;
+    if (in_.size() < sizeof number)
+      return fail(), number;
     std::memcpy(&number, in_.data(), sizeof number);
     in_.remove_prefix(sizeof number);
     return number;
   }
   double real() {  // finite
     double number = get<double>();
-    if (!std::isfinite(number)) fail();
+    if (!std::isfinite(number))
+      fail();
     return number;
   }
   bool flag() {
     auto byte = get<std::uint8_t>();
-    if (byte > 1) fail();
+    if (byte > 1)
+      fail();
     return byte == 1;
   }
   std::string text(std::size_t most) {
     auto size = get<std::uint32_t>();
-    if (size > most || size > in_.size()) return fail(), "";
+    if (size > most || size > in_.size())
+      return fail(), "";
     std::string out(in_.substr(0, size));
     in_.remove_prefix(size);
     return out;
@@ -86,32 +90,50 @@
   }
 };
 
-void fields(auto& f, auto& m, const Kept&) { f(m.key, kMostKey), f(m.value, kMostKept), f(m.until); }
-void fields(auto& f, auto& m, const Begin&) { f(m.now); }
-void fields(auto& f, auto& m, const Tick&) { f(m.now); }
+void fields(auto& f, auto& m, const Kept&) {
+  f(m.key, kMostKey), f(m.value, kMostKept), f(m.until);
+}
+void fields(auto& f, auto& m, const Begin&) {
+  f(m.now);
+}
+void fields(auto& f, auto& m, const Tick&) {
+  f(m.now);
+}
 void fields(auto& f, auto& m, const Request&) {
   f(m.call), f(m.now), f(m.patience_ms), f(m.hint_ms), f(m.repeat);
-  f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.path, 2 * kMostText), f(m.object, kMostText);
+  f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.path, 2 * kMostText),
+      f(m.object, kMostText);
 }
 void fields(auto& f, auto& m, const Event&) {
   f(m.call), f(m.now), f(m.share), f(m.started), f(m.attempt);
   f(m.request, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.label, kMostLabel);
 }
 void fields(auto& f, auto& m, const Answer&) {
-  f(m.now), f(m.elapsed_ms), f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.how, kMostName);
+  f(m.now), f(m.elapsed_ms), f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText),
+      f(m.how, kMostName);
 }
 void fields(auto&, auto&, const Leave&) {}
 void fields(auto&, auto&, const Ready&) {}
-void fields(auto& f, auto& m, const Broken&) { f(m.why, kMostText); }
+void fields(auto& f, auto& m, const Broken&) {
+  f(m.why, kMostText);
+}
 void fields(auto& f, auto& m, const Judged&) {
-  f(m.call), f(m.verdict.refuse), f(m.verdict.come_back_ms), f(m.verdict.hold_ms), f(m.verdict.weigh), f(m.verdict.label, kMostLabel);
+  f(m.call), f(m.verdict.refuse), f(m.verdict.come_back_ms), f(m.verdict.hold_ms),
+      f(m.verdict.weigh), f(m.verdict.label, kMostLabel);
 }
 void fields(auto& f, auto& m, const Shaped&) {
-  f(m.call), f(m.shape.drop), f(m.shape.has_label), f(m.shape.has_share), f(m.shape.label, kMostLabel), f(m.shape.share);
+  f(m.call), f(m.shape.drop), f(m.shape.has_label), f(m.shape.has_share),
+      f(m.shape.label, kMostLabel), f(m.shape.share);
+}
+void fields(auto& f, auto& m, const Faulted&) {
+  f(m.call), f(m.why, kMostText);
+}
+void fields(auto& f, auto& m, const Count&) {
+  f(m.name, kMostName), f(m.by);
+}
+void fields(auto& f, auto& m, const Line&) {
+  f(m.text, kMostLine), f(m.dropped);
 }
-void fields(auto& f, auto& m, const Faulted&) { f(m.call), f(m.why, kMostText); }
-void fields(auto& f, auto& m, const Count&) { f(m.name, kMostName), f(m.by); }
-void fields(auto& f, auto& m, const Line&) { f(m.text, kMostLine), f(m.dropped); }
 
 void fields(Put& f, const Hello& m, const Hello&) {
   f(m.name, 0), f(m.source, 0), f(m.entries), f(m.nice), f(m.time_ms), f(m.memory);
@@ -119,18 +141,23 @@
   for (const auto& [name, value] : m.values) {
     f(name, 0);
     f(static_cast<std::uint8_t>(value.index()));
-    if (const auto* flag = std::get_if<bool>(&value)) f(*flag);
-    if (const auto* number = std::get_if<double>(&value)) f(*number);
-    if (const auto* text = std::get_if<std::string>(&value)) f(*text, 0);
+    if (const auto* flag = std::get_if<bool>(&value))
+      f(*flag);
+    if (const auto* number = std::get_if<double>(&value))
+      f(*number);
+    if (const auto* text = std::get_if<std::string>(&value))
+      f(*text, 0);
     if (const auto* words = std::get_if<std::vector<std::string>>(&value)) {
       f(static_cast<std::uint32_t>(words->size()));
-      for (const std::string& word : *words) f(word, 0);
+      for (const std::string& word : *words)
+        f(word, 0);
     }
   }
 }
 
 void fields(Get& f, Hello& m, const Hello&) {
-  f(m.name, kMostText), f(m.source, kMostSource), f(m.entries), f(m.nice), f(m.time_ms), f(m.memory);
+  f(m.name, kMostText), f(m.source, kMostSource), f(m.entries), f(m.nice), f(m.time_ms),
+      f(m.memory);
   std::uint32_t count = 0;
   f(count);
   for (; count > 0 && f.in.more(); --count) {
@@ -139,16 +166,21 @@
     bool flag = false;
     double number = 0;
     f(name, kMostText), f(kind);
-    if (kind == 0) f(flag), m.values[name] = flag;
-    else if (kind == 1) f(number), m.values[name] = number;
-    else if (kind == 2) f(text, kMostSource), m.values[name] = text;
+    if (kind == 0)
+      f(flag), m.values[name] = flag;
+    else if (kind == 1)
+      f(number), m.values[name] = number;
+    else if (kind == 2)
+      f(text, kMostSource), m.values[name] = text;
     else if (kind == 3) {
       std::vector<std::string> words;
       std::uint32_t many = 0;
       f(many);
-      for (; many > 0 && f.in.more(); --many) f(text, kMostSource), words.push_back(text);
+      for (; many > 0 && f.in.more(); --many)
+        f(text, kMostSource), words.push_back(text);
       m.values[name] = words;
-    } else f.in.fail();
+    } else
+      f.in.fail();
   }
 }
 
@@ -166,11 +198,13 @@
   if constexpr (I == std::variant_size_v<Variant>) {
     return std::nullopt;
   } else {
-    if (kind != I) return read<Variant, I + 1>(kind, in);
+    if (kind != I)
+      return read<Variant, I + 1>(kind, in);
     std::variant_alternative_t<I, Variant> m{};
     Get get{in};
     fields(get, m, m);
-    if (!in.whole()) return std::nullopt;
+    if (!in.whole())
+      return std::nullopt;
     return Variant(std::in_place_index<I>, std::move(m));
   }
 }
@@ -187,13 +221,22 @@
 Hello hello(const Package& package, std::uint8_t nice) {
   const Manifest& m = package.manifest;
   Hello out{m.name, package.source, 0, nice, to_ms(m.time), m.memory, package.values};
-  for (std::size_t i = 0; i < m.entries.size(); ++i) out.entries |= static_cast<std::uint8_t>(m.entries[i] << i);
+  for (std::size_t i = 0; i < m.entries.size(); ++i)
+    out.entries |= static_cast<std::uint8_t>(m.entries[i] << i);
   return out;
 }
 
-std::string encode(const ToHost& message) { return write(message); }
-std::string encode(const ToNode& message) { return write(message); }
-std::optional<ToHost> decode_to_host(std::string_view packet) { return decode<ToHost>(packet); }
-std::optional<ToNode> decode_to_node(std::string_view packet) { return decode<ToNode>(packet); }
+std::string encode(const ToHost& message) {
+  return write(message);
+}
+std::string encode(const ToNode& message) {
+  return write(message);
+}
+std::optional<ToHost> decode_to_host(std::string_view packet) {
+  return decode<ToHost>(packet);
+}
+std::optional<ToNode> decode_to_node(std::string_view packet) {
+  return decode<ToNode>(packet);
+}
 
 }  // namespace keelflow::plugins::wire
--- a/node/plugins/wire.h
+++ b/node/plugins/wire.h
@@ -1,6 +1,7 @@
-// What a node and the host of a plug-in say to each other: one message a packet of a SOCK_SEQPACKET pair, so that a
-// message is whole or not there. Numbers are little-endian, a text is its length (u32) and its bytes. Both ends are one
-// program, so there are no versions; but the node believes nothing: `decode` checks every length, kind and number.
+// What a node and the host of a plug-in say to each other: one message a packet of a SOCK_SEQPACKET
+// pair, so that a message is whole or not there. Numbers are little-endian, a text is its length
+// (u32) and its bytes. Both ends are one program, so there are no versions; but the node believes
+// nothing: `decode` checks every length, kind and number.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +16,10 @@
 
 namespace keelflow::plugins::wire {
 
-inline constexpr std::size_t kMostMessage = 96 * 1024, kMostAnswer = 4096;  // to the host, to the node
-inline constexpr std::size_t kMostKey = 64, kMostKept = 1024, kMostName = 40, kMostLine = 500, kMostText = 1024;
+inline constexpr std::size_t kMostMessage = 96 * 1024,
+                             kMostAnswer = 4096;  // to the host, to the node
+inline constexpr std::size_t kMostKey = 64, kMostKept = 1024, kMostName = 40, kMostLine = 500,
+                             kMostText = 1024;
 inline constexpr int kMostChanges = 16;  // of its table, in one call
 
 // ---- to the host ----
@@ -32,7 +35,7 @@
   std::string key, value;
   double until = 0;  // Unix seconds; zero: for ever
 };
-struct Begin {  // the table is complete: load the source, test it, say Ready or Broken
+struct Begin {     // the table is complete: load the source, test it, say Ready or Broken
   double now = 0;  // Unix seconds, here and below
 };
 struct Request {
--- a/node/progress/event_stream.h
+++ b/node/progress/event_stream.h
@@ -18,7 +18,8 @@
 class SseParser {
  public:
   explicit SseParser(std::size_t most = 256 * 1024) : most_(most) {}
-  // Takes any piece of the stream. False: an event is larger than allowed, or the stream is no UTF-8 text.
+  // Takes any piece of the stream. False: an event is larger than allowed, or the stream is no
+  // UTF-8 text.
   bool feed(std::string_view bytes, const std::function<void(const SseEvent&)>& on_event);
 
  private:
--- a/node/progress/progress_front.cpp
+++ b/node/progress/progress_front.cpp
@@ -13,24 +13,31 @@
 constexpr std::string_view kReplayPath = "/progress/";
 constexpr Duration kReplayPause = 200ms;  // between two looks for further events
 
-const ExtraHeaders kStreamHeaders = {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-store"}};
+const ExtraHeaders kStreamHeaders = {{"Content-Type", "text/event-stream"},
+                                     {"Cache-Control", "no-store"}};
 
 bool wants_stream(const net::Head& head) {
   std::string_view accept = head.find("Accept");
   while (!accept.empty()) {
     auto comma = accept.find(',');
     std::string_view type = accept.substr(0, std::min(comma, accept.find(';')));
-    while (!type.empty() && type.front() == ' ') type.remove_prefix(1);
-    while (!type.empty() && type.back() == ' ') type.remove_suffix(1);
-    if (net::same_word(type, "text/event-stream")) return true;
-    if (comma == std::string_view::npos) break;
+    while (!type.empty() && type.front() == ' ')
+      type.remove_prefix(1);
+    while (!type.empty() && type.back() == ' ')
+      type.remove_suffix(1);
+    if (net::same_word(type, "text/event-stream"))
+      return true;
+    if (comma == std::string_view::npos)
+      break;
     accept.remove_prefix(comma + 1);
   }
   return false;
 }
 
 // Text from outside may be no UTF-8, which JSON cannot hold.
-std::string dump(const json& data) { return data.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string dump(const json& data) {
+  return data.dump(-1, ' ', false, json::error_handler_t::replace);
+}
 
 bool is_final(std::string_view type) {
   return type == "done" || type == "refused" || type == "failed" || type == "cancelled";
@@ -42,7 +49,8 @@
     case FinalAnswer::Kind::served:
       return {.id = {}, .type = "done", .data = answer.result};
     case FinalAnswer::Kind::refused:
-      return {.id = {}, .type = "refused",
+      return {.id = {},
+              .type = "refused",
               .data = dump({{"status", 503}, {"retry_after_ms", to_ms(answer.retry_after)}})};
     case FinalAnswer::Kind::failed:
       break;
@@ -52,7 +60,8 @@
 
 }  // namespace
 
-// A stream on its connection: its head goes out with its first event, heartbeats follow while nothing else does.
+// A stream on its connection: its head goes out with its first event, heartbeats follow while
+// nothing else does.
 class EventWriter {
  public:
   EventWriter(net::EventLoop& loop, InboundConnection& connection, Duration heartbeat)
@@ -62,7 +71,8 @@
   bool begun() const { return begun_; }
   std::size_t pending() const { return connection_.pending(); }
   void write(const SseEvent& event) {
-    if (!std::exchange(begun_, true)) connection_.begin_stream(200, kStreamHeaders);
+    if (!std::exchange(begun_, true))
+      connection_.begin_stream(200, kStreamHeaders);
     connection_.stream(write_event(event));
     beat();
   }
@@ -75,7 +85,8 @@
   void beat() {
     loop_.cancel(timer_);
     timer_ = loop_.at(loop_.now() + heartbeat_, [this] {
-      if (pending() == 0) connection_.stream(write_comment("still here"));  // a reader that lags gets no more
+      if (pending() == 0)
+        connection_.stream(write_comment("still here"));  // a reader that lags gets no more
       beat();
     });
   }
@@ -87,15 +98,18 @@
   TimerId timer_ = 0;
 };
 
-// One request whose client asked for progress. Until the first event it can still be answered with a plain
-// status; from then on its end is the one final event. Plug-ins may look at events: those wait here, in their order,
-// and never hold up the end.
+// One request whose client asked for progress. Until the first event it can still be answered with
+// a plain status; from then on its end is the one final event. Plug-ins may look at events: those
+// wait here, in their order, and never hold up the end.
 class ProgressStream final : public Exchange, public Asker, Shaper {
  public:
   ProgressStream(ProgressFront& front, InboundConnection& connection)
-      : front_(front), connection_(connection), writer_(front.loop_, connection, front.settings_.heartbeat) {}
+      : front_(front),
+        connection_(connection),
+        writer_(front.loop_, connection, front.settings_.heartbeat) {}
   ~ProgressStream() override {
-    for (const Waiting& waiting : waiting_) front_.plugins_.take_back(waiting.ticket);
+    for (const Waiting& waiting : waiting_)
+      front_.plugins_.take_back(waiting.ticket);
   }
 
   bool take(Job job) {
@@ -103,7 +117,8 @@
     cls_ = front_.names_.classes[static_cast<std::size_t>(job.cls)];
     tenant_ = job.tenant;
     auto id = front_.engine_.take(std::move(job), *this);
-    if (id) id_ = *id;
+    if (id)
+      id_ = *id;
     return id.has_value();
   }
 
@@ -114,9 +129,17 @@
       ++front_.counters_.plugin_events_dropped;
       return;
     }
-    Waiting event{.started = progress.kind == Progress::Kind::started, .attempt = progress.attempt + 1, .share = progress.share};
-    event.ticket = front_.plugins_.shape({.request = name_, .cls = cls_, .label = label_, .tenant = tenant_, .attempt = event.attempt,
-                                          .share = event.share, .started = event.started}, *this);
+    Waiting event{.started = progress.kind == Progress::Kind::started,
+                  .attempt = progress.attempt + 1,
+                  .share = progress.share};
+    event.ticket = front_.plugins_.shape({.request = name_,
+                                          .cls = cls_,
+                                          .label = label_,
+                                          .tenant = tenant_,
+                                          .attempt = event.attempt,
+                                          .share = event.share,
+                                          .started = event.started},
+                                         *this);
     event.shaped = event.ticket == 0;
     waiting_.push_back(std::move(event));
     tell();
@@ -124,20 +147,25 @@
 
   void on_final(FinalAnswer answer) override {
     for (Waiting& event : waiting_)  // what plug-ins have not said by now counts as their fallback
-      if (!event.shaped) event.shape = front_.plugins_.take_back(event.ticket), event.shaped = true;
+      if (!event.shaped)
+        event.shape = front_.plugins_.take_back(event.ticket), event.shaped = true;
     tell();
     SseEvent event = final_event(answer);
     event.id = std::to_string(++sequence_);
-    if (front_.store_) front_.store_->append(name_, sequence_, event.type, event.data);
-    if (!writer_.begun() && answer.kind != FinalAnswer::Kind::served) return respond_final(connection_, answer);
-    if (!writer_.begun()) ++front_.counters_.streams_opened;
+    if (front_.store_)
+      front_.store_->append(name_, sequence_, event.type, event.data);
+    if (!writer_.begun() && answer.kind != FinalAnswer::Kind::served)
+      return respond_final(connection_, answer);
+    if (!writer_.begun())
+      ++front_.counters_.streams_opened;
     ++front_.counters_.events_sent;
     writer_.write(event);
     writer_.end();
   }
 
   void on_client_gone() override {
-    if (front_.store_ && sequence_ > 0) front_.store_->append(name_, ++sequence_, "cancelled", "{}");
+    if (front_.store_ && sequence_ > 0)
+      front_.store_->append(name_, ++sequence_, "cancelled", "{}");
     front_.engine_.client_gone(id_);
   }
 
@@ -154,26 +182,36 @@
 
   void on_shaped(std::uint64_t ticket, const plugins::Shape& shape) override {
     for (Waiting& event : waiting_)
-      if (event.ticket == ticket) event.shape = shape, event.shaped = true;
+      if (event.ticket == ticket)
+        event.shape = shape, event.shaped = true;
     tell();
   }
 
   void tell() {
     for (; !waiting_.empty() && waiting_.front().shaped; waiting_.pop_front())
-      if (waiting_.front().shape.drop) ++front_.counters_.plugin_events_dropped;
-      else write(waiting_.front());
+      if (waiting_.front().shape.drop)
+        ++front_.counters_.plugin_events_dropped;
+      else
+        write(waiting_.front());
   }
 
   void write(const Waiting& event) {
-    if (!writer_.begun()) ++front_.counters_.streams_opened;
+    if (!writer_.begun())
+      ++front_.counters_.streams_opened;
     const plugins::Shape& shape = event.shape;
     const std::string& label = shape.has_label ? shape.label : label_;
     json data = {{"attempt", event.attempt}};
-    if (!event.started) data["share"] = shape.has_share ? shape.share : event.share;
-    if (!label.empty()) data["label"] = label;
-    SseEvent out{.id = std::to_string(++sequence_), .type = event.started ? "started" : "progress", .data = dump(data)};
-    if (front_.store_) front_.store_->append(name_, sequence_, out.type, out.data);
-    // A client that does not read costs a bounded amount: it misses progress, and still gets the end.
+    if (!event.started)
+      data["share"] = shape.has_share ? shape.share : event.share;
+    if (!label.empty())
+      data["label"] = label;
+    SseEvent out{.id = std::to_string(++sequence_),
+                 .type = event.started ? "started" : "progress",
+                 .data = dump(data)};
+    if (front_.store_)
+      front_.store_->append(name_, sequence_, out.type, out.data);
+    // A client that does not read costs a bounded amount: it misses progress, and still gets the
+    // end.
     if (writer_.pending() > front_.settings_.most_pending) {
       ++front_.counters_.events_dropped;
       return;
@@ -192,43 +230,58 @@
   std::deque<Waiting> waiting_;
 };
 
-// The events of a request that another connection, or another node, had begun: read from the shared store.
+// The events of a request that another connection, or another node, had begun: read from the shared
+// store.
 class ReplayStream final : public Exchange {
  public:
-  ReplayStream(ProgressFront& front, InboundConnection& connection, std::string name, std::uint64_t after)
-      : front_(front), connection_(connection), writer_(front.loop_, connection, front.settings_.heartbeat),
-        name_(std::move(name)), last_(after) {}
+  ReplayStream(ProgressFront& front, InboundConnection& connection, std::string name,
+               std::uint64_t after)
+      : front_(front),
+        connection_(connection),
+        writer_(front.loop_, connection, front.settings_.heartbeat),
+        name_(std::move(name)),
+        last_(after) {}
   ~ReplayStream() override { front_.loop_.cancel(timer_); }
 
   void look() {
-    // The event that the client has already is read again: if it was the final one, there is nothing to wait for.
-    front_.store_->read(name_, last_, [this, alive = std::weak_ptr<int>(alive_)](const Store::Entries* entries) {
-      if (!alive.expired()) found(entries);
-    });
+    // The event that the client has already is read again: if it was the final one, there is
+    // nothing to wait for.
+    front_.store_->read(name_, last_,
+                        [this, alive = std::weak_ptr<int>(alive_)](const Store::Entries* entries) {
+                          if (!alive.expired())
+                            found(entries);
+                        });
   }
 
  private:
   void found(const Store::Entries* entries) {
     if (!entries) {
-      if (writer_.begun()) return connection_.abandon();  // an end without a final event: the client asks again
+      if (writer_.begun())
+        return connection_.abandon();  // an end without a final event: the client asks again
       return connection_.respond(503, "the store does not answer\n", {{"Retry-After", "1"}});
     }
-    if (entries->empty() && last_ == 0 && !writer_.begun()) return connection_.respond(404, "no such stream\n");
+    if (entries->empty() && last_ == 0 && !writer_.begun())
+      return connection_.respond(404, "no such stream\n");
     for (const Store::Entry& entry : *entries) {
       bool known = entry.sequence <= last_;
-      if (known && is_final(entry.type) && !writer_.begun()) return connection_.respond(204, "");
-      if (known) continue;
+      if (known && is_final(entry.type) && !writer_.begun())
+        return connection_.respond(204, "");
+      if (known)
+        continue;
       last_ = entry.sequence;
       writer_.write({std::to_string(entry.sequence), entry.type, entry.data});
       ++front_.counters_.events_sent;
-      if (is_final(entry.type)) return writer_.end();
-      if (writer_.pending() > front_.settings_.most_pending) break;  // the rest when the client has read this
+      if (is_final(entry.type))
+        return writer_.end();
+      if (writer_.pending() > front_.settings_.most_pending)
+        break;  // the rest when the client has read this
     }
     timer_ = front_.loop_.at(front_.loop_.now() + kReplayPause, [this] { again(); });
   }
 
   void again() {
-    if (writer_.pending() <= front_.settings_.most_pending) return look();
+    if (writer_.pending() <= front_.settings_.most_pending)
+      return look();
     timer_ = front_.loop_.at(front_.loop_.now() + kReplayPause, [this] { again(); });
   }
 
@@ -241,33 +294,39 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-std::unique_ptr<Exchange> ProgressFront::on_request(InboundConnection& connection, HttpRequest request) {
+std::unique_ptr<Exchange> ProgressFront::on_request(InboundConnection& connection,
+                                                    HttpRequest request) {
   bool stream = wants_stream(request.head);
   if (stream && request.head.method == "GET" && request.head.path().starts_with(kReplayPath))
     return replay(connection, request);
-  if (!stream || request.head.method != "POST") return platform_.on_request(connection, std::move(request));
+  if (!stream || request.head.method != "POST")
+    return platform_.on_request(connection, std::move(request));
   auto job = decode_job(std::move(request), names_);
   if (const auto* rejection = std::get_if<Rejection>(&job)) {
     ++counters_.requests_rejected;
     return connection.respond(rejection->status, rejection->text), nullptr;
   }
-  if (platform_.left_early(connection) || platform_.turned_away(connection)) return nullptr;
+  if (platform_.left_early(connection) || platform_.turned_away(connection))
+    return nullptr;
   std::get<Job>(job).wants_progress = true;
   auto exchange = std::make_unique<ProgressStream>(*this, connection);
-  if (exchange->take(std::move(std::get<Job>(job)))) return exchange;
+  if (exchange->take(std::move(std::get<Job>(job))))
+    return exchange;
   ++counters_.requests_rejected;
   connection.respond(400, "a request with this X-Trace-Id is open\n");
   return nullptr;
 }
 
-std::unique_ptr<Exchange> ProgressFront::replay(InboundConnection& connection, const HttpRequest& request) {
+std::unique_ptr<Exchange> ProgressFront::replay(InboundConnection& connection,
+                                                const HttpRequest& request) {
   std::string name(request.head.path().substr(kReplayPath.size()));
   std::uint64_t after = 0;
   std::string_view last = request.head.find("Last-Event-ID");
   auto [end, error] = std::from_chars(last.data(), last.data() + last.size(), after);
   if (!last.empty() && (error != std::errc() || end != last.data() + last.size()))
     return connection.respond(400, "Last-Event-ID is no number\n"), nullptr;
-  if (!store_ || name.empty()) return connection.respond(404, "no such stream\n"), nullptr;
+  if (!store_ || name.empty())
+    return connection.respond(404, "no such stream\n"), nullptr;
   ++counters_.replays;
   auto exchange = std::make_unique<ReplayStream>(*this, connection, std::move(name), after);
   exchange->look();
--- a/node/progress/progress_front.h
+++ b/node/progress/progress_front.h
@@ -1,4 +1,5 @@
-// The second front: progress as server-sent events. The same Engine and the same rules as the platform's front.
+// The second front: progress as server-sent events. The same Engine and the same rules as the
+// platform's front.
 #pragma once
 
 #include <string>
@@ -14,13 +15,20 @@
  public:
   struct Settings {
     Duration heartbeat;
-    std::size_t most_pending = 64 * 1024;  // unread by the client; beyond it progress is dropped, never the end
+    std::size_t most_pending =
+        64 * 1024;  // unread by the client; beyond it progress is dropped, never the end
   };
   // `store` may be null: it is off unless configured.
-  ProgressFront(net::EventLoop& loop, Engine& engine, PlatformFront& platform, const Names& names, Plugins& plugins,
-                Store* store, Settings settings, Counters& counters)
-      : loop_(loop), engine_(engine), platform_(platform), names_(names), plugins_(plugins), store_(store),
-        settings_(settings), counters_(counters) {}
+  ProgressFront(net::EventLoop& loop, Engine& engine, PlatformFront& platform, const Names& names,
+                Plugins& plugins, Store* store, Settings settings, Counters& counters)
+      : loop_(loop),
+        engine_(engine),
+        platform_(platform),
+        names_(names),
+        plugins_(plugins),
+        store_(store),
+        settings_(settings),
+        counters_(counters) {}
 
   std::unique_ptr<Exchange> on_request(InboundConnection& connection, HttpRequest request) override;
   void on_malformed() override { platform_.on_malformed(); }
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -16,10 +16,12 @@
 constexpr Duration kTick = 100ms;  // how often moves are looked at
 constexpr const char* kOnePool = "all";
 
-std::size_t at(int i) { return static_cast<std::size_t>(i); }
+std::size_t at(int i) {
+  return static_cast<std::size_t>(i);
+}
 
-// What a node without pools does, said in pools: it is where a node starts that gets pools later, and where one ends
-// that loses them.
+// What a node without pools does, said in pools: it is where a node starts that gets pools later,
+// and where one ends that loses them.
 routes::Spec one_pool() {
   routes::Spec spec;
   spec.pools.push_back({.name = kOnePool, .sites = {}, .kinds = {}, .hosts = {}, .blocks = {}});
@@ -32,8 +34,13 @@
 
 }  // namespace
 
-Traffic::Traffic(TimerPort& timers, const UnixClock& clock, Engine& engine, Settings settings, Counters& counters)
-    : timers_(timers), clock_(clock), engine_(engine), settings_(std::move(settings)), counters_(counters) {}
+Traffic::Traffic(TimerPort& timers, const UnixClock& clock, Engine& engine, Settings settings,
+                 Counters& counters)
+    : timers_(timers),
+      clock_(clock),
+      engine_(engine),
+      settings_(std::move(settings)),
+      counters_(counters) {}
 
 Traffic::~Traffic() {
   timers_.cancel(tick_);
@@ -42,38 +49,49 @@
 
 void Traffic::check(const routes::Spec& spec, const Names& n) {
   std::string all;
-  for (const std::string& text : routes::unknown_names(spec, {n.classes, n.tenants, n.zones, n.kinds}))
+  for (const std::string& text :
+       routes::unknown_names(spec, {n.classes, n.tenants, n.zones, n.kinds}))
     all += (all.empty() ? "" : "\n") + text;
-  if (!all.empty()) throw ConfigError(all);
+  if (!all.empty())
+    throw ConfigError(all);
 }
 
 void Traffic::retune(Settings settings) {
   settings_ = std::move(settings);
   const Names& n = settings_.names;
-  if (router_) router_->rename({n.classes, n.tenants, n.zones, n.kinds}, settings_.module.classes);
+  if (router_)
+    router_->rename({n.classes, n.tenants, n.zones, n.kinds}, settings_.module.classes);
 }
 
 void Traffic::check_numbers(const routes::Spec& spec) const {
   bool fits = true;
-  if (router_) fits = router_->fits(spec.on() ? spec : one_pool());
-  else if (!known_.empty()) fits = spec.pools.size() < routes::kMostPools;  // the one pool that was has a number too
-  if (!fits) throw ConfigError("pools have come and gone too often: a restart is needed for more names");
+  if (router_)
+    fits = router_->fits(spec.on() ? spec : one_pool());
+  else if (!known_.empty())
+    fits = spec.pools.size() < routes::kMostPools;  // the one pool that was has a number too
+  if (!fits)
+    throw ConfigError("pools have come and gone too often: a restart is needed for more names");
 }
 
 void Traffic::configure(const routes::Spec& spec, const std::vector<moves::MoveSpec>& moves) {
   check(spec, settings_.names);
   check_numbers(spec);
-  if (!spec.on() && !router_) return;
+  if (!spec.on() && !router_)
+    return;
   double now = now_ms();
   const Names& n = settings_.names;
   bool late = !router_ && !known_.empty();  // pools come to a node that has served without
   if (!router_) {
     routes::Timing timing{.cold_ms = settings_.module.cold_ms, .rest_ms = settings_.module.fall_ms};
-    router_ = std::make_unique<routes::Router>(late ? one_pool() : spec, routes::NameLists{n.classes, n.tenants, n.zones, n.kinds},
-                                               settings_.module.classes, timing);
+    router_ = std::make_unique<routes::Router>(
+        late ? one_pool() : spec, routes::NameLists{n.classes, n.tenants, n.zones, n.kinds},
+        settings_.module.classes, timing);
     reedlb::WorkerList list{.scope = reedlb::ListScope::full, .entries = {}};
-    for (const auto& [worker, entry] : known_) list.entries.push_back(entry);
-    if (late) router_->split(list, [this](WorkerId w) { return host(w); }, now);
+    for (const auto& [worker, entry] : known_)
+      list.entries.push_back(entry);
+    if (late)
+      router_->split(
+          list, [this](WorkerId w) { return host(w); }, now);
     known_.clear();
   }
   auto lists = router_->replace(spec.on() ? spec : one_pool(), now);
@@ -83,10 +101,13 @@
   std::vector<std::unique_ptr<Moving>> old = std::exchange(moves_, {});
   for (const moves::MoveSpec& m : moves) {
     auto same = std::find_if(old.begin(), old.end(), [&](auto& o) {
-      return o && o->move.spec().name == m.name && o->move.spec().route == m.route && o->move.spec().from == m.from && o->move.spec().to == m.to;
+      return o && o->move.spec().name == m.name && o->move.spec().route == m.route &&
+             o->move.spec().from == m.from && o->move.spec().to == m.to;
     });
-    std::unique_ptr<Moving> moving = same == old.end() ? std::make_unique<Moving>(m) : std::move(*same);
-    if (same != old.end()) moving->move.respec(m, now);
+    std::unique_ptr<Moving> moving =
+        same == old.end() ? std::make_unique<Moving>(m) : std::move(*same);
+    if (same != old.end())
+      moving->move.respec(m, now);
     moving->route = router_->route(m.route);
     moving->from = router_->pool(m.from);
     moving->to = router_->pool(m.to);
@@ -96,14 +117,19 @@
   for (auto& gone : old)  // its route or pools have changed: the file's weights hold from here on
     if (gone && gone->move.active()) {
       ++counters_.moves_undone;
-      log::warning(Subsystem::moves, "move-undone", {{"move", gone->move.spec().name}, {"reason", "the configuration no longer has it"}});
+      log::warning(
+          Subsystem::moves, "move-undone",
+          {{"move", gone->move.spec().name}, {"reason", "the configuration no longer has it"}});
     }
   listed_ = listed_ || late;
-  if (listed_) tell(std::move(*lists));  // before that there is nothing to tell
-  for (auto& moving : moves_) look(*moving, now);
+  if (listed_)
+    tell(std::move(*lists));  // before that there is nothing to tell
+  for (auto& moving : moves_)
+    look(*moving, now);
   // What waits in a pool that is no more would wait in vain.
   for (int pool = 0; pool < router_->numbers(); ++pool)
-    if (!router_->live(pool)) engine_.rehome(pool);
+    if (!router_->live(pool))
+      engine_.rehome(pool);
   wait_for_due();
   tick();
 }
@@ -116,23 +142,29 @@
 void Traffic::list(reedlb::WorkerList list) {
   if (!router_) {
     if (list.scope != reedlb::ListScope::failed) {  // kept for the day on which pools are turned on
-      if (list.scope != reedlb::ListScope::delta) known_.clear();
+      if (list.scope != reedlb::ListScope::delta)
+        known_.clear();
       for (const auto& e : list.entries) {
-        if (e.state != reedlb::WorkerState::gone) known_[e.worker] = e;
-        else known_.erase(e.worker);
+        if (e.state != reedlb::WorkerState::gone)
+          known_[e.worker] = e;
+        else
+          known_.erase(e.worker);
       }
     }
     return engine_.destinations(std::move(list));
   }
   listed_ = true;
-  tell(router_->split(list, [this](WorkerId w) { return host(w); }, now_ms()));
+  tell(router_->split(
+      list, [this](WorkerId w) { return host(w); }, now_ms()));
   wait_for_due();
   double now = now_ms();
-  for (auto& moving : moves_) look(*moving, now);
+  for (auto& moving : moves_)
+    look(*moving, now);
 }
 
 void Traffic::tell(routes::Router::Lists lists) {
-  for (auto& [pool, list] : lists) engine_.destinations(std::move(list), pool);
+  for (auto& [pool, list] : lists)
+    engine_.destinations(std::move(list), pool);
   tell_health();
 }
 
@@ -141,12 +173,17 @@
   double now = now_ms();
   ready_told_.resize(at(router_->numbers()), -1);
   for (int pool = 0; pool < router_->numbers(); ++pool) {
-    int ready = router_->health(pool, now).ready, before = std::exchange(ready_told_[at(pool)], ready);
-    if (router_->live(pool) && before > 0 && ready == 0) log::warning(Subsystem::routes, "pool-empty", {{"pool", router_->pool_name(pool)}});
-    if (before == 0 && ready > 0) log::info(Subsystem::routes, "pool-ready", {{"pool", router_->pool_name(pool)}, {"ready", ready}});
+    int ready = router_->health(pool, now).ready,
+        before = std::exchange(ready_told_[at(pool)], ready);
+    if (router_->live(pool) && before > 0 && ready == 0)
+      log::warning(Subsystem::routes, "pool-empty", {{"pool", router_->pool_name(pool)}});
+    if (before == 0 && ready > 0)
+      log::info(Subsystem::routes, "pool-ready",
+                {{"pool", router_->pool_name(pool)}, {"ready", ready}});
   }
   int unassigned = router_->unassigned();
-  if (unassigned > std::exchange(unassigned_, unassigned)) log::warning(Subsystem::routes, "endpoints-without-pool", {{"count", unassigned}});
+  if (unassigned > std::exchange(unassigned_, unassigned))
+    log::warning(Subsystem::routes, "endpoints-without-pool", {{"count", unassigned}});
 }
 
 void Traffic::wait_for_due() {
@@ -160,16 +197,23 @@
 
 int Traffic::choose(const Job& job) {
   double now = now_ms();
-  routes::Query query{.cls = job.cls, .tenant = job.tenant, .path = job.path, .object = job.key,
-                      .idempotency_key = job.idempotency_key, .id = job.id, .patience_ms = to_ms(job.patience)};
+  routes::Query query{.cls = job.cls,
+                      .tenant = job.tenant,
+                      .path = job.path,
+                      .object = job.key,
+                      .idempotency_key = job.idempotency_key,
+                      .id = job.id,
+                      .patience_ms = to_ms(job.patience)};
   routes::Choice choice = router_->choose(query, now);
   ++counts_[at(choice.pool)].chosen;
   counters_.requests_spilled += choice.spilled;
   counters_.requests_kept += choice.kept;
   counters_.keys_forgotten = router_->keys_forgotten();
   for (auto& moving : moves_) {
-    if (choice.pool != moving->from && choice.pool != moving->to) continue;
-    moving->move.arrived(choice.pool == moving->to ? moves::Arm::trial : moves::Arm::control, choice.route == moving->route, now);
+    if (choice.pool != moving->from && choice.pool != moving->to)
+      continue;
+    moving->move.arrived(choice.pool == moving->to ? moves::Arm::trial : moves::Arm::control,
+                         choice.route == moving->route, now);
   }
   return choice.pool;
 }
@@ -177,19 +221,26 @@
 // In time is an answer by the class's aim: target + stretch x the job's own running time.
 void Traffic::ended(const Job& job, int pool, TimePoint taken, End how) {
   const reedlb::ClassSettings& cls = settings_.module.classes.at(at(job.cls));
-  double elapsed = to_ms(timers_.now() - taken), aim = cls.target_ms + cls.stretch * Milliseconds(job.hint).count();
+  double elapsed = to_ms(timers_.now() - taken),
+         aim = cls.target_ms + cls.stretch * Milliseconds(job.hint).count();
   bool in_time = how == End::served && elapsed <= aim;
   PoolCount& count = counts_[at(pool)];
-  ++(how == End::served ? count.served : how == End::refused ? count.refused : how == End::failed ? count.failed : count.gone);
-  if (how == End::gone && elapsed <= aim) return;  // who leaves before that tells nothing of the pool
+  ++(how == End::served    ? count.served
+     : how == End::refused ? count.refused
+     : how == End::failed  ? count.failed
+                           : count.gone);
+  if (how == End::gone && elapsed <= aim)
+    return;  // who leaves before that tells nothing of the pool
   count.asked += cls.value;
   count.in_time += in_time ? cls.value : 0;
   double now = 0;
   for (auto& moving : moves_) {
-    if (!moving->move.active() || (pool != moving->from && pool != moving->to)) continue;
-    if (now == 0) now = now_ms();
-    moving->move.answered(pool == moving->to ? moves::Arm::trial : moves::Arm::control, cls.value, in_time ? cls.value : 0,
-                          clock_.unix_ms(taken), now);
+    if (!moving->move.active() || (pool != moving->from && pool != moving->to))
+      continue;
+    if (now == 0)
+      now = now_ms();
+    moving->move.answered(pool == moving->to ? moves::Arm::trial : moves::Arm::control, cls.value,
+                          in_time ? cls.value : 0, clock_.unix_ms(taken), now);
   }
 }
 
@@ -207,17 +258,21 @@
 void Traffic::carry_out(Moving& moving) {
   moves::Move& move = moving.move;
   for (const moves::Event& event : move.events())
-    log::info(Subsystem::moves, "move", {{"move", move.spec().name}, {"state", moves::word(move.state())}, {"what", event.text}});
+    log::info(
+        Subsystem::moves, "move",
+        {{"move", move.spec().name}, {"state", moves::word(move.state())}, {"what", event.text}});
   if (std::exchange(moving.counted, move.state()) != move.state()) {
     counters_.moves_undone += move.state() == moves::State::undone;
     counters_.moves_done += move.state() == moves::State::done;
   }
   double share = move.share();
-  if (move.state() == moves::State::idle || share == moving.told) return;
+  if (move.state() == moves::State::idle || share == moving.told)
+    return;
   bool back = share < moving.told;
   moving.told = share;
   router_->shift(moving.route, moving.from, moving.to, share);
-  if (router_->spec().routes[at(moving.route)].rehome) engine_.rehome(back ? moving.to : moving.from);
+  if (router_->spec().routes[at(moving.route)].rehome)
+    engine_.rehome(back ? moving.to : moving.from);
 }
 
 // Runs only while a move is under way.
@@ -227,21 +282,25 @@
   double now = now_ms();
   bool any = false;
   for (auto& moving : moves_) {
-    if (!moving->move.active()) continue;
+    if (!moving->move.active())
+      continue;
     look(*moving, now);
     any = any || moving->move.active();
   }
-  if (any) tick_ = timers_.at(timers_.now() + kTick, [this] { tick(); });
+  if (any)
+    tick_ = timers_.at(timers_.now() + kTick, [this] { tick(); });
 }
 
 bool Traffic::has_move(std::string_view name) const {
-  return std::any_of(moves_.begin(), moves_.end(), [&](auto& m) { return m->move.spec().name == name; });
+  return std::any_of(moves_.begin(), moves_.end(),
+                     [&](auto& m) { return m->move.spec().name == name; });
 }
 
 std::string Traffic::command(std::string_view name, std::string_view verb) {
   for (auto& moving : moves_) {
     moves::Move& move = moving->move;
-    if (move.spec().name != name) continue;
+    if (move.spec().name != name)
+      continue;
     double now = now_ms();
     move.pools(view(moving->from, now), view(moving->to, now), now);
     std::string why = verb == "start"    ? move.start(now)
@@ -249,7 +308,8 @@
                       : verb == "resume" ? move.resume(now)
                       : verb == "undo"   ? move.undo("by an operator", now)
                                          : "no such command";
-    if (why.empty() && verb == "start") ++counters_.moves_started;
+    if (why.empty() && verb == "start")
+      ++counters_.moves_started;
     carry_out(*moving);
     tick();
     return why;
@@ -259,14 +319,24 @@
 
 json Traffic::pools() const {
   json out = json::array();
-  if (!router_) return out;
+  if (!router_)
+    return out;
   double now = now_ms();
   for (int pool = 0; pool < router_->numbers(); ++pool) {
     const routes::Health& h = router_->health(pool, now);
     const PoolCount& c = counts_[at(pool)];
-    out.push_back({{"pool", router_->pool_name(pool)}, {"live", router_->live(pool)}, {"ready", h.ready}, {"warm", h.warm},
-                   {"draining", h.draining}, {"held", engine_.held(pool)}, {"chosen", c.chosen}, {"served", c.served},
-                   {"refused", c.refused}, {"failed", c.failed}, {"gone", c.gone}, {"worth_asked", c.asked},
+    out.push_back({{"pool", router_->pool_name(pool)},
+                   {"live", router_->live(pool)},
+                   {"ready", h.ready},
+                   {"warm", h.warm},
+                   {"draining", h.draining},
+                   {"held", engine_.held(pool)},
+                   {"chosen", c.chosen},
+                   {"served", c.served},
+                   {"refused", c.refused},
+                   {"failed", c.failed},
+                   {"gone", c.gone},
+                   {"worth_asked", c.asked},
                    {"worth_in_time", c.in_time}});
   }
   return out;
@@ -274,11 +344,13 @@
 
 json Traffic::routes() const {
   json out = json::array();
-  if (!router_) return out;
+  if (!router_)
+    return out;
   for (std::size_t i = 0; i < router_->spec().routes.size(); ++i) {
     const routes::RouteSpec& spec = router_->spec().routes[i];
     json to = json::object();
-    for (const auto& [name, weight] : spec.to) to[name] = router_->weight(static_cast<int>(i), router_->pool(name));
+    for (const auto& [name, weight] : spec.to)
+      to[name] = router_->weight(static_cast<int>(i), router_->pool(name));
     out.push_back({{"route", spec.name}, {"to", to}});
   }
   return out;
@@ -291,14 +363,28 @@
     const moves::Move& m = moving->move;
     const moves::Estimate& e = m.last();
     json history = json::array();
-    for (const moves::Event& event : m.history()) history.push_back({{"unix_ms", event.when_ms}, {"what", event.text}});
-    out.push_back({{"move", m.spec().name}, {"route", m.spec().route}, {"from", m.spec().from}, {"to", m.spec().to},
-                   {"state", moves::word(m.state())}, {"waits", moves::word(m.waits())}, {"step", m.step() + 1},
-                   {"steps", m.spec().steps.size()}, {"share", m.share()},
-                   {"step_s", m.active() ? (now - m.step_since()) / 1000 : 0.0}, {"reason", m.reason()},
-                   {"cool_off_s", std::max(0.0, (m.cool_until() - now) / 1000)}, {"undos", m.undos()},
-                   {"measure", {{"from_in_time", e.control}, {"to_in_time", e.trial}, {"loss", e.loss}, {"error", e.error},
-                                {"from_answers", e.control_answers}, {"to_answers", e.trial_answers}}},
+    for (const moves::Event& event : m.history())
+      history.push_back({{"unix_ms", event.when_ms}, {"what", event.text}});
+    out.push_back({{"move", m.spec().name},
+                   {"route", m.spec().route},
+                   {"from", m.spec().from},
+                   {"to", m.spec().to},
+                   {"state", moves::word(m.state())},
+                   {"waits", moves::word(m.waits())},
+                   {"step", m.step() + 1},
+                   {"steps", m.spec().steps.size()},
+                   {"share", m.share()},
+                   {"step_s", m.active() ? (now - m.step_since()) / 1000 : 0.0},
+                   {"reason", m.reason()},
+                   {"cool_off_s", std::max(0.0, (m.cool_until() - now) / 1000)},
+                   {"undos", m.undos()},
+                   {"measure",
+                    {{"from_in_time", e.control},
+                     {"to_in_time", e.trial},
+                     {"loss", e.loss},
+                     {"error", e.error},
+                     {"from_answers", e.control_answers},
+                     {"to_answers", e.trial_answers}}},
                    {"history", history}});
   }
   return out;
--- a/node/routes/traffic.h
+++ b/node/routes/traffic.h
@@ -1,5 +1,6 @@
-// The hands of routes and moves: tells each pool's lane its part of discovery's list, chooses the lane of each request,
-// tells the moves what became of it, and shifts weights as they say. All that is decided is decided in logic/.
+// The hands of routes and moves: tells each pool's lane its part of discovery's list, chooses the
+// lane of each request, tells the moves what became of it, and shifts weights as they say. All that
+// is decided is decided in logic/.
 #pragma once
 
 #include <map>
@@ -23,17 +24,21 @@
     reedlb::Settings module;
   };
   // `destinations` names endpoints; it may tell lists only after it has been given to `connect`.
-  Traffic(TimerPort& timers, const UnixClock& clock, Engine& engine, Settings settings, Counters& counters);
+  Traffic(TimerPort& timers, const UnixClock& clock, Engine& engine, Settings settings,
+          Counters& counters);
   ~Traffic() override;
   void connect(const DestinationSet& destinations) { destinations_ = &destinations; }
 
-  // At the start and on SIGHUP. Throws ConfigError, and changes nothing, on names that the platform does not have and
-  // where pools have come and gone more often than there are numbers. A move under way keeps its place if the file
-  // still has it with the same route and pools; else it is undone.
+  // At the start and on SIGHUP. Throws ConfigError, and changes nothing, on names that the platform
+  // does not have and where pools have come and gone more often than there are numbers. A move
+  // under way keeps its place if the file still has it with the same route and pools; else it is
+  // undone.
   void configure(const routes::Spec& spec, const std::vector<moves::MoveSpec>& moves);
   static void check(const routes::Spec& spec, const Names& names);  // throws ConfigError
-  void check_numbers(const routes::Spec& spec) const;               // throws ConfigError: there are none left for its pools
-  void retune(Settings settings);  // of the platform; to be followed by `configure`, which must not throw then
+  void check_numbers(
+      const routes::Spec& spec) const;  // throws ConfigError: there are none left for its pools
+  void retune(Settings settings);  // of the platform; to be followed by `configure`, which must not
+                                   // throw then
 
   void list(reedlb::WorkerList list);
 
--- a/node/store/store.cpp
+++ b/node/store/store.cpp
@@ -17,24 +17,32 @@
 using namespace std::chrono_literals;
 constexpr Duration kLeastBackOff = 100ms, kMostBackOff = 5s;
 
-std::string key_of(std::string_view request) { return "keelflow:progress:" + std::string(request); }
+std::string key_of(std::string_view request) {
+  return "keelflow:progress:" + std::string(request);
+}
 
 // Answers come as [[id, [field, value, ...]], ...]; what has another shape is passed over.
 Store::Entries decode(const redisReply& reply) {
   Store::Entries out;
   for (std::size_t i = 0; i < reply.elements; ++i) {
     const redisReply* item = reply.element[i];
-    if (item->type != REDIS_REPLY_ARRAY || item->elements != 2) continue;
+    if (item->type != REDIS_REPLY_ARRAY || item->elements != 2)
+      continue;
     const redisReply *id = item->element[0], *fields = item->element[1];
-    if (id->type != REDIS_REPLY_STRING || fields->type != REDIS_REPLY_ARRAY) continue;
+    if (id->type != REDIS_REPLY_STRING || fields->type != REDIS_REPLY_ARRAY)
+      continue;
     Store::Entry entry;
-    if (std::from_chars(id->str, id->str + id->len, entry.sequence).ec != std::errc()) continue;
+    if (std::from_chars(id->str, id->str + id->len, entry.sequence).ec != std::errc())
+      continue;
     for (std::size_t f = 0; f + 1 < fields->elements; f += 2) {
       const redisReply *name = fields->element[f], *value = fields->element[f + 1];
-      if (name->type != REDIS_REPLY_STRING || value->type != REDIS_REPLY_STRING) continue;
+      if (name->type != REDIS_REPLY_STRING || value->type != REDIS_REPLY_STRING)
+        continue;
       std::string_view key(name->str, name->len);
-      if (key == "type") entry.type.assign(value->str, value->len);
-      if (key == "data") entry.data.assign(value->str, value->len);
+      if (key == "type")
+        entry.type.assign(value->str, value->len);
+      if (key == "data")
+        entry.data.assign(value->str, value->len);
     }
     out.push_back(std::move(entry));
   }
@@ -48,18 +56,27 @@
  public:
   Socket(net::EventLoop& loop, redisAsyncContext* context) : loop_(loop), context_(context) {
     context->ev.data = this;
-    context->ev.addRead = [](void*) {};
-    context->ev.delRead = [](void*) {};
-    context->ev.addWrite = [](void* self) { static_cast<Socket*>(self)->add_write(); };
-    context->ev.delWrite = [](void* self) { static_cast<Socket*>(self)->wants_write_ = false; };
-    context->ev.cleanup = [](void* self) { static_cast<Socket*>(self)->detach(); };
+    context->ev.addRead = [](void*) {
+    };
+    context->ev.delRead = [](void*) {
+    };
+    context->ev.addWrite = [](void* self) {
+      static_cast<Socket*>(self)->add_write();
+    };
+    context->ev.delWrite = [](void* self) {
+      static_cast<Socket*>(self)->wants_write_ = false;
+    };
+    context->ev.cleanup = [](void* self) {
+      static_cast<Socket*>(self)->detach();
+    };
     registration_ = loop.watch(context->c.fd, *this);
   }
   ~Socket() override { detach(); }
   bool watched() const { return registration_ != 0; }
 
   void detach() {
-    if (context_) context_->ev = {};
+    if (context_)
+      context_->ev = {};
     context_ = nullptr;
     loop_.forget(registration_);
   }
@@ -67,12 +84,14 @@
  private:
   void on_ready(std::uint32_t events) override {
     if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
-      // One call reads one piece; the edge says only that there is something, so go on until there is not.
+      // One call reads one piece; the edge says only that there is something, so go on until there
+      // is not.
       do {
         redisAsyncHandleRead(context_);
       } while (context_ && more());
     }
-    if (context_ && wants_write_ && (events & EPOLLOUT)) write();
+    if (context_ && wants_write_ && (events & EPOLLOUT))
+      write();
   }
   bool more() const {
     char one;
@@ -86,11 +105,13 @@
     writing_ = false;
   }
   void add_write() {
-    // Asked for inside a write, it means that the kernel took a part: the next edge will tell. Otherwise the
-    // socket may be writable without a further edge, so try.
-    if (std::exchange(wants_write_, true) || writing_) return;
+    // Asked for inside a write, it means that the kernel took a part: the next edge will tell.
+    // Otherwise the socket may be writable without a further edge, so try.
+    if (std::exchange(wants_write_, true) || writing_)
+      return;
     loop_.defer([this, alive = std::weak_ptr<int>(alive_)] {
-      if (!alive.expired() && context_ && wants_write_) write();
+      if (!alive.expired() && context_ && wants_write_)
+        write();
     });
   }
 
@@ -104,17 +125,22 @@
 struct StoreHooks {
   static void on_connect(const redisAsyncContext* context, int status) {
     auto* store = static_cast<Store*>(context->data);
-    if (status != REDIS_OK) return store->lost();
+    if (status != REDIS_OK)
+      return store->lost();
     store->up_ = true;
     store->back_off_ = {};
   }
-  static void on_disconnect(const redisAsyncContext* context, int) { static_cast<Store*>(context->data)->lost(); }
+  static void on_disconnect(const redisAsyncContext* context, int) {
+    static_cast<Store*>(context->data)->lost();
+  }
   static void on_written(redisAsyncContext* context, void* reply, void*) {
     auto* store = static_cast<Store*>(context->data);
     store->answered();
     const auto* r = static_cast<const redisReply*>(reply);
-    if (!r || r->type == REDIS_REPLY_ERROR) ++store->counters_.store_faults;
-    else ++store->counters_.store_writes;
+    if (!r || r->type == REDIS_REPLY_ERROR)
+      ++store->counters_.store_faults;
+    else
+      ++store->counters_.store_writes;
   }
   static void on_read(redisAsyncContext* context, void* reply, void* argument) {
     std::unique_ptr<Store::Reader> reader(static_cast<Store::Reader*>(argument));
@@ -137,7 +163,8 @@
   closing_ = true;
   loop_.cancel(retry_);
   loop_.cancel(guard_);
-  if (context_) redisAsyncFree(context_);
+  if (context_)
+    redisAsyncFree(context_);
 }
 
 void Store::open() {
@@ -145,7 +172,8 @@
   inet_ntop(AF_INET, &settings_.address.in.sin_addr, host, sizeof host);
   context_ = redisAsyncConnect(host, ntohs(settings_.address.in.sin_port));
   if (!context_ || context_->err) {
-    if (context_) redisAsyncFree(context_);
+    if (context_)
+      redisAsyncFree(context_);
     context_ = nullptr;
     return lost();
   }
@@ -156,12 +184,14 @@
   out_ = 0;
   heard_ = loop_.now();
   watch_over();
-  if (!socket_->watched()) redisAsyncFree(context_), lost();
+  if (!socket_->watched())
+    redisAsyncFree(context_), lost();
 }
 
 // hiredis frees its context after telling that it ended; here only what refers to it goes.
 void Store::lost() {
-  if (closing_) return;
+  if (closing_)
+    return;
   ++counters_.store_faults;
   up_ = false;
   context_ = nullptr;
@@ -176,8 +206,10 @@
 void Store::watch_over() {
   guard_ = loop_.at(loop_.now() + settings_.patience / 4, [this] {
     bool waiting = out_ > 0 || !up_;
-    if (!waiting) heard_ = loop_.now();
-    if (loop_.now() - heard_ <= settings_.patience) return watch_over();
+    if (!waiting)
+      heard_ = loop_.now();
+    if (loop_.now() - heard_ <= settings_.patience)
+      return watch_over();
     redisAsyncContext* old = context_;
     lost();
     old->onDisconnect = nullptr;
@@ -187,37 +219,49 @@
 }
 
 void Store::sent() {
-  if (out_++ == 0) heard_ = loop_.now();
+  if (out_++ == 0)
+    heard_ = loop_.now();
 }
 
 void Store::answered() {
-  if (out_ > 0) --out_;
+  if (out_ > 0)
+    --out_;
   heard_ = loop_.now();
 }
 
-void Store::append(std::string_view request, std::uint64_t sequence, std::string_view type, std::string_view data) {
+void Store::append(std::string_view request, std::uint64_t sequence, std::string_view type,
+                   std::string_view data) {
   if (!up_ || out_ >= settings_.most_out) {
     ++counters_.store_skipped;
     return;
   }
-  std::string key = key_of(request), id = std::to_string(sequence) + "-0", most = std::to_string(settings_.most_entries);
-  const char* add[] = {"XADD", key.c_str(), "MAXLEN", "~", most.c_str(), id.c_str(), "type", type.data(), "data", data.data()};
-  const std::size_t add_sizes[] = {4, key.size(), 6, 1, most.size(), id.size(), 4, type.size(), 4, data.size()};
+  std::string key = key_of(request), id = std::to_string(sequence) + "-0",
+              most = std::to_string(settings_.most_entries);
+  const char* add[] = {"XADD",     key.c_str(), "MAXLEN",    "~",    most.c_str(),
+                       id.c_str(), "type",      type.data(), "data", data.data()};
+  const std::size_t add_sizes[] = {4,         key.size(), 6,           1, most.size(),
+                                   id.size(), 4,          type.size(), 4, data.size()};
   auto span = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.expiry).count();
   std::string expiry = std::to_string(span);
   const char* expire[] = {"PEXPIRE", key.c_str(), expiry.c_str()};
   const std::size_t expire_sizes[] = {7, key.size(), expiry.size()};
-  if (redisAsyncCommandArgv(context_, StoreHooks::on_written, nullptr, 10, add, add_sizes) == REDIS_OK) sent();
-  if (redisAsyncCommandArgv(context_, StoreHooks::on_written, nullptr, 3, expire, expire_sizes) == REDIS_OK) sent();
+  if (redisAsyncCommandArgv(context_, StoreHooks::on_written, nullptr, 10, add, add_sizes) ==
+      REDIS_OK)
+    sent();
+  if (redisAsyncCommandArgv(context_, StoreHooks::on_written, nullptr, 3, expire, expire_sizes) ==
+      REDIS_OK)
+    sent();
 }
 
 void Store::read(std::string_view request, std::uint64_t from, Reader reader) {
   auto later = std::make_unique<Reader>(std::move(reader));
-  std::string key = key_of(request), id = std::to_string(from) + "-0", most = std::to_string(settings_.most_entries);
+  std::string key = key_of(request), id = std::to_string(from) + "-0",
+              most = std::to_string(settings_.most_entries);
   const char* range[] = {"XRANGE", key.c_str(), id.c_str(), "+", "COUNT", most.c_str()};
   const std::size_t sizes[] = {6, key.size(), id.size(), 1, 5, most.size()};
   bool can = up_ && out_ < settings_.most_out;
-  if (can && redisAsyncCommandArgv(context_, StoreHooks::on_read, later.get(), 6, range, sizes) == REDIS_OK) {
+  if (can && redisAsyncCommandArgv(context_, StoreHooks::on_read, later.get(), 6, range, sizes) ==
+                 REDIS_OK) {
     later.release();
     return sent();
   }
