--- a/node/store/store.h
+++ b/node/store/store.h
@@ -1,5 +1,5 @@
-// Progress and final events in Redis streams that all nodes share, so that another node can replay them. Serving
-// never waits for it: what the store does not take is counted and left out.
+// Progress and final events in Redis streams that all nodes share, so that another node can replay
+// them. Serving never waits for it: what the store does not take is counted and left out.
 #pragma once
 
 #include <cstdint>
@@ -28,9 +28,10 @@
   struct Settings {
     net::Address address;
     Duration expiry = std::chrono::minutes(10);
-    Duration patience = std::chrono::seconds(1);  // for the answer to a command; then the store counts as down
-    std::size_t most_out = 1000;                  // commands without an answer; further ones are skipped
-    std::size_t most_entries = 1000;              // kept of one request
+    Duration patience =
+        std::chrono::seconds(1);      // for the answer to a command; then the store counts as down
+    std::size_t most_out = 1000;      // commands without an answer; further ones are skipped
+    std::size_t most_entries = 1000;  // kept of one request
   };
 
   Store(net::EventLoop& loop, Settings settings, Counters& counters);
@@ -39,7 +40,8 @@
   Store& operator=(const Store&) = delete;
 
   void open();
-  void append(std::string_view request, std::uint64_t sequence, std::string_view type, std::string_view data);
+  void append(std::string_view request, std::uint64_t sequence, std::string_view type,
+              std::string_view data);
   // The entries from that sequence on, itself included.
   void read(std::string_view request, std::uint64_t from, Reader reader);
   bool up() const { return up_; }
--- a/src/containers.h
+++ b/src/containers.h
@@ -1,4 +1,5 @@
-// Containers and the random source that the decisions stand on. General tools; nothing here decides anything.
+// Containers and the random source that the decisions stand on. General tools; nothing here decides
+// anything.
 #pragma once
 
 #include <cmath>
@@ -18,7 +19,9 @@
   return x ^ (x >> 31);
 }
 
-inline std::size_t at(int i) { return static_cast<std::size_t>(i); }
+inline std::size_t at(int i) {
+  return static_cast<std::size_t>(i);
+}
 
 template <typename Map>
 auto* find_in(Map& map, std::uint32_t id) {
@@ -38,8 +41,8 @@
   std::uint64_t state_;
 };
 
-// A set of ids with constant-time insertion, removal and access by position, so that it can be sampled.
-// Positions depend on the order of the calls alone.
+// A set of ids with constant-time insertion, removal and access by position, so that it can be
+// sampled. Positions depend on the order of the calls alone.
 class SampledSet {
  public:
   void set(std::uint32_t id, bool in) {
@@ -69,9 +72,11 @@
  public:
   void count(std::uint64_t key) {
     ++counts_[key];
-    if (++total_ < kMemory) return;
+    if (++total_ < kMemory)
+      return;
     total_ = 0;  // older traffic counts half as much; keys not met for long are forgotten
-    for (auto& [k, n] : counts_) total_ += n /= 2;
+    for (auto& [k, n] : counts_)
+      total_ += n /= 2;
     std::erase_if(counts_, [](const auto& k) { return k.second < 0.3; });
   }
   double share(std::uint64_t key) const {
@@ -94,7 +99,8 @@
   }
   double sum(double from) const {
     double all = 0;
-    for (const auto& [when, amount] : amounts_) all += when >= from ? amount : 0;
+    for (const auto& [when, amount] : amounts_)
+      all += when >= from ? amount : 0;
     return all;
   }
 
@@ -112,7 +118,9 @@
     Wake wake;
     std::uint32_t id;
     int attempt;
-    bool operator>(const Alarm& o) const { return when != o.when ? when > o.when : order > o.order; }
+    bool operator>(const Alarm& o) const {
+      return when != o.when ? when > o.when : order > o.order;
+    }
   };
 
   void add(double when, Wake wake, std::uint32_t id = 0, int attempt = 0) {
@@ -125,7 +133,8 @@
     return a;
   }
   void rang(std::uint64_t name) {  // any but the latest timer is stale
-    if (name == name_) armed_ = INFINITY;
+    if (name == name_)
+      armed_ = INFINITY;
   }
   bool must_arm() const { return !queue_.empty() && queue_.top().when < armed_; }
   double arm() { return ++name_, armed_ = queue_.top().when; }
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,5 +1,5 @@
-// Every decision of reedlb. The interface is include/reedlb/dispatcher.h; docs/design.md explains the
-// mechanism, its source (the paper "DriftSched") and each exception named below.
+// Every decision of reedlb. The interface is include/reedlb/dispatcher.h; docs/design.md explains
+// the mechanism, its source (the paper "DriftSched") and each exception named below.
 #include <algorithm>
 #include <cmath>
 
@@ -30,13 +30,15 @@
   Alarms<Wake> alarms;
   std::uint64_t next_seq = 0;
   std::set<WorkerId> tried;  // while a job is picked for: who had it before
-  Time next_dispatch = 0;  // when a sample that missed is tried again
+  Time next_dispatch = 0;    // when a sample that missed is tried again
 
   bool subscribed = false, asking = false, twin = false, may_release = true;
   double ask_backoff = 0;
 
   Impl(const Settings& settings, std::uint64_t seed, std::shared_ptr<TenantShares> given)
-      : s(settings), random(seed), shares(given ? std::move(given) : std::make_shared<TenantShares>()) {
+      : s(settings),
+        random(seed),
+        shares(given ? std::move(given) : std::make_shared<TenantShares>()) {
     validate(s);
     classes.resize(s.classes.size());
     resize();
@@ -45,9 +47,11 @@
   void resize() {
     kinds.resize(at(s.kinds));
     shares->buckets.resize(s.tenant_quota.size());
-    for (KindState& k : kinds) k.reserved = false;
+    for (KindState& k : kinds)
+      k.reserved = false;
     for (const auto& c : s.classes)
-      if (c.kind >= 0) kinds[at(c.kind)].reserved = true;
+      if (c.kind >= 0)
+        kinds[at(c.kind)].reserved = true;
     start_delay.resize(at(s.zones));
   }
 
@@ -60,7 +64,9 @@
     return k.hint_count > 0 ? k.hint_sum / k.hint_count : std::max(1.0, s.classes[at(c)].target_ms);
   }
 
-  double budget(const Request& r) const { return r.job.hint * classes[at(r.job.cls)].learned.factor; }
+  double budget(const Request& r) const {
+    return r.job.hint * classes[at(r.job.cls)].learned.factor;
+  }
 
   double learn(const Request& r, const Attempt& a, Worker& w) {
     double run = now - (a.started >= 0 ? a.started : a.sent);
@@ -75,7 +81,8 @@
   void learn_pace(Worker& w, double slow) {
     slow = std::clamp(slow, 0.25, 4.0);
     w.slow += kSlowAlpha * (slow - w.slow);
-    if (!cold(w)) kinds[at(w.entry.kind)].slow += kAlpha * (slow - kinds[at(w.entry.kind)].slow);
+    if (!cold(w))
+      kinds[at(w.entry.kind)].slow += kAlpha * (slow - kinds[at(w.entry.kind)].slow);
   }
 
   // ---- worker view: own slots, learned cap, health, cold allowance ----
@@ -83,19 +90,24 @@
   Worker* find(WorkerId id) { return find_in(workers, id); }
   Request* find_request(RequestId id) { return find_in(requests, id); }
 
-  double slots(const Worker& w) const { return w.load + w.told.sum(now); }  // in flight there, if known
+  double slots(const Worker& w) const {
+    return w.load + w.told.sum(now);
+  }  // in flight there, if known
   bool has_room(const Request& r, const Worker& w) const {
     return slots(w) <= 0 || slots(w) + r.load <= w.cap;
   }
 
   const Homes::At& here(const Worker& w) const { return cold(w) ? w.turn.home : w.home; }
 
-  // Keeps the pools an exact index of the workers that are ready, not left alone, and below their cap.
+  // Keeps the pools an exact index of the workers that are ready, not left alone, and below their
+  // cap.
   void index(Worker& w) {
     bool ready = w.entry.state == WorkerState::ready;
     auto& ring = kinds[at(w.entry.kind)].ring;
-    if (!ready) ring.erase(mix(w.entry.worker));
-    if (ready) ring.emplace(mix(w.entry.worker), w.entry.worker);
+    if (!ready)
+      ring.erase(mix(w.entry.worker));
+    if (ready)
+      ring.emplace(mix(w.entry.worker), w.entry.worker);
     bool open = ready && now >= w.shut_until && (slots(w) <= 0 || slots(w) < w.cap);
     kinds[at(w.entry.kind)].pools[kOpen].set(w.entry.worker, open);
     kinds[at(w.entry.kind)].pools[kHome].set(w.entry.worker, open && here(w).own);
@@ -103,18 +115,21 @@
 
   void good_sign(Worker& w) {
     w.strikes = 0;
-    if (slots(w) + 1 >= w.cap) w.cap += 1 / w.cap;
+    if (slots(w) + 1 >= w.cap)
+      w.cap += 1 / w.cap;
     index(w);
   }
 
   void crowd() { crowding += kAlpha * (1 - crowding); }
 
-  // A worker that refused as full or started a job late is left alone a while: others fill it. If it looks
-  // ill (failed, or started very late) the rest doubles while no good sign comes, and one job tries it again.
+  // A worker that refused as full or started a job late is left alone a while: others fill it. If
+  // it looks ill (failed, or started very late) the rest doubles while no good sign comes, and one
+  // job tries it again.
   void bad_sign(Worker& w, bool ill) {
     w.cap = ill ? 1 : std::max(1.0, w.cap * kCapDown);
     double rest = std::max(4 * s.tick_ms, kRest * mean_run);
-    if (ill) rest *= std::exp2(std::max(w.strikes = std::min(w.strikes + 1, kMaxStrikes), w.faults));
+    if (ill)
+      rest *= std::exp2(std::max(w.strikes = std::min(w.strikes + 1, kMaxStrikes), w.faults));
     w.shut_until = std::max(w.shut_until, now + rest * (0.75 + 0.5 * random()));
     alarms.add(w.shut_until, Wake::reindex, w.entry.worker);
     index(w);
@@ -123,29 +138,39 @@
   // Exception: of many none knows a worker. Those at home there tell each other what they see.
   void tell(const Worker& w, Sign sign, double slow = 1, double work = 0) {
     auto note = write_note({w.entry.worker, mark_of(w.entry), w.load, sign, slow, work});
-    if (twin) out->emplace_back(Tell{s.rank, note});
+    if (twin)
+      out->emplace_back(Tell{s.rank, note});
     if (talks)
-      for (int other : here(w).others) out->emplace_back(Tell{other, note});
+      for (int other : here(w).others)
+        out->emplace_back(Tell{other, note});
   }
 
   void take_sign(Worker& w, Sign sign) {
-    if (sign == Sign::served) w.faults = 0, good_sign(w);
-    if (sign == Sign::full || sign == Sign::late) bad_sign(w, false);
-    if (sign == Sign::failed) w.faults = std::min(w.faults + 1, kMaxFaults);
-    if (sign == Sign::failed || sign == Sign::unreached) bad_sign(w, true);
+    if (sign == Sign::served)
+      w.faults = 0, good_sign(w);
+    if (sign == Sign::full || sign == Sign::late)
+      bad_sign(w, false);
+    if (sign == Sign::failed)
+      w.faults = std::min(w.faults + 1, kMaxFaults);
+    if (sign == Sign::failed || sign == Sign::unreached)
+      bad_sign(w, true);
   }
 
   void on(const PeerMessage& e) {
     auto note = read_note(e.bytes);
     Worker* w = note ? find(note->worker) : nullptr;
-    if (!w || note->life != mark_of(w->entry)) return;
+    if (!w || note->life != mark_of(w->entry))
+      return;
     bool was_full = slots(*w) >= w->cap;
     w->told.set(e.peer, note->load, now + kToldLife);
-    if (note->sign == Sign::sent && e.peer == s.rank) sent_cold(*w, now, note->work);  // twin's
-    if (note->sign == Sign::served) learn_pace(*w, note->slow);
+    if (note->sign == Sign::sent && e.peer == s.rank)
+      sent_cold(*w, now, note->work);  // twin's
+    if (note->sign == Sign::served)
+      learn_pace(*w, note->slow);
     take_sign(*w, note->sign);
     // All who wait for a slot hear of it at once: each gives the others a moment to fill it first.
-    if (was_full) w->shut_until = std::max(w->shut_until, now + kGiveWay * random());
+    if (was_full)
+      w->shut_until = std::max(w->shut_until, now + kGiveWay * random());
     alarms.add(was_full ? w->shut_until : now + kToldLife, Wake::reindex, note->worker);
     index(*w);
   }
@@ -153,55 +178,75 @@
   bool cold(const Worker& w) const { return w.entry.born > 0 && now < w.entry.born + s.cold_ms; }
   // The least share of its capacity that it can have by now.
   double warmth(const Worker& w) const {
-    return cold(w) ? s.cold_from + (1 - s.cold_from) * std::max(0.0, now - w.entry.born) / s.cold_ms : 1;
+    return cold(w) ? s.cold_from + (1 - s.cold_from) * std::max(0.0, now - w.entry.born) / s.cold_ms
+                   : 1;
   }
-  double pace(const Worker& w) const { return w.slow / warmth(w); }  // run time here now, over corrected hint
+  double pace(const Worker& w) const {
+    return w.slow / warmth(w);
+  }  // run time here now, over corrected hint
 
-  double cold_work(const Request& r, const Worker& w) const {  // as if its kind were as fast as its size says
+  double cold_work(const Request& r,
+                   const Worker& w) const {  // as if its kind were as fast as its size says
     double slow = std::clamp(kinds[at(w.entry.kind)].slow, 0.5, 4.0);
     return std::max(kColdPace * r.job.hint, std::max(r.job.hint, budget(r)) * slow);
   }
 
-  // Rule 4: what may still go to a cold worker, of the own part of what all may send within a window and of
-  // others' that they granted. Of many hardly one sees two jobs at work: up to twice the cores are believed.
+  // Rule 4: what may still go to a cold worker, of the own part of what all may send within a
+  // window and of others' that they granted. Of many hardly one sees two jobs at work: up to twice
+  // the cores are believed.
   ColdRoom cold_room(const Worker& w) const {
-    double seen = kinds[at(w.entry.kind)].cores, cores = std::clamp(w.entry.nominal, seen, 2 * seen);
+    double seen = kinds[at(w.entry.kind)].cores,
+           cores = std::clamp(w.entry.nominal, seen, 2 * seen);
     double total = kColdMargin * s.fall_multiple * warmth(w) * cores * s.fall_ms;
     double own = total * w.turn.share - w.cold_sent.sum(now - s.fall_ms);
     return {own, w.granted.until > now ? w.granted.work : 0, mean_run};
   }
 
-  void sent_cold(Worker& w, Time when, double work) { w.cold_sent.add(when, work, now - s.fall_ms); }
+  void sent_cold(Worker& w, Time when, double work) {
+    w.cold_sent.add(when, work, now - s.fall_ms);
+  }
 
   // ---- the guards: every send passes may_send, every final answer passes may_bounce ----
 
   bool may_send(const Request& r, Worker& w) {
     const ClassSettings& c = cls(r);
-    if (r.ended || r.streaming || now >= r.deadline || r.attempts.size() >= at(s.try_limit)) return false;
-    if (w.entry.state != WorkerState::ready) return false;  // rule 3
-    if (c.kind >= 0 && w.entry.kind != c.kind) return false;
+    if (r.ended || r.streaming || now >= r.deadline || r.attempts.size() >= at(s.try_limit))
+      return false;
+    if (w.entry.state != WorkerState::ready)
+      return false;  // rule 3
+    if (c.kind >= 0 && w.entry.kind != c.kind)
+      return false;
     for (const Attempt& a : r.attempts) {  // rule 2
-      if (a.fate == Fate::never_ran) continue;
-      if (a.fate == Fate::out && !s.parallel_tries) return false;
-      if (c.effect == Effect::unsafe) return false;
-      if (c.effect == Effect::safe) continue;
-      if (c.scope == Scope::zone && a.zone != w.entry.zone) return false;
-      if (c.scope == Scope::cell && a.cell != w.entry.cell) return false;
-      if (now > a.sent + kWindowMargin * c.window_ms) return false;
+      if (a.fate == Fate::never_ran)
+        continue;
+      if (a.fate == Fate::out && !s.parallel_tries)
+        return false;
+      if (c.effect == Effect::unsafe)
+        return false;
+      if (c.effect == Effect::safe)
+        continue;
+      if (c.scope == Scope::zone && a.zone != w.entry.zone)
+        return false;
+      if (c.scope == Scope::cell && a.cell != w.entry.cell)
+        return false;
+      if (now > a.sent + kWindowMargin * c.window_ms)
+        return false;
     }
     return !cold(w) || cold_room(w).all() >= cold_work(r, w);  // rule 4
   }
 
   bool may_bounce(const Request& r) const {
     const ClassSettings& c = cls(r);
-    if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.scope == Scope::all)) return true;
+    if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.scope == Scope::all))
+      return true;
     return std::ranges::all_of(r.attempts, [](auto& a) { return a.fate == Fate::never_ran; });
   }
 
   // ---- held queue: smallest corrected budget first ----
 
   void hold(Request& r) {
-    if (r.held || r.ended) return;
+    if (r.held || r.ended)
+      return;
     r.held = true;
     r.held_since = now;
     ++held_count;
@@ -209,7 +254,8 @@
   }
 
   void unhold(Request& r) {
-    if (!r.held) return;
+    if (!r.held)
+      return;
     r.held = false;
     --held_count;
     classes[at(r.job.cls)].held[r.overdue].erase({r.size, r.seq, r.job.request});
@@ -220,15 +266,18 @@
     bool was_held = r.held;
     unhold(r);
     r.overdue = true;
-    if (was_held) hold(r);
+    if (was_held)
+      hold(r);
   }
 
-  // Releases held jobs, smallest corrected budget over all classes first. A class whose first few do not fit
-  // is passed over until something changes; a sample that missed is tried again soon.
+  // Releases held jobs, smallest corrected budget over all classes first. A class whose first few
+  // do not fit is passed over until something changes; a sample that missed is tried again soon.
   void dispatch() {
-    if (!may_release) return;
+    if (!may_release)
+      return;
     for (int late : {0, 1}) {
-      if (late && crowding > kCrowded) break;
+      if (late && crowding > kCrowded)
+        break;
       std::vector<bool> blocked(classes.size(), false);
       for (int best = 0; held_count > 0 && best >= 0;) {
         best = -1;
@@ -237,9 +286,11 @@
           const Queue& q = classes[at(c)].held[late];
           double f = blocked[at(c)] || q.empty() ? INFINITY : classes[at(c)].learned.factor;
           double b = f < INFINITY ? std::get<0>(*q.begin()) * f : f;
-          if (b < least) least = b, best = c;
+          if (b < least)
+            least = b, best = c;
         }
-        if (best >= 0) blocked[at(best)] = !release_one(classes[at(best)].held[late]);
+        if (best >= 0)
+          blocked[at(best)] = !release_one(classes[at(best)].held[late]);
       }
     }
     if (held_count > 0 && next_dispatch <= now) {
@@ -253,51 +304,62 @@
     int looked = 0;
     for (auto it = q.begin(); it != q.end() && looked < 3; ++it, ++looked) {
       Request& r = requests.at(std::get<2>(*it));
-      if (Worker* w = pick(r)) return send(r, *w), true;
+      if (Worker* w = pick(r))
+        return send(r, *w), true;
     }
     return false;
   }
 
   void send(Request& r, Worker& w) {
     unhold(r);
-    double of_grant = cold(w) ? std::min(cold_work(r, w), cold_room(w).granted) : 0;  // it ends sooner
+    double of_grant =
+        cold(w) ? std::min(cold_work(r, w), cold_room(w).granted) : 0;  // it ends sooner
     w.granted.work -= of_grant;
-    if (cold(w)) sent_cold(w, now, cold_work(r, w) - of_grant);
+    if (cold(w))
+      sent_cold(w, now, cold_work(r, w) - of_grant);
     w.load += r.load;
     ++w.out, w.used = true;
     index(w);
-    if (!cold(w) || twin) tell(w, Sign::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
+    if (!cold(w) || twin)
+      tell(w, Sign::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
     r.attempts.push_back({w.entry.worker, w.entry.zone, w.entry.cell, now});
     out->push_back(Send{r.job.request, w.entry.worker, 0});
     int attempt = static_cast<int>(r.attempts.size()) - 1;
-    if (s.tells_start) alarms.add(now + patience(w.entry.zone), Wake::late_start, r.job.request, attempt);
+    if (s.tells_start)
+      alarms.add(now + patience(w.entry.zone), Wake::late_start, r.job.request, attempt);
   }
 
   double patience(int zone) const { return 3 * start_delay[at(zone)] + 4 * s.tick_ms + 10; }
 
-  // ---- pick: of a few sampled workers with room, the one that holds fewest of this dispatcher's slots ----
+  // ---- pick: of a few sampled workers with room, the one that holds fewest of this dispatcher's
+  // slots ----
 
   bool usable(const Request& r, Worker* w) {
     // Work that must not run twice is not what a failing worker is tried again with.
-    if (w && w->faults > 1 && cls(r).effect == Effect::unsafe) return false;
+    if (w && w->faults > 1 && cls(r).effect == Effect::unsafe)
+      return false;
     // On a cold worker a job may run too long to be in time.
-    if (w && cold(*w) && budget(r) * pace(*w) > cls(r).target_ms + cls(r).stretch * r.job.hint) return false;
+    if (w && cold(*w) && budget(r) * pace(*w) > cls(r).target_ms + cls(r).stretch * r.job.hint)
+      return false;
     return w && !tried.count(w->entry.worker) && has_room(r, *w) && may_send(r, *w) &&
            kinds[at(w->entry.kind)].pools[kOpen].has(w->entry.worker);
   }
 
-  // Exception: a worker that runs jobs slower than their corrected hints counts its slots so much dearer. Not
-  // for jobs with keys (run times tell of fetches too), nor for a cold one's first: it has to be tried.
+  // Exception: a worker that runs jobs slower than their corrected hints counts its slots so much
+  // dearer. Not for jobs with keys (run times tell of fetches too), nor for a cold one's first: it
+  // has to be tried.
   void keep_best(const Request& r, Worker*& best, Worker* w) const {
     auto cost = [&](const Worker& x) {
       return r.job.key || (cold(x) && !x.used) ? slots(x) : (slots(x) + 1) * std::max(1.0, pace(x));
     };
-    if (!best || cost(*w) < cost(*best)) best = w;
+    if (!best || cost(*w) < cost(*best))
+      best = w;
   }
 
   // Exception: a worker that had this job before is asked again only where no other has room.
   Worker* pick(const Request& r) {
-    for (const Attempt& a : r.attempts) tried.insert(a.worker);
+    for (const Attempt& a : r.attempts)
+      tried.insert(a.worker);
     Worker* w = tried.empty() ? nullptr : pick_any(r);
     tried.clear();
     return w ? w : pick_any(r);
@@ -307,13 +369,16 @@
     const ClassSettings& c = cls(r);
     if (c.effect == Effect::keyed && c.scope == Scope::cell)
       for (const Attempt& a : r.attempts)
-        if (a.fate != Fate::never_ran) return pick_in_cell(r, a.cell);
+        if (a.fate != Fate::never_ran)
+          return pick_in_cell(r, a.cell);
     for (bool spare : {true, false})
-      if (Worker* w = r.job.key != 0 ? pick_by_key(r, spare) : pick_near_home(r, spare)) return w;
+      if (Worker* w = r.job.key != 0 ? pick_by_key(r, spare) : pick_near_home(r, spare))
+        return w;
     return nullptr;
   }
 
-  // Exception: a kind that some class cannot do without is spared for it while other kinds have room.
+  // Exception: a kind that some class cannot do without is spared for it while other kinds have
+  // room.
   bool runs_on(const Request& r, int kind, bool spare) const {
     int need = cls(r).kind;
     return need < 0 ? !spare || !kinds[at(kind)].reserved : need == kind;
@@ -322,49 +387,60 @@
   Worker* pick_in_cell(const Request& r, int cell) {
     Worker* best = nullptr;
     for (WorkerId id : cells[cell])
-      if (Worker* w = find(id); usable(r, w)) keep_best(r, best, w);
+      if (Worker* w = find(id); usable(r, w))
+        keep_best(r, best, w);
     return best;
   }
 
-  // Exception: where dispatchers are many, own slots say little about a worker that all use. Each is at home
-  // with a few, which sample theirs first. A job that has waited a while for them goes anywhere.
+  // Exception: where dispatchers are many, own slots say little about a worker that all use. Each
+  // is at home with a few, which sample theirs first. A job that has waited a while for them goes
+  // anywhere.
   Worker* pick_near_home(const Request& r, bool spare) {
-    if (Worker* w = sample(kHome, r, spare)) return w;
+    if (Worker* w = sample(kHome, r, spare))
+      return w;
     double wait = kOverflow * mean_run * (1 + kCrowdWait * crowding * (1 - at_home));
-    if (r.held && now - r.held_since < wait) return nullptr;
+    if (r.held && now - r.held_since < wait)
+      return nullptr;
     return sample(kOpen, r, spare);
   }
 
   Worker* sample(PoolName name, const Request& r, bool spare) {
     std::size_t total = 0;
-    auto size = [&](int k) { return runs_on(r, k, spare) ? kinds[at(k)].pools[name].size() : 0; };
-    for (int k = 0; k < s.kinds; ++k) total += size(k);
+    auto size = [&](int k) {
+      return runs_on(r, k, spare) ? kinds[at(k)].pools[name].size() : 0;
+    };
+    for (int k = 0; k < s.kinds; ++k)
+      total += size(k);
     Worker* best = nullptr;
     for (int hits = 0, draws = 0; total > 0 && hits < kCandidates && draws < kDraws; ++draws) {
       auto n = static_cast<std::size_t>(random() * static_cast<double>(total));
       int k = 0;
-      while (n >= size(k)) n -= size(k++);
+      while (n >= size(k))
+        n -= size(k++);
       Worker* w = find(kinds[at(k)].pools[name][n]);
-      if (usable(r, w)) ++hits, keep_best(r, best, w);
+      if (usable(r, w))
+        ++hits, keep_best(r, best, w);
     }
     return best;
   }
 
-  // Exception: a job with a key is sampled among its key's own workers, the same at every dispatcher: the
-  // hash's ring neighbours, as many as its share of the traffic needs. Others would have to fetch what it
-  // needs from a shared store while slots stand idle. A job that has waited about as long as a fetch takes
-  // looks one further.
+  // Exception: a job with a key is sampled among its key's own workers, the same at every
+  // dispatcher: the hash's ring neighbours, as many as its share of the traffic needs. Others would
+  // have to fetch what it needs from a shared store while slots stand idle. A job that has waited
+  // about as long as a fetch takes looks one further.
   Worker* pick_by_key(const Request& r, bool spare) {
     std::vector<std::pair<std::uint64_t, WorkerId>> near;
     double fleet = 0;
     for (int k = 0; k < s.kinds; ++k) {
       const auto& ring = kinds[at(k)].ring;
-      if (!runs_on(r, k, spare) || ring.empty()) continue;
+      if (!runs_on(r, k, spare) || ring.empty())
+        continue;
       fleet += static_cast<double>(ring.size());
       std::uint64_t h = r.job.key;
       for (int i = 0; i < kKeyProbes; ++i) {
         auto it = ring.lower_bound(h = mix(h));
-        if (it == ring.end()) it = ring.begin();
+        if (it == ring.end())
+          it = ring.begin();
         near.emplace_back(it->first - h, it->second);
       }
     }
@@ -374,22 +450,27 @@
     WorkerId last = 0;
     Worker* best = nullptr;
     for (const auto& [distance, id] : near) {
-      if (id != last && --wide < 0) break;
+      if (id != last && --wide < 0)
+        break;
       last = id;
-      if (Worker* w = find(id); usable(r, w)) keep_best(r, best, w);
+      if (Worker* w = find(id); usable(r, w))
+        keep_best(r, best, w);
     }
     return best;
   }
 
-  // The tier factor S_tenant: a tenant's share, split evenly over the living, is a bucket that fills
-  // with time. A job that finds it empty counts as larger by as much as it is worth less.
+  // The tier factor S_tenant: a tenant's share, split evenly over the living, is a bucket that
+  // fills with time. A job that finds it empty counts as larger by as much as it is worth less.
   bool within_share(int tenant) {
-    if (tenant < 0 || at(tenant) >= shares->buckets.size() || s.over_share_worth >= 1) return true;
+    if (tenant < 0 || at(tenant) >= shares->buckets.size() || s.over_share_worth >= 1)
+      return true;
     TenantShares::Bucket& share = shares->buckets[at(tenant)];
     double rate = s.tenant_quota[at(tenant)] / std::max(1, s.dispatchers - dead) / 1000;
-    share.left = std::min(share.left + rate * (now - share.filled), std::max(1.0, kShareSpan * rate));
+    share.left =
+        std::min(share.left + rate * (now - share.filled), std::max(1.0, kShareSpan * rate));
     share.filled = now;
-    if (share.left < 1) return false;
+    if (share.left < 1)
+      return false;
     share.left -= 1;
     return true;
   }
@@ -397,14 +478,18 @@
   // ---- ends of a request ----
 
   void finish(Request& r) {
-    if (r.ended) return;
-    out->push_back(may_bounce(r) ? Action(Refuse{r.job.request, come_back()}) : Action(Fail{r.job.request}));
+    if (r.ended)
+      return;
+    out->push_back(may_bounce(r) ? Action(Refuse{r.job.request, come_back()})
+                                 : Action(Fail{r.job.request}));
     end(r);
   }
 
-  // A refusal goes out at once and says when to try again: about when one of a worker's slots is free.
+  // A refusal goes out at once and says when to try again: about when one of a worker's slots is
+  // free.
   double come_back() const {
-    if (!s.retry_after) return 0;
+    if (!s.retry_after)
+      return 0;
     double least = 4 * s.tick_ms;
     return std::clamp(kComeBack * mean_run, least, std::max(least, s.max_retry_after_ms));
   }
@@ -423,56 +508,70 @@
   }
 
   bool any_out(const Request& r) const {
-    return std::any_of(r.attempts.begin(), r.attempts.end(), [](auto& a) { return a.fate == Fate::out; });
+    return std::any_of(r.attempts.begin(), r.attempts.end(),
+                       [](auto& a) { return a.fate == Fate::out; });
   }
 
   void forget_if_done(RequestId id) {
     Request* r = find_request(id);
-    if (r && r->ended && !any_out(*r)) requests.erase(id);
+    if (r && r->ended && !any_out(*r))
+      requests.erase(id);
   }
 
   // ---- event handlers ----
 
   void on(const Arrival& e) {
-    if (find_request(e.request)) return;
-    if (e.cls < 0 || at(e.cls) >= s.classes.size()) return out->push_back(Refuse{e.request, come_back()});
+    if (find_request(e.request))
+      return;
+    if (e.cls < 0 || at(e.cls) >= s.classes.size())
+      return out->push_back(Refuse{e.request, come_back()});
     Request& r = requests[e.request];
     r.job = e;
     bool hinted = std::isfinite(e.hint) && e.hint > 0;
-    if (hinted) classes[at(e.cls)].learned.add(e.hint);
-    if (!hinted) r.job.hint = mean_hint(e.cls);
+    if (hinted)
+      classes[at(e.cls)].learned.add(e.hint);
+    if (!hinted)
+      r.job.hint = mean_hint(e.cls);
     r.within = within_share(e.tenant);
     r.size = r.job.hint * e.weigh * (r.within ? 1 : std::min(kTenantLimit, 1 / s.over_share_worth));
     r.load = std::clamp(std::max({1.0, e.slots, e.memory}), 1.0, 1e6);
     r.seq = next_seq++;
     r.deadline = now + (std::isfinite(e.ttl_ms) ? e.ttl_ms : 0) - s.tick_ms;
-    if (e.key != 0) key_counts.count(e.key);
-    if (r.deadline <= now) return finish(r), forget_if_done(e.request);
+    if (e.key != 0)
+      key_counts.count(e.key);
+    if (r.deadline <= now)
+      return finish(r), forget_if_done(e.request);
     alarms.add(r.deadline, Wake::deadline, e.request);
     double slack = cls(r).target_ms + (cls(r).stretch - 1) * r.job.hint;
-    if (now + slack < r.deadline) alarms.add(now + slack, Wake::overdue, e.request);
+    if (now + slack < r.deadline)
+      alarms.add(now + slack, Wake::overdue, e.request);
     hold(r);
   }
 
   Attempt* find_attempt(RequestId id, int attempt) {  // only while it is out
     Request* r = find_request(id);
-    if (!r || attempt < 0 || at(attempt) >= r->attempts.size()) return nullptr;
+    if (!r || attempt < 0 || at(attempt) >= r->attempts.size())
+      return nullptr;
     Attempt& a = r->attempts[at(attempt)];
     return a.fate == Fate::out ? &a : nullptr;
   }
 
   void on(const Started& e) {
     Attempt* a = find_attempt(e.request, e.attempt);
-    if (!a || a->started >= 0) return;
+    if (!a || a->started >= 0)
+      return;
     a->started = now;
     Worker* w = find(a->worker);
-    if (!w) return;
+    if (!w)
+      return;
     ++w->started;
     double& cores = kinds[at(w->entry.kind)].cores;
-    if (!cold(*w)) cores = std::max(cores, static_cast<double>(w->started));
+    if (!cold(*w))
+      cores = std::max(cores, static_cast<double>(w->started));
     w->strikes = 0;
     double delay = now - a->sent;
-    if (delay > patience(a->zone)) return;
+    if (delay > patience(a->zone))
+      return;
     double& usual = start_delay[at(a->zone)];
     usual = usual > 0 ? usual + kAlpha * (delay - usual) : delay;
     crowding -= kAlpha * crowding;
@@ -480,42 +579,59 @@
   }
 
   void on(const StreamBegun& e) {
-    if (Request* r = find_request(e.request)) r->streaming = true;
+    if (Request* r = find_request(e.request))
+      r->streaming = true;
   }
 
   void on(const ClientGone& e) {
     Request* r = find_request(e.request);
-    if (!r) return;
+    if (!r)
+      return;
     bool shared = r->job.tenant >= 0 && at(r->job.tenant) < shares->buckets.size();
-    if (e.moved && r->within && shared) ++shares->buckets[at(r->job.tenant)].left;
+    if (e.moved && r->within && shared)
+      ++shares->buckets[at(r->job.tenant)].left;
     end(*r), forget_if_done(e.request);
   }
 
   void on(const Outcome& e) {
     Attempt* a = find_attempt(e.request, e.attempt);
-    if (!a) return;
+    if (!a)
+      return;
     Request& r = requests.at(e.request);
-    bool never = e.result == Result::full || e.result == Result::connect_failed || e.result == Result::moot;
+    bool never =
+        e.result == Result::full || e.result == Result::connect_failed || e.result == Result::moot;
     a->fate = never ? Fate::never_ran : Fate::may_have_run;
-    if (Worker* w = find(a->worker)) settle(*w, r, *a, e.result);
-    if (e.final && !r.ended) end(r);
-    if (!r.ended && (e.result == Result::timeout || now >= r.deadline)) finish(r);
-    if (!r.ended && !any_out(r)) retry(r);
+    if (Worker* w = find(a->worker))
+      settle(*w, r, *a, e.result);
+    if (e.final && !r.ended)
+      end(r);
+    if (!r.ended && (e.result == Result::timeout || now >= r.deadline))
+      finish(r);
+    if (!r.ended && !any_out(r))
+      retry(r);
     forget_if_done(e.request);
   }
 
   void settle(Worker& w, const Request& r, const Attempt& a, Result result) {
     w.load = --w.out <= 0 ? 0 : w.load - r.load;
-    if (a.started >= 0) --w.started;
-    // A worker that fails at once looks empty: starting a job proves nothing of it, only serving one does.
+    if (a.started >= 0)
+      --w.started;
+    // A worker that fails at once looks empty: starting a job proves nothing of it, only serving
+    // one does.
     bool none = result == Result::cancelled || result == Result::moot, ok = result == Result::ok;
-    Sign sign = none ? Sign::none : ok ? Sign::served : result == Result::full ? Sign::full : Sign::failed;
-    if (result == Result::connect_failed) sign = Sign::unreached;
-    if (!none && !ok) crowd();
+    Sign sign = none                     ? Sign::none
+                : ok                     ? Sign::served
+                : result == Result::full ? Sign::full
+                                         : Sign::failed;
+    if (result == Result::connect_failed)
+      sign = Sign::unreached;
+    if (!none && !ok)
+      crowd();
     tell(w, sign, ok ? learn(r, a, w) : 1);
     take_sign(w, sign);
     index(w);
-    if (w.out <= 0 && w.entry.state == WorkerState::gone) workers.erase(a.worker);
+    if (w.out <= 0 && w.entry.state == WorkerState::gone)
+      workers.erase(a.worker);
   }
 
   // Another attempt if the class allows one anywhere, else the end.
@@ -528,51 +644,69 @@
     can ? hold(r) : finish(r);
   }
 
-  // Exception: a job that waits at a worker is called back when another has room; not with a key: it fetches.
-  // Where one attempt at a time is allowed it first loses its place, so only after a long silence.
+  // Exception: a job that waits at a worker is called back when another has room; not with a key:
+  // it fetches. Where one attempt at a time is allowed it first loses its place, so only after a
+  // long silence.
   void late_start(RequestId id, int attempt) {
     Attempt* a = find_attempt(id, attempt);
-    if (!a || a->started >= 0 || a->recalled) return;
+    if (!a || a->started >= 0 || a->recalled)
+      return;
     Request& r = requests.at(id);
     double waited = now - a->sent;
-    if (Worker* w = find(a->worker)) crowd(), bad_sign(*w, waited > 2 * mean_run), tell(*w, Sign::late);
-    alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run), Wake::late_start, id, attempt);
-    if (!s.cancel || r.job.key != 0 || r.attempts.size() + 1 >= at(s.try_limit)) return;
-    if (!s.parallel_tries && (crowding > kCrowded || waited <= kSilent * mean_run)) return;
-    // Called back it counts as one that may have run; what may follow then is asked now, while it is out.
+    if (Worker* w = find(a->worker))
+      crowd(), bad_sign(*w, waited > 2 * mean_run), tell(*w, Sign::late);
+    alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run), Wake::late_start, id,
+               attempt);
+    if (!s.cancel || r.job.key != 0 || r.attempts.size() + 1 >= at(s.try_limit))
+      return;
+    if (!s.parallel_tries && (crowding > kCrowded || waited <= kSilent * mean_run))
+      return;
+    // Called back it counts as one that may have run; what may follow then is asked now, while it
+    // is out.
     a->fate = Fate::may_have_run;
     bool elsewhere = pick(r);
     a->fate = Fate::out;
-    if (elsewhere) recall(r, attempt);
+    if (elsewhere)
+      recall(r, attempt);
   }
 
   void on(const WorkerList& e) {
-    if (e.scope == ListScope::failed) return subscribed = asking = false, ask_again();
-    if (e.scope != ListScope::cached) subscribed = true, asking = false, ask_backoff = 0;
+    if (e.scope == ListScope::failed)
+      return subscribed = asking = false, ask_again();
+    if (e.scope != ListScope::cached)
+      subscribed = true, asking = false, ask_backoff = 0;
     if (e.scope != ListScope::delta) {  // a complete list: whoever is missing is gone
       std::set<WorkerId> missing = listed;
-      for (const auto& n : e.entries) missing.erase(n.worker);
-      for (WorkerId id : missing) drop(id);
+      for (const auto& n : e.entries)
+        missing.erase(n.worker);
+      for (WorkerId id : missing)
+        drop(id);
     }
-    for (const auto& n : e.entries) apply(n);
-    if (s.ask_list && e.scope == ListScope::cached) ask_again();
+    for (const auto& n : e.entries)
+      apply(n);
+    if (s.ask_list && e.scope == ListScope::cached)
+      ask_again();
   }
 
   void apply(const WorkerEntry& n) {
-    if (n.state == WorkerState::gone) return drop(n.worker);
-    if (n.zone < 0 || n.zone >= s.zones || n.kind < 0 || n.kind >= s.kinds) return drop(n.worker);
+    if (n.state == WorkerState::gone)
+      return drop(n.worker);
+    if (n.zone < 0 || n.zone >= s.zones || n.kind < 0 || n.kind >= s.kinds)
+      return drop(n.worker);
     Worker* w = find(n.worker);
     bool same = w && listed.count(n.worker) && w->entry.born == n.born && w->entry.zone == n.zone &&
                 w->entry.kind == n.kind && w->entry.cell == n.cell;
     if (!same) {
       Worker fresh;  // attempts at its former life still count
-      if (w) fresh.load = w->load, fresh.out = w->out, fresh.started = w->started;
+      if (w)
+        fresh.load = w->load, fresh.out = w->out, fresh.started = w->started;
       drop(n.worker);
       w = &(workers[n.worker] = fresh);
       w->entry = n;
       w->slow = kinds[at(n.kind)].slow;  // until it has shown its own
       w->turn.share = 1.0 / s.dispatchers;
-      if (cold(*w)) alarms.add(n.born + s.cold_ms, Wake::reindex, n.worker);  // at home there are others then
+      if (cold(*w))
+        alarms.add(n.born + s.cold_ms, Wake::reindex, n.worker);  // at home there are others then
       listed.insert(n.worker);
       cells[n.cell].insert(n.worker);
     }
@@ -581,19 +715,24 @@
   }
 
   void drop(WorkerId id) {
-    if (!listed.erase(id)) return;
+    if (!listed.erase(id))
+      return;
     Worker& w = workers[id];
     w.entry.state = WorkerState::gone;
     index(w);
     auto cell = cells.find(w.entry.cell);
     cell->second.erase(id);
-    if (cell->second.empty()) cells.erase(cell);
-    if (w.out <= 0) workers.erase(id);
+    if (cell->second.empty())
+      cells.erase(cell);
+    if (w.out <= 0)
+      workers.erase(id);
   }
 
-  // Spread by the number of dispatchers, slower after failures, yet never slower than ask_within_ms requires.
+  // Spread by the number of dispatchers, slower after failures, yet never slower than ask_within_ms
+  // requires.
   void ask_again() {
-    if (!s.ask_list) return;
+    if (!s.ask_list)
+      return;
     double spread = std::min(0.2 * s.ask_within_ms, 40.0 * (s.dispatchers - 1) + ask_backoff);
     ask_backoff = std::min(0.2 * s.ask_within_ms, 2 * ask_backoff + 200);
     alarms.add(now + spread * random(), Wake::subscribe);
@@ -605,23 +744,28 @@
     std::vector<ClassState> old = classes;
     classes.resize(s.classes.size());
     for (int c = 0; at(c) < classes.size(); ++c)
-      classes[at(c)].learned = e.from[at(c)] < 0 ? ClassState{}.learned : old[at(e.from[at(c)])].learned;
+      classes[at(c)].learned =
+          e.from[at(c)] < 0 ? ClassState{}.learned : old[at(e.from[at(c)])].learned;
     resize();
     for (const ClassState& c : classes)
       for (const Queue& held : c.held)
         for (const auto& [size, seq, id] : Queue(held))
-          if (requests.at(id).attempts.size() >= at(s.try_limit)) finish(requests.at(id)), forget_if_done(id);
+          if (requests.at(id).attempts.size() >= at(s.try_limit))
+            finish(requests.at(id)), forget_if_done(id);
   }
 
   void on(const Twin& e) { twin = e.here; }
   void on(const SendPermission& e) { may_release = e.allowed; }
-  void on(const Members& e) { dead = static_cast<int>(std::count(e.lives.begin(), e.lives.end(), false)); }
+  void on(const Members& e) {
+    dead = static_cast<int>(std::count(e.lives.begin(), e.lives.end(), false));
+  }
 
   void on(const Homes& e) {
     double own = 0;
     for (const Homes::At& at : e.workers) {
       own += at.own;
-      if (Worker* w = find(at.worker)) w->home = at, index(*w);
+      if (Worker* w = find(at.worker))
+        w->home = at, index(*w);
     }
     at_home = own / std::max(1.0, static_cast<double>(e.workers.size()));
     talks = e.talk;
@@ -629,33 +773,40 @@
 
   void on(const Turns& e) {
     for (const Turns::At& at : e.workers)
-      if (Worker* w = find(at.home.worker); w && w->entry.born == at.born) w->turn = at, index(*w);
+      if (Worker* w = find(at.home.worker); w && w->entry.born == at.born)
+        w->turn = at, index(*w);
   }
 
   void on(const Grant& e) {
     Worker* w = find(e.worker);
-    if (!w || w->entry.born != e.born) return;
+    if (!w || w->entry.born != e.born)
+      return;
     e.ours ? void(w->granted = e) : sent_cold(*w, e.until, e.work);
   }
 
   void on(const Knowledge& k) {
-    for (int c = 0; at(c) < classes.size(); ++c) classes[at(c)].learned = k.classes.at(at(c));
-    for (int i = 0; i < s.kinds; ++i) static_cast<Knowledge::OfKind&>(kinds[at(i)]) = k.kinds.at(at(i));
+    for (int c = 0; at(c) < classes.size(); ++c)
+      classes[at(c)].learned = k.classes.at(at(c));
+    for (int i = 0; i < s.kinds; ++i)
+      static_cast<Knowledge::OfKind&>(kinds[at(i)]) = k.kinds.at(at(i));
     static_cast<OfFleet&>(*this) = k.fleet;
     for (const Knowledge::Seen& seen : k.workers) {
       Worker* w = find(seen.worker);
-      if (!w || w->entry.born != seen.born) continue;
+      if (!w || w->entry.born != seen.born)
+        continue;
       static_cast<Knowledge::OfWorker&>(*w) = seen.of;
       w->told.set(s.rank, seen.load, now + kToldLife);
       sent_cold(*w, now, seen.cold_work);
-      for (Time when : {w->shut_until, now + kToldLife}) alarms.add(when, Wake::reindex, seen.worker);
+      for (Time when : {w->shut_until, now + kToldLife})
+        alarms.add(when, Wake::reindex, seen.worker);
       index(*w);
     }
   }
 
   Knowledge knowledge(Time t) {
     Knowledge k{{}, {}, {kinds.begin(), kinds.end()}, *this};
-    for (const ClassState& c : classes) k.classes.push_back(c.learned);
+    for (const ClassState& c : classes)
+      k.classes.push_back(c.learned);
     for (WorkerId id : listed) {
       Worker& w = workers[id];
       k.workers.push_back({id, w.entry.born, w, w.load, w.cold_sent.sum(t - s.fall_ms)});
@@ -668,20 +819,27 @@
 
   void ring(const Alarms<Wake>::Alarm& a) {
     Request* r = a.wake == Wake::deadline || a.wake == Wake::overdue ? find_request(a.id) : nullptr;
-    if (r && a.wake == Wake::overdue && !r->ended) overdue(*r);
-    if (r && !r->ended && !r->streaming && r->deadline <= now) finish(*r), forget_if_done(a.id);
-    if (a.wake == Wake::late_start) late_start(a.id, a.attempt);
-    if (Worker* w = a.wake == Wake::reindex ? find(a.id) : nullptr) index(*w);
-    if (a.wake == Wake::subscribe && !subscribed && !asking) asking = true, out->push_back(Subscribe{});
+    if (r && a.wake == Wake::overdue && !r->ended)
+      overdue(*r);
+    if (r && !r->ended && !r->streaming && r->deadline <= now)
+      finish(*r), forget_if_done(a.id);
+    if (a.wake == Wake::late_start)
+      late_start(a.id, a.attempt);
+    if (Worker* w = a.wake == Wake::reindex ? find(a.id) : nullptr)
+      index(*w);
+    if (a.wake == Wake::subscribe && !subscribed && !asking)
+      asking = true, out->push_back(Subscribe{});
   }
 
   void handle(Time t, const Event& event, Actions& actions) {
     now = std::max(now, t);
     out = &actions;
     std::visit([this](const auto& e) { on(e); }, event);
-    while (alarms.due(now)) ring(alarms.pop());
+    while (alarms.due(now))
+      ring(alarms.pop());
     dispatch();
-    if (!alarms.must_arm()) return;
+    if (!alarms.must_arm())
+      return;
     Time when = alarms.arm();
     actions.push_back(SetTimer{alarms.name(), when});
   }
@@ -694,10 +852,18 @@
 Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
 Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
 
-void Dispatcher::handle(Time now, const Event& event, Actions& out) { impl_->handle(now, event, out); }
-double Dispatcher::calibration(int cls) const { return impl_->classes.at(at(cls)).learned.factor; }
-std::size_t Dispatcher::held() const { return impl_->held_count; }
-Knowledge Dispatcher::knowledge(Time now) const { return impl_->knowledge(now); }
+void Dispatcher::handle(Time now, const Event& event, Actions& out) {
+  impl_->handle(now, event, out);
+}
+double Dispatcher::calibration(int cls) const {
+  return impl_->classes.at(at(cls)).learned.factor;
+}
+std::size_t Dispatcher::held() const {
+  return impl_->held_count;
+}
+Knowledge Dispatcher::knowledge(Time now) const {
+  return impl_->knowledge(now);
+}
 ColdRoom Dispatcher::cold_room(WorkerId worker, Time now) const {
   impl_->now = std::max(impl_->now, now);
   const Worker* w = impl_->find(worker);
@@ -705,7 +871,8 @@
 }
 bool Dispatcher::avoids(WorkerId worker, Time now) const {
   const Worker* w = impl_->find(worker);
-  return w && w->entry.state == WorkerState::ready && now < w->shut_until && w->strikes + w->faults > 0;
+  return w && w->entry.state == WorkerState::ready && now < w->shut_until &&
+         w->strikes + w->faults > 0;
 }
 
 }  // namespace reedlb
--- a/src/peers.h
+++ b/src/peers.h
@@ -1,4 +1,5 @@
-// What dispatchers tell one another of a worker that they share, and what each keeps of it. Nothing here decides.
+// What dispatchers tell one another of a worker that they share, and what each keeps of it. Nothing
+// here decides.
 #pragma once
 
 #include <algorithm>
@@ -18,9 +19,10 @@
 
 enum class Sign : std::uint8_t { none, sent, served, full, late, unreached, failed };
 
-// A note is 8 bytes, big-endian: worker (4), a mark of the worker's life (1), own slots in flight there (1, at most
-// 255), sign (1), and with `served` the relative slowness x 32 of the run that ended, with `sent` the work that went
-// out in units of 64 ms, rounded up (1). Messages are priced by size.
+// A note is 8 bytes, big-endian: worker (4), a mark of the worker's life (1), own slots in flight
+// there (1, at most 255), sign (1), and with `served` the relative slowness x 32 of the run that
+// ended, with `sent` the work that went out in units of 64 ms, rounded up (1). Messages are priced
+// by size.
 struct Note {
   WorkerId worker = 0;
   std::uint8_t life = 0;  // notes on a former life of a worker tell nothing of the present one
@@ -33,39 +35,51 @@
 constexpr std::size_t kNoteSize = 8;
 
 inline std::string write_note(const Note& n) {
-  auto byte = [](double v) { return static_cast<char>(static_cast<std::uint8_t>(std::clamp(std::round(v), 0.0, 255.0))); };
+  auto byte = [](double v) {
+    return static_cast<char>(static_cast<std::uint8_t>(std::clamp(std::round(v), 0.0, 255.0)));
+  };
   std::string out;
-  for (int shift : {24, 16, 8, 0}) out += static_cast<char>(n.worker >> shift & 0xff);
+  for (int shift : {24, 16, 8, 0})
+    out += static_cast<char>(n.worker >> shift & 0xff);
   return out + static_cast<char>(n.life) + byte(std::ceil(n.load)) + static_cast<char>(n.sign) +
          byte(n.sign == Sign::sent ? std::ceil(n.work / kWorkUnit) : n.slow * 32);
 }
 
 // Empty: not such a note. Peers of another release may say other things.
 inline std::optional<Note> read_note(std::string_view bytes) {
-  if (bytes.size() != kNoteSize) return std::nullopt;
-  auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(bytes[i]); };
-  if (byte(6) > static_cast<std::uint8_t>(Sign::failed)) return std::nullopt;
+  if (bytes.size() != kNoteSize)
+    return std::nullopt;
+  auto byte = [&](std::size_t i) {
+    return static_cast<std::uint8_t>(bytes[i]);
+  };
+  if (byte(6) > static_cast<std::uint8_t>(Sign::failed))
+    return std::nullopt;
   Note n;
-  for (std::size_t i = 0; i < 4; ++i) n.worker = n.worker << 8 | byte(i);
+  for (std::size_t i = 0; i < 4; ++i)
+    n.worker = n.worker << 8 | byte(i);
   n.life = byte(4);
   n.load = byte(5);
   n.sign = static_cast<Sign>(byte(6));
-  if (n.sign == Sign::served) n.slow = byte(7) / 32.0;
-  if (n.sign == Sign::sent) n.work = byte(7) * kWorkUnit;
+  if (n.sign == Sign::served)
+    n.slow = byte(7) / 32.0;
+  if (n.sign == Sign::sent)
+    n.work = byte(7) * kWorkUnit;
   return n;
 }
 
-// The slots that others hold at one worker, by what each told last. A peer that has died tells no more, and a note
-// may be lost: what is not told anew counts for a while only.
+// The slots that others hold at one worker, by what each told last. A peer that has died tells no
+// more, and a note may be lost: what is not told anew counts for a while only.
 class Told {
  public:
   void set(int peer, double load, Time until) {
     std::erase_if(held_, [&](const Held& h) { return h.peer == peer; });
-    if (load > 0) held_.push_back({peer, load, until});
+    if (load > 0)
+      held_.push_back({peer, load, until});
   }
   double sum(Time now) const {
     double all = 0;
-    for (const Held& h : held_) all += h.until > now ? h.load : 0;
+    for (const Held& h : held_)
+      all += h.until > now ? h.load : 0;
     return all;
   }
 
@@ -83,6 +97,8 @@
   return mix(e.worker ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.born) * 1000)));
 }
 
-inline std::uint8_t mark_of(const WorkerEntry& e) { return static_cast<std::uint8_t>(life_of(e)); }
+inline std::uint8_t mark_of(const WorkerEntry& e) {
+  return static_cast<std::uint8_t>(life_of(e));
+}
 
 }  // namespace reedlb
--- a/src/state.h
+++ b/src/state.h
@@ -18,15 +18,15 @@
 
 struct Worker : Knowledge::OfWorker {
   WorkerEntry entry;
-  double load = 0;         // own slots in flight
-  int out = 0;             // own attempts out
-  int started = 0;         // of these, in work
-  bool used = false;       // something was sent there in its present life
+  double load = 0;              // own slots in flight
+  int out = 0;                  // own attempts out
+  int started = 0;              // of these, in work
+  bool used = false;            // something was sent there in its present life
   Homes::At home{0, true, {}};  // at home here once it is warm; and who else is then, as was told
   Turns::At turn{{0, true, {}}, 0, 0};  // the same while it is cold, and the own part of its budget
-  Grant granted;           // of others' parts, for a while
-  Told told;               // slots of those among them that are at home there
-  Window cold_sent;        // work sent while cold, or granted to others, until its end
+  Grant granted;                        // of others' parts, for a while
+  Told told;                            // slots of those among them that are at home there
+  Window cold_sent;                     // work sent while cold, or granted to others, until its end
 };
 
 enum class Fate : std::uint8_t { out, never_ran, may_have_run };
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -15,7 +15,8 @@
   std::string out;
   int high = -1;
   for (char c : text) {
-    if (c == ' ' || c == '\n') continue;
+    if (c == ' ' || c == '\n')
+      continue;
     int v = c <= '9' ? c - '0' : c - 'a' + 10;
     if (high < 0) {
       high = v;
@@ -96,7 +97,8 @@
                          padded("0a 5d3a91c4 03124a07 4054000000000000", 24);
   std::string timer = padded("32 000000000000004d", 24);
   auto bits = std::bit_cast<std::uint64_t>(12508.25);
-  for (std::size_t i = 0; i < 8; ++i) timer[9 + i] = static_cast<char>(bits >> (56 - 8 * i));
+  for (std::size_t i = 0; i < 8; ++i)
+    timer[9 + i] = static_cast<char>(bits >> (56 - 8 * i));
   expected += timer + padded("50 0007 00000000 00000004", 24) + padded("82 00000005", 24) +
               padded("64 00000004 00000010", 24) + "hi q" + "two servers left";
   EXPECT_EQ(w.finish(), expected);
@@ -116,9 +118,11 @@
   EXPECT_NE(fault("", 0xffffffffu).find("do not fit"), std::string::npos);
   EXPECT_NE(fault(padded("6e 000000000000004d"), 1).find("before any"), std::string::npos);
   std::string about = padded("3c 00000003");
-  EXPECT_NE(fault(about + padded("32 03 0000000000000029 00000000 00000001"), 2).find("record 1: tail"),
+  EXPECT_NE(
+      fault(about + padded("32 03 0000000000000029 00000000 00000001"), 2).find("record 1: tail"),
+      std::string::npos);
+  EXPECT_NE(fault(about + padded("14 00000003 ffffffff ffffffff"), 2).find("tail"),
             std::string::npos);
-  EXPECT_NE(fault(about + padded("14 00000003 ffffffff ffffffff"), 2).find("tail"), std::string::npos);
   EXPECT_NE(fault(about + padded("32 09"), 2).find("scope"), std::string::npos);
   EXPECT_EQ(fault(about + padded("ff"), 2), "");  // an unknown code is skipped
 }
@@ -126,10 +130,12 @@
 const char* kProfile =
     "balancers=2\nrank=1\nlocality=0\ndcs=a,b\nkinds=x,y\nclasses.count=1\nclasses.0.effect=keyed\n"
     "classes.0.key_scope=zone\nclasses.0.dedup_window_ms=4000.0\nclasses.0.target_ms=500.0\n"
-    "family_info.class_kind=1\nfamily_info.class_stretch=1.5\nfamily_info.report_x0=free_slots\ngranularity_"
+    "family_info.class_kind=1\nfamily_info.class_stretch=1.5\nfamily_info.report_x0=free_"
+    "slots\ngranularity_"
     "ms=2.0\n"
     "registry_mode=ask\nlimits.try_limit=6\nreport.names=cpu,x0\nsafety.drain_grace_ms=500.0\n"
-    "safety.grace_to_answer_ms=8.0\nsafety.cold_from=0.12\nsafety.cold_ms=24000.0\nsafety.fall_ms=2000.0\n"
+    "safety.grace_to_answer_ms=8.0\nsafety.cold_from=0.12\nsafety.cold_ms=24000.0\nsafety.fall_ms="
+    "2000.0\n"
     "safety.fall_multiple=4.0\nsomething.new=_7_\n";
 
 std::string without(std::string text, const std::string& line_start) {
@@ -162,9 +168,11 @@
   };
   EXPECT_NE(fault(without(kProfile, "safety.fall_ms")).find("'safety.fall_ms' is missing"),
             std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "balancers")).find("'balancers' is missing"), std::string::npos);
+  EXPECT_NE(fault(without(kProfile, "balancers")).find("'balancers' is missing"),
+            std::string::npos);
   EXPECT_NE(fault(without(kProfile, "rank") + "rank=1.5\n").find("'rank'"), std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "rank") + "rank=one\n").find("not a number"), std::string::npos);
+  EXPECT_NE(fault(without(kProfile, "rank") + "rank=one\n").find("not a number"),
+            std::string::npos);
   EXPECT_NE(fault(without(kProfile, "classes.0.effect") + "classes.0.effect=odd\n").find("odd"),
             std::string::npos);
   EXPECT_NE(fault("nonsense\n").find("nonsense"), std::string::npos);
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,5 @@
-// A dispatcher under test, its clock, and what it did. No servers are modelled: tests say what happens.
+// A dispatcher under test, its clock, and what it did. No servers are modelled: tests say what
+// happens.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,7 +30,8 @@
 }
 
 struct Bench {
-  explicit Bench(Settings settings, std::uint64_t seed = 1) : d(settings, seed), homes(settings), turns(settings, 0) {}
+  explicit Bench(Settings settings, std::uint64_t seed = 1)
+      : d(settings, seed), homes(settings), turns(settings, 0) {}
 
   template <typename E>
   Actions& play(E event) {
@@ -37,15 +39,22 @@
     Event played(std::move(event));
     d.handle(now, played, last);
     std::vector<Event> told;
-    if (auto of_homes = homes.after(played)) told.push_back(std::move(*of_homes));
+    if (auto of_homes = homes.after(played))
+      told.push_back(std::move(*of_homes));
     turns.after(now, played, d, told, last);
-    for (const Event& one : told) d.handle(now, one, last);
+    for (const Event& one : told)
+      d.handle(now, one, last);
     for (const auto& a : last) {
-      if (const auto* t = std::get_if<SetTimer>(&a)) timers.push_back(*t);
-      if (const auto* t = std::get_if<Send>(&a)) sends.push_back(*t);
-      if (const auto* t = std::get_if<Recall>(&a)) recalls.push_back(*t);
-      if (const auto* t = std::get_if<Tell>(&a)) tells.push_back(*t);
-      if (std::holds_alternative<Refuse>(a) || std::holds_alternative<Fail>(a)) answers.push_back(a);
+      if (const auto* t = std::get_if<SetTimer>(&a))
+        timers.push_back(*t);
+      if (const auto* t = std::get_if<Send>(&a))
+        sends.push_back(*t);
+      if (const auto* t = std::get_if<Recall>(&a))
+        recalls.push_back(*t);
+      if (const auto* t = std::get_if<Tell>(&a))
+        tells.push_back(*t);
+      if (std::holds_alternative<Refuse>(a) || std::holds_alternative<Fail>(a))
+        answers.push_back(a);
     }
     return last;
   }
@@ -55,8 +64,10 @@
     while (true) {
       std::size_t next = timers.size();
       for (std::size_t i = 0; i < timers.size(); ++i)
-        if (timers[i].when <= to && (next == timers.size() || timers[i].when < timers[next].when)) next = i;
-      if (next == timers.size()) break;
+        if (timers[i].when <= to && (next == timers.size() || timers[i].when < timers[next].when))
+          next = i;
+      if (next == timers.size())
+        break;
       SetTimer t = timers[next];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(next));
       now = std::max(now, t.when);
--- a/tests/lab/drain_rule_test.cpp
+++ b/tests/lab/drain_rule_test.cpp
@@ -44,7 +44,8 @@
   EXPECT_EQ(rule.counts_as_told(0, "box"), kThen + 10s);
 }
 
-// A watch that fell silent just before an outage does not make changes count that discovery could tell nobody.
+// A watch that fell silent just before an outage does not make changes count that discovery could
+// tell nobody.
 TEST(DrainRule, WhatChangesWhileDiscoveryIsAwayIsNotMissedByASilentWatch) {
   DrainRule rule;
   rule.silent(0, kThen);
--- a/tests/lab/network_test.cpp
+++ b/tests/lab/network_test.cpp
@@ -13,7 +13,9 @@
 using namespace std::chrono_literals;
 
 struct Client final : net::Connection::Events {
-  Client(net::EventLoop& loop, const net::Address& to) : connection(loop, *this) { connection.connect(to); }
+  Client(net::EventLoop& loop, const net::Address& to) : connection(loop, *this) {
+    connection.connect(to);
+  }
   void on_connected() override { connected = true; }
   void on_data(std::string_view bytes) override { got += bytes; }
   void on_closed(int error) override { closed = true, fault = error; }
@@ -24,7 +26,8 @@
 };
 
 struct Mailbox final : net::EventLoop::Handler {
-  explicit Mailbox(net::EventLoop& the_loop) : loop(the_loop), fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
+  explicit Mailbox(net::EventLoop& the_loop)
+      : loop(the_loop), fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
     address = *net::parse_address("127.0.0.1:0");
     ::bind(fd, reinterpret_cast<sockaddr*>(&address.in), sizeof address.in);
     socklen_t size = sizeof address.in;
@@ -37,13 +40,16 @@
     net::Address from;
     for (;;) {
       socklen_t size = sizeof from.in;
-      ssize_t got = ::recvfrom(fd, buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from.in), &size);
-      if (got < 0) return;
+      ssize_t got =
+          ::recvfrom(fd, buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from.in), &size);
+      if (got < 0)
+        return;
       letters.emplace_back(from.text(), std::string(buffer, static_cast<std::size_t>(got)));
     }
   }
   void send(const net::Address& to, std::string_view text) const {
-    ::sendto(fd, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&to.in), sizeof to.in);
+    ::sendto(fd, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&to.in),
+             sizeof to.in);
   }
   net::EventLoop& loop;
   int fd;
@@ -59,14 +65,16 @@
     server.listen(*net::parse_address("127.0.0.1:0"));
     way = network.stream(a, b, server.address());
   }
-  std::unique_ptr<Exchange> on_request(InboundConnection& connection, HttpRequest request) override {
+  std::unique_ptr<Exchange> on_request(InboundConnection& connection,
+                                       HttpRequest request) override {
     connection.respond(200, request.body);
     return nullptr;
   }
   void until(const std::function<bool()>& holds) {
     TimePoint limit = loop.now() + 20s;
     std::function<void()> look = [&] {
-      if (holds() || loop.now() > limit) return loop.stop();
+      if (holds() || loop.now() > limit)
+        return loop.stop();
       loop.at(loop.now() + 1ms, look);
     };
     look();
@@ -77,7 +85,9 @@
     loop.at(loop.now() + span, [this] { loop.stop(); });
     loop.run();
   }
-  void ask(Client& client) { client.connection.write("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"); }
+  void ask(Client& client) {
+    client.connection.write("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi");
+  }
   static bool answered(const Client& client) { return client.got.ends_with("hi"); }
 
   net::EventLoop loop;
@@ -104,7 +114,9 @@
 TEST_F(NetworkTest, ACutIsSilentAndWhatWaitedArrivesWhenItHeals) {
   Client client(loop, way);
   until([&] { return client.connected; });
-  network.change("b", "a", [](Network::Link& l) { l.cut = true; });  // one way: the request passes, the answer does not
+  network.change("b", "a", [](Network::Link& l) {
+    l.cut = true;
+  });  // one way: the request passes, the answer does not
   ask(client);
   until([&] { return counters.connections_accepted == 1; });
   Client late(loop, way);
@@ -138,7 +150,8 @@
 
 TEST_F(NetworkTest, DatagramsComeFromTheAddressByWhichTheirSenderIsKnown) {
   Mailbox one(loop), two(loop);
-  net::Address to_two = network.datagrams(a, b, one.address, two.address), to_one = network.datagrams(b, a, two.address, one.address);
+  net::Address to_two = network.datagrams(a, b, one.address, two.address),
+               to_one = network.datagrams(b, a, two.address, one.address);
   one.send(to_two, "there");
   until([&] { return two.letters.size() == 1; });
   EXPECT_EQ(two.letters[0], std::pair(to_one.text(), std::string("there")));
@@ -150,9 +163,11 @@
 
 TEST_F(NetworkTest, DatagramsAreLostDoubledAndCutOneWay) {
   Mailbox one(loop), two(loop);
-  net::Address to_two = network.datagrams(a, b, one.address, two.address), to_one = network.datagrams(b, a, two.address, one.address);
+  net::Address to_two = network.datagrams(a, b, one.address, two.address),
+               to_one = network.datagrams(b, a, two.address, one.address);
   network.change("a", "b", [](Network::Link& l) { l.loss = 0.5, l.doubled = 1; });
-  for (int i = 0; i < 200; ++i) one.send(to_two, "x");
+  for (int i = 0; i < 200; ++i)
+    one.send(to_two, "x");
   pass(50ms);
   EXPECT_GT(two.letters.size(), 120u);  // 200 expected of 400
   EXPECT_LT(two.letters.size(), 280u);
@@ -168,8 +183,14 @@
 
 TEST_F(NetworkTest, WordsNamePlaces) {
   Network other(loop, 1);
-  for (auto [name, box] : {std::pair("n0", false), {"new-1", true}, {"new-2", true}, {"discovery", false}, {"clients", false}})
-    other.add(name, std::string(name) == "discovery" || std::string(name) == "clients" ? "" : "east", "", box);
+  for (auto [name, box] : {std::pair("n0", false),
+                           {"new-1", true},
+                           {"new-2", true},
+                           {"discovery", false},
+                           {"clients", false}})
+    other.add(name,
+              std::string(name) == "discovery" || std::string(name) == "clients" ? "" : "east", "",
+              box);
   EXPECT_EQ(other.places("boxes:n"), (std::vector<Network::Place>{1, 2}));
   EXPECT_EQ(other.places("east"), (std::vector<Network::Place>{0, 1, 2}));
   EXPECT_EQ(other.places("all"), (std::vector<Network::Place>{0, 1, 2, 3}));
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -39,22 +39,62 @@
 
 TEST(Rules, EachBreachIsNamed) {
   const std::pair<const char*, std::function<void(Rules&)>> breaches[] = {
-      {"answer", [](Rules& r) { begun(r, Effect::safe), r.unanswered("k.0"); }},
-      {"answer", [](Rules& r) { begun(r, Effect::safe), r.answered("k.0", 503, "", false); }},
-      {"answer", [](Rules& r) { begun(r, Effect::safe), r.answered("k.0", 503, "", true), r.answered("k.0", 503, "", true); }},
-      {"made", [](Rules& r) { begun(r, Effect::safe), r.answered("k.0", 200, "made up", true); }},
-      {"made", [](Rules& r) { r.attempt_began("nobody's", "box"); }},
-      {"unsafe", [](Rules& r) { begun(r, Effect::unsafe), r.ran("k.0", "a", "east", "r", kThen), r.ran("k.0", "b", "east", "r", kThen); }},
-      {"unsafe", [](Rules& r) { begun(r, Effect::unsafe), r.ran("k.0", "a", "east", "r", kThen), r.answered("k.0", 503, "", true); }},
-      {"unsafe", [](Rules& r) {
+      {"answer",
+       [](Rules& r) {
+         begun(r, Effect::safe), r.unanswered("k.0");
+       }},
+      {"answer",
+       [](Rules& r) {
+         begun(r, Effect::safe), r.answered("k.0", 503, "", false);
+       }},
+      {"answer",
+       [](Rules& r) {
+         begun(r, Effect::safe), r.answered("k.0", 503, "", true), r.answered("k.0", 503, "", true);
+       }},
+      {"made",
+       [](Rules& r) {
+         begun(r, Effect::safe), r.answered("k.0", 200, "made up", true);
+       }},
+      {"made",
+       [](Rules& r) {
+         r.attempt_began("nobody's", "box");
+       }},
+      {"unsafe",
+       [](Rules& r) {
+         begun(r, Effect::unsafe), r.ran("k.0", "a", "east", "r", kThen),
+             r.ran("k.0", "b", "east", "r", kThen);
+       }},
+      {"unsafe",
+       [](Rules& r) {
+         begun(r, Effect::unsafe), r.ran("k.0", "a", "east", "r", kThen),
+             r.answered("k.0", 503, "", true);
+       }},
+      {"unsafe",
+       [](Rules& r) {
          begun(r, Effect::unsafe), r.ran("k.0", "a", "east", "r", kThen);
          r.asked("k.1", "k", Effect::unsafe, 0s), r.ran("k.1", "a", "east", "r", kThen);
        }},
-      {"keyed", [](Rules& r) { begun(r, Effect::keyed), r.ran("k.0", "a", "east", "r", kThen), r.ran("k.0", "b", "west", "r", kThen + 1s); }},
-      {"left", [](Rules& r) { r.asked("k.0", "k", Effect::safe, {}), r.client_left("k.0", TimePoint{}), r.attempt_began("k.0", "box", TimePoint{} + std::chrono::seconds(1)); }},
-      {"one", [](Rules& r) { begun(r, Effect::safe), r.attempt_began("k.0", "other"); }},
-      {"drain", [](Rules& r) { r.drained_box_was_sent("k.0", "box"); }},
-      {"cold", [](Rules& r) { r.cold_box_fell("box"); }}};
+      {"keyed",
+       [](Rules& r) {
+         begun(r, Effect::keyed), r.ran("k.0", "a", "east", "r", kThen),
+             r.ran("k.0", "b", "west", "r", kThen + 1s);
+       }},
+      {"left",
+       [](Rules& r) {
+         r.asked("k.0", "k", Effect::safe, {}), r.client_left("k.0", TimePoint{}),
+             r.attempt_began("k.0", "box", TimePoint{} + std::chrono::seconds(1));
+       }},
+      {"one",
+       [](Rules& r) {
+         begun(r, Effect::safe), r.attempt_began("k.0", "other");
+       }},
+      {"drain",
+       [](Rules& r) {
+         r.drained_box_was_sent("k.0", "box");
+       }},
+      {"cold", [](Rules& r) {
+         r.cold_box_fell("box");
+       }}};
   for (const auto& [rule, breach] : breaches) {
     Rules rules;
     breach(rules);
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -1,5 +1,5 @@
-// What the soak draws: whole experiments, the same ones from the same seed, and in all of them together every
-// fault.
+// What the soak draws: whole experiments, the same ones from the same seed, and in all of them
+// together every fault.
 #include "soak.h"
 
 #include <gtest/gtest.h>
@@ -37,8 +37,9 @@
     kinds.merge(drawn.kinds);
     most_configured = std::max(most_configured, read_plan(drawn.text, "soak", {}).configured);
   }
-  EXPECT_EQ(kinds, (std::set<std::string>{"calls", "clock", "crash", "discovery-down", "drain", "kill",
-                                          "reload", "remove", "silence", "stall", "syscalls", "unwatch"}));
+  EXPECT_EQ(kinds,
+            (std::set<std::string>{"calls", "clock", "crash", "discovery-down", "drain", "kill",
+                                   "reload", "remove", "silence", "stall", "syscalls", "unwatch"}));
   EXPECT_GT(most_configured, 800);
 }
 
--- a/tests/lab/views_test.cpp
+++ b/tests/lab/views_test.cpp
@@ -6,7 +6,9 @@
 namespace keelflow::lab {
 namespace {
 
-Views::Truth all_well(double at) { return {at, {true, true, true}, std::vector<std::vector<bool>>(3, std::vector<bool>(3, true))}; }
+Views::Truth all_well(double at) {
+  return {at, {true, true, true}, std::vector<std::vector<bool>>(3, std::vector<bool>(3, true))};
+}
 
 TEST(Views, ADeathCountsUntilTheLastKnows) {
   Views views;
@@ -15,8 +17,12 @@
   dead.well[2] = false;
   views.now(dead);
   views.end(30'000);
-  views.read(0, "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n");
-  views.read(1, "time=1970-01-01T00:00:22.500Z level=warning subsystem=fleet event=member member=2 from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n");
+  views.read(0,
+             "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 "
+             "from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n");
+  views.read(1,
+             "time=1970-01-01T00:00:22.500Z level=warning subsystem=fleet event=member member=2 "
+             "from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n");
   EXPECT_DOUBLE_EQ(views.agree_s(), 2.5);
   EXPECT_EQ(views.false_deaths(), 0);
 }
@@ -34,8 +40,11 @@
   Views views;
   views.now(all_well(10'000));
   views.end(30'000);
-  views.read(0, "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n"
-                "time=1970-01-01T00:00:22.000Z level=warning subsystem=fleet event=member member=1 from=alive to=dead incarnation=1 evidence=\"it said that it ends\"\n");
+  views.read(0,
+             "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 "
+             "from=suspect to=dead incarnation=1 evidence=\"no answer to n0\"\n"
+             "time=1970-01-01T00:00:22.000Z level=warning subsystem=fleet event=member member=1 "
+             "from=alive to=dead incarnation=1 evidence=\"it said that it ends\"\n");
   EXPECT_EQ(views.false_deaths(), 1);
   Views cut;
   cut.now(all_well(10'000));
@@ -43,7 +52,9 @@
   deaf.hears[0][2] = false;
   cut.now(deaf);
   cut.end(30'000);
-  cut.read(0, "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 from=suspect to=dead incarnation=1 evidence=x\n");
+  cut.read(0,
+           "time=1970-01-01T00:00:21.000Z level=warning subsystem=fleet event=member member=2 "
+           "from=suspect to=dead incarnation=1 evidence=x\n");
   EXPECT_EQ(cut.false_deaths(), 0);
 }
 
--- a/tests/logic/call_schedule_test.cpp
+++ b/tests/logic/call_schedule_test.cpp
@@ -1,4 +1,5 @@
-// The schedule of calls to discovery, in virtual time: however calls fail, the list is known before the deadline.
+// The schedule of calls to discovery, in virtual time: however calls fail, the list is known before
+// the deadline.
 #include "discovery/call_schedule.h"
 
 #include <gtest/gtest.h>
@@ -16,19 +17,24 @@
 enum class Fault { refused, refused_late, reset, silent };
 constexpr Fault kFaults[] = {Fault::refused, Fault::refused_late, Fault::reset, Fault::silent};
 constexpr Duration kAnswer = 150ms;  // of a call that does not fail
-// In fleets of up to 30 the list is known in time although so many calls fail in any way: a matter of speed. In larger ones it
-// takes longer, and the lease of the list keeps sends back (list_lease_test.cpp).
+// In fleets of up to 30 the list is known in time although so many calls fail in any way: a matter
+// of speed. In larger ones it takes longer, and the lease of the list keeps sends back
+// (list_lease_test.cpp).
 constexpr int kFailuresInARow = 4;
 
 // How long a call lasts that fails so; empty: it never ends by itself.
 std::optional<Duration> lasts(Fault fault) {
-  if (fault == Fault::refused) return 1ms;
-  if (fault == Fault::reset) return 20ms;
-  if (fault == Fault::refused_late) return 1000ms;
+  if (fault == Fault::refused)
+    return 1ms;
+  if (fault == Fault::reset)
+    return 20ms;
+  if (fault == Fault::refused_late)
+    return 1000ms;
   return std::nullopt;
 }
 
-// One process with its calls, which fail in turn as `faults` say; the first one after those brings the list.
+// One process with its calls, which fail in turn as `faults` say; the first one after those brings
+// the list.
 class Caller {
  public:
   Caller(const CallPolicy& policy, unsigned seed) : schedule_(policy), random_(seed) {}
@@ -42,12 +48,16 @@
   std::optional<TimePoint> play(TimePoint now, TimePoint end) {
     for (;;) {
       auto call = schedule_.next_call(open_.size());
-      auto ends = std::min_element(open_.begin(), open_.end(), [](const Call& a, const Call& b) { return a.ends < b.ends; });
-      TimePoint next = std::min(call ? std::max(*call, now) : TimePoint::max(), ends == open_.end() ? TimePoint::max() : ends->ends);
-      if (next > end) return std::nullopt;
+      auto ends = std::min_element(open_.begin(), open_.end(),
+                                   [](const Call& a, const Call& b) { return a.ends < b.ends; });
+      TimePoint next = std::min(call ? std::max(*call, now) : TimePoint::max(),
+                                ends == open_.end() ? TimePoint::max() : ends->ends);
+      if (next > end)
+        return std::nullopt;
       now = next;
       if (ends != open_.end() && ends->ends == now) {
-        if (ends->good) return now;
+        if (ends->good)
+          return now;
         open_.erase(ends);
       } else {
         begin(now);
@@ -62,7 +72,8 @@
   };
 
   void begin(TimePoint now) {
-    if (open_.size() >= schedule_.most_calls()) open_.erase(open_.begin());
+    if (open_.size() >= schedule_.most_calls())
+      open_.erase(open_.begin());
     schedule_.call_began(now, draw());
     ++began_;
     bool good = next_ >= faults_.size();
@@ -80,12 +91,14 @@
 
 std::vector<Fault> drawn(std::mt19937& random, std::size_t count) {
   std::vector<Fault> faults;
-  for (std::size_t i = 0; i < count; ++i) faults.push_back(kFaults[random() % std::size(kFaults)]);
+  for (std::size_t i = 0; i < count; ++i)
+    faults.push_back(kFaults[random() % std::size(kFaults)]);
   return faults;
 }
 
 class CallScheduleTest : public testing::TestWithParam<bool> {};  // lists asked for, and pushed
-INSTANTIATE_TEST_SUITE_P(Lists, CallScheduleTest, testing::Bool(), [](const auto& mode) { return mode.param ? "push" : "ask"; });
+INSTANTIATE_TEST_SUITE_P(Lists, CallScheduleTest, testing::Bool(),
+                         [](const auto& mode) { return mode.param ? "push" : "ask"; });
 
 TEST_P(CallScheduleTest, AWatchThatFallsSilentIsReplacedInTimeHoweverFurtherCallsFail) {
   std::mt19937 random(11);
@@ -148,30 +161,36 @@
   }
 }
 
-// A service that takes 200 ms for a call, serves them in turn, refuses at once who would wait for over a second, and knows
-// one call of each process: a second one gives up the first, which is served in its turn all the same, for nobody.
+// A service that takes 200 ms for a call, serves them in turn, refuses at once who would wait for
+// over a second, and knows one call of each process: a second one gives up the first, which is
+// served in its turn all the same, for nobody.
 class BusyService {
  public:
   static constexpr Duration kServes = 200ms, kMostWait = 1s;
   // False: refused.
   bool take(std::size_t process, TimePoint now) {
     for (Waiting& waiting : queue_)
-      if (waiting.process == process) waiting.given_up = true;
-    if (queue_.size() * kServes >= kMostWait) return false;
-    if (queue_.empty()) begins_ = now;
+      if (waiting.process == process)
+        waiting.given_up = true;
+    if (queue_.size() * kServes >= kMostWait)
+      return false;
+    if (queue_.empty())
+      begins_ = now;
     queue_.push_back({process, false});
     return true;
   }
   // Who is served by now.
   std::optional<std::size_t> serve(TimePoint now) {
-    if (queue_.empty() || begins_ + kServes > now) return std::nullopt;
+    if (queue_.empty() || begins_ + kServes > now)
+      return std::nullopt;
     Waiting first = queue_.front();
     queue_.erase(queue_.begin());
     begins_ = now;
     return first.given_up ? std::nullopt : std::optional(first.process);
   }
   bool waits(std::size_t process) const {
-    return std::any_of(queue_.begin(), queue_.end(), [&](const Waiting& w) { return w.process == process && !w.given_up; });
+    return std::any_of(queue_.begin(), queue_.end(),
+                       [&](const Waiting& w) { return w.process == process && !w.given_up; });
   }
 
  private:
@@ -186,17 +205,24 @@
 TEST(CallSchedule, AServiceWithTooManyCallersServesThemAllSoon) {
   constexpr std::size_t kProcesses = 32;
   std::minstd_rand random(5);
-  auto draw = [&] { return std::uniform_real_distribution<double>()(random); };
+  auto draw = [&] {
+    return std::uniform_real_distribution<double>()(random);
+  };
   BusyService service;
-  std::vector<CallSchedule> schedules(kProcesses, CallSchedule({.pushed = false, .processes = kProcesses}));
+  std::vector<CallSchedule> schedules(kProcesses,
+                                      CallSchedule({.pushed = false, .processes = kProcesses}));
   std::vector<bool> served(kProcesses, false);
   TimePoint start{1h}, now = start;
-  for (auto& schedule : schedules) schedule.watch_lost(start, draw());
-  for (; now < start + 60s && std::find(served.begin(), served.end(), false) != served.end(); now += 1ms) {
-    if (auto process = service.serve(now)) served[*process] = true, schedules[*process].watch_established();
+  for (auto& schedule : schedules)
+    schedule.watch_lost(start, draw());
+  for (; now < start + 60s && std::find(served.begin(), served.end(), false) != served.end();
+       now += 1ms) {
+    if (auto process = service.serve(now))
+      served[*process] = true, schedules[*process].watch_established();
     for (std::size_t i = 0; i < kProcesses; ++i) {
       auto next = schedules[i].next_call(service.waits(i) ? 1 : 0);
-      if (!next || *next > now) continue;
+      if (!next || *next > now)
+        continue;
       schedules[i].call_began(now, draw());
       service.take(i, now);
     }
--- a/tests/logic/list_lease_test.cpp
+++ b/tests/logic/list_lease_test.cpp
@@ -1,5 +1,5 @@
-// The lease of the list, in virtual time: whatever becomes of the calls, at any size of the fleet, nothing is
-// sent by a list once a change that it misses counts as received.
+// The lease of the list, in virtual time: whatever becomes of the calls, at any size of the fleet,
+// nothing is sent by a list once a change that it misses counts as received.
 #include "discovery/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,8 @@
 const TimePoint kStart{1h};
 
 TEST(ListLease, BeforeAnythingIsHeardNothingIsSentByTheListFromBefore) {
-  for (const LeaseTerms& terms : {kAsked, kPushed}) EXPECT_FALSE(ListLease(terms).valid(TimePoint{}));
+  for (const LeaseTerms& terms : {kAsked, kPushed})
+    EXPECT_FALSE(ListLease(terms).valid(TimePoint{}));
 }
 
 TEST(ListLease, RunsOutBeforeAChangeThatIsMissedCounts) {
@@ -95,24 +96,26 @@
 // What becomes of one call.
 enum class Fate { refused_at_once, refused_late, reset, hangs, slow, good };
 
-// One process with its watch, its calls and its lease, in a fleet of a configured size. The watch is lost,
-// calls fail as drawn, and a change is made meanwhile that only a good call brings.
+// One process with its watch, its calls and its lease, in a fleet of a configured size. The watch
+// is lost, calls fail as drawn, and a change is made meanwhile that only a good call brings.
 class Process {
  public:
   Process(const CallPolicy& policy, const LeaseTerms& terms, std::mt19937& random)
       : schedule_(policy), lease_(terms), random_(random) {}
 
-  // Whether at some moment it could send although the change counted. `silent`: the watch falls silent, else
-  // it is closed.
+  // Whether at some moment it could send although the change counted. `silent`: the watch falls
+  // silent, else it is closed.
   bool sends_late(bool silent, std::vector<Fate> fates, TimePoint change, Duration counts_after) {
     TimePoint now = kStart;
     lease_.current_as_of(now);  // the last word of the watch
     TimePoint lost = silent ? now + kHeartbeatTimeout : now;
-    if (!silent) lease_.watch_closed(now);
+    if (!silent)
+      lease_.watch_closed(now);
     schedule_.watch_lost(lost, draw());
     bool knows = false;
     for (; now < kStart + 60s; now += 5ms) {
-      if (!knows && now > std::max(change, kStart) + counts_after + kGrace && lease_.valid(now - kHeldUp))
+      if (!knows && now > std::max(change, kStart) + counts_after + kGrace &&
+          lease_.valid(now - kHeldUp))
         return true;
       knows = play(now, fates) || knows;
     }
@@ -130,17 +133,21 @@
   bool play(TimePoint now, std::vector<Fate>& fates) {
     auto next = schedule_.next_call(calls_.size());
     if (next && *next <= now) {
-      if (calls_.size() >= schedule_.most_calls()) calls_.pop_front();
+      if (calls_.size() >= schedule_.most_calls())
+        calls_.pop_front();
       schedule_.call_began(now, draw());
       Fate fate = fates.empty() ? Fate::good : fates.back();
-      if (!fates.empty()) fates.pop_back();
+      if (!fates.empty())
+        fates.pop_back();
       calls_.push_back({now, now + lasts(fate), fate});
     }
     for (auto call = calls_.begin(); call != calls_.end(); ++call) {
-      if (call->ends > now) continue;
+      if (call->ends > now)
+        continue;
       bool good = call->fate == Fate::good || call->fate == Fate::slow;
       calls_.erase(call);
-      if (!good) return false;
+      if (!good)
+        return false;
       lease_.current_as_of(now);
       schedule_.watch_established();
       return true;
@@ -182,10 +189,12 @@
     bool pushed = run % 2 == 1, silent = random() % 2 == 0;
     Process process({.pushed = pushed, .processes = GetParam()}, pushed ? kPushed : kAsked, random);
     std::vector<Fate> fates(random() % 12);
-    for (Fate& fate : fates) fate = static_cast<Fate>(random() % 5);
+    for (Fate& fate : fates)
+      fate = static_cast<Fate>(random() % 5);
     TimePoint change = kStart + std::chrono::milliseconds(random() % 8000);
     Duration counts_after = pushed && !silent ? Duration::zero() : kListDeadline;
-    ASSERT_FALSE(process.sends_late(silent, std::move(fates), change, counts_after)) << "run " << run;
+    ASSERT_FALSE(process.sends_late(silent, std::move(fates), change, counts_after))
+        << "run " << run;
   }
 }
 
--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -1,5 +1,5 @@
-// Who lives, found out in common: many nodes' memberships on one simulated network, and what each fault does to the sum of
-// their views.
+// Who lives, found out in common: many nodes' memberships on one simulated network, and what each
+// fault does to the sum of their views.
 #include "fleet/membership.h"
 
 #include <gtest/gtest.h>
@@ -14,12 +14,19 @@
 namespace {
 
 TEST(Words, AreReadAsTheyWereWrittenAndNothingElseIsTakenForOne) {
-  Word w{.kind = Word::Kind::ask, .number = 513, .incarnation = 0xfedcba98, .digest = 7, .about = 299, .rumours = {}};
-  for (int i = 0; i < static_cast<int>(kMostRumours); ++i) w.rumours.push_back({i, Life::suspect, 5u + static_cast<unsigned>(i), 298});
+  Word w{.kind = Word::Kind::ask,
+         .number = 513,
+         .incarnation = 0xfedcba98,
+         .digest = 7,
+         .about = 299,
+         .rumours = {}};
+  for (int i = 0; i < static_cast<int>(kMostRumours); ++i)
+    w.rumours.push_back({i, Life::suspect, 5u + static_cast<unsigned>(i), 298});
   std::string bytes = write_word(w);
   EXPECT_LE(bytes.size(), kMostBytes);
   ASSERT_EQ(read_word(bytes), w);
-  for (std::size_t cut = 0; cut < bytes.size(); ++cut) EXPECT_FALSE(read_word(bytes.substr(0, cut)));
+  for (std::size_t cut = 0; cut < bytes.size(); ++cut)
+    EXPECT_FALSE(read_word(bytes.substr(0, cut)));
   EXPECT_FALSE(read_word(bytes + "x"));
   EXPECT_FALSE(read_word("12345678"));  // a note of the release before
   bytes[1] = 2;                         // a later version
@@ -27,8 +34,11 @@
   std::mt19937 random(1);
   for (int i = 0; i < 20'000; ++i) {  // whatever is in it, it is read or passed over
     std::string noise(random() % 300, 'x');
-    for (char& c : noise) c = static_cast<char>(random());
-    if (noise.size() > 4) noise[0] = '\xfe', noise[1] = 1, noise[2] = static_cast<char>(random() % 6), noise[3] = static_cast<char>(random() % 28);
+    for (char& c : noise)
+      c = static_cast<char>(random());
+    if (noise.size() > 4)
+      noise[0] = '\xfe', noise[1] = 1, noise[2] = static_cast<char>(random() % 6),
+      noise[3] = static_cast<char>(random() % 28);
     if (auto read = read_word(noise)) {
       EXPECT_EQ(write_word(*read), noise);
     }
@@ -36,8 +46,10 @@
 }
 
 struct Tier {
-  explicit Tier(int count, unsigned seed = 1, double share_lost = 0) : nodes(static_cast<std::size_t>(count)), loss(share_lost), random(seed) {
-    for (int i = 0; i < count; ++i) start(i);
+  explicit Tier(int count, unsigned seed = 1, double share_lost = 0)
+      : nodes(static_cast<std::size_t>(count)), loss(share_lost), random(seed) {
+    for (int i = 0; i < count; ++i)
+      start(i);
   }
   struct Node {
     std::unique_ptr<Membership> membership;  // null: dead
@@ -52,7 +64,8 @@
 
   void start(int i) {
     Membership::Settings s{.members = static_cast<int>(nodes.size()), .self = i};
-    nodes[at(i)].membership = std::make_unique<Membership>(s, now, static_cast<std::uint32_t>(1000 + now));
+    nodes[at(i)].membership =
+        std::make_unique<Membership>(s, now, static_cast<std::uint32_t>(1000 + now));
     nodes[at(i)].unread.clear();
   }
   void kill(int i) { nodes[at(i)].membership.reset(); }
@@ -63,20 +76,26 @@
       while (!on_way.empty() && on_way.begin()->first <= now) {
         auto [to, from, bytes] = on_way.begin()->second;
         on_way.erase(on_way.begin());
-        if (nodes[at(to)].membership) nodes[at(to)].unread.emplace_back(from, bytes);
+        if (nodes[at(to)].membership)
+          nodes[at(to)].unread.emplace_back(from, bytes);
       }
       for (int i = 0; i < static_cast<int>(nodes.size()); ++i) {
         Node& n = nodes[at(i)];
-        if (!n.membership || now < n.stalled_until) continue;
+        if (!n.membership || now < n.stalled_until)
+          continue;
         Membership::Output out;
-        for (auto& [from, bytes] : std::exchange(n.unread, {})) n.membership->hear(now, from, bytes, out);
+        for (auto& [from, bytes] : std::exchange(n.unread, {}))
+          n.membership->hear(now, from, bytes, out);
         if (now >= n.membership->next()) {
           n.membership->tick(now, out);
           EXPECT_GT(n.membership->next(), now) << "it wants to be called for ever";
         }
         carry(i, out);
-        for (int to = 0; notes && static_cast<int>(now / 5) % 20 == i % 20 && to < static_cast<int>(nodes.size()); ++to)
-          if (to != i && std::generate_canonical<double, 32>(random) >= loss) on_way.emplace(now + 3, std::tuple(to, i, std::string("12345678")));
+        for (int to = 0; notes && static_cast<int>(now / 5) % 20 == i % 20 &&
+                         to < static_cast<int>(nodes.size());
+             ++to)
+          if (to != i && std::generate_canonical<double, 32>(random) >= loss)
+            on_way.emplace(now + 3, std::tuple(to, i, std::string("12345678")));
       }
     }
   }
@@ -85,40 +104,52 @@
       EXPECT_LE(l.bytes.size(), kMostBytes);
       EXPECT_NE(l.to, from);
       ++letters;
-      if (cut && cut(from, l.to)) continue;
+      if (cut && cut(from, l.to))
+        continue;
       for (int copies = doubled && random() % 3 == 0 ? 2 : 1; copies > 0; --copies)
-        if (std::generate_canonical<double, 32>(random) >= loss) on_way.emplace(now + 1 + static_cast<Time>(random() % 12), std::tuple(l.to, from, l.bytes));
+        if (std::generate_canonical<double, 32>(random) >= loss)
+          on_way.emplace(now + 1 + static_cast<Time>(random() % 12),
+                         std::tuple(l.to, from, l.bytes));
     }
     for (const auto& c : out.changes)
-      if (c.to == Life::dead || c.from == Life::dead) events.push_back({now, from, from, c.member, c.to});
+      if (c.to == Life::dead || c.from == Life::dead)
+        events.push_back({now, from, from, c.member, c.to});
   }
   // Whether all nodes of `among` hold exactly `living` for living.
   bool agree(const std::vector<int>& among, const std::vector<int>& living) const {
     for (int i : among)
       for (int m = 0; m < static_cast<int>(nodes.size()); ++m)
-        if (m != i && nodes[at(i)].membership->lives(m) != (std::find(living.begin(), living.end(), m) != living.end())) return false;
+        if (m != i && nodes[at(i)].membership->lives(m) !=
+                          (std::find(living.begin(), living.end(), m) != living.end()))
+          return false;
     return true;
   }
   std::vector<int> all_but(const std::vector<int>& gone) const {
     std::vector<int> out;
     for (int i = 0; i < static_cast<int>(nodes.size()); ++i)
-      if (std::find(gone.begin(), gone.end(), i) == gone.end()) out.push_back(i);
+      if (std::find(gone.begin(), gone.end(), i) == gone.end())
+        out.push_back(i);
     return out;
   }
   // Until they agree; the time it took, or -1.
-  Time until_agreed(const std::vector<int>& among, const std::vector<int>& living, Time most = 20'000) {
+  Time until_agreed(const std::vector<int>& among, const std::vector<int>& living,
+                    Time most = 20'000) {
     Time from = now;
     while (now < from + most) {
-      if (agree(among, living)) return now - from;
+      if (agree(among, living))
+        return now - from;
       run(10);
     }
     return -1;
   }
   int deaths_of(int member) const {
-    return static_cast<int>(std::count_if(events.begin(), events.end(), [&](const Event& e) { return e.to == member && e.life == Life::dead; }));
+    return static_cast<int>(std::count_if(events.begin(), events.end(), [&](const Event& e) {
+      return e.to == member && e.life == Life::dead;
+    }));
   }
   int deaths() const {
-    return static_cast<int>(std::count_if(events.begin(), events.end(), [](const Event& e) { return e.life == Life::dead; }));
+    return static_cast<int>(std::count_if(events.begin(), events.end(),
+                                          [](const Event& e) { return e.life == Life::dead; }));
   }
   static std::size_t at(int i) { return static_cast<std::size_t>(i); }
 
@@ -156,7 +187,14 @@
         EXPECT_TRUE(tier.agree(tier.all_but({victim}), tier.all_but({victim})) || loss > 0);
         wrong += tier.deaths() - tier.deaths_of(victim);
       }
-      std::printf("%2d nodes, %2.0f %% lost: p50 %4.0f p99 %4.0f ms, %d false deaths\n", count, 100 * loss, [&] { auto t = took; std::sort(t.begin(), t.end()); return t[t.size() / 2]; }(), p99(took), wrong);
+      std::printf(
+          "%2d nodes, %2.0f %% lost: p50 %4.0f p99 %4.0f ms, %d false deaths\n", count, 100 * loss,
+          [&] {
+            auto t = took;
+            std::sort(t.begin(), t.end());
+            return t[t.size() / 2];
+          }(),
+          p99(took), wrong);
       EXPECT_LT(p99(took), 2000) << count << " nodes, loss " << loss;
       EXPECT_EQ(wrong, 0) << count << " nodes, loss " << loss;
     }
@@ -167,7 +205,8 @@
     Tier tier(count);
     tier.run(600'000);
     EXPECT_TRUE(tier.events.empty());
-    for (const auto& n : tier.nodes) EXPECT_EQ(n.membership->figures().accusations, 0u);
+    for (const auto& n : tier.nodes)
+      EXPECT_EQ(n.membership->figures().accusations, 0u);
     double rate = static_cast<double>(tier.letters) / count / 600;
     EXPECT_LT(rate, 9) << "words a second and node";  // four looks and as many answers
   }
@@ -211,7 +250,8 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     Tier tier(4, seed);
     tier.run(3000 + seed * 31);
-    for (int i : {0, 1, 3}) tier.kill(i);
+    for (int i : {0, 1, 3})
+      tier.kill(i);
     Time took = tier.until_agreed({2}, {2});
     EXPECT_GE(took, 0);
     EXPECT_LT(took, 3000) << seed;
@@ -250,12 +290,16 @@
   for (int deaf : {1, 5, 15}) {  // of sixteen: one, a third, all but one
     Tier tier(16);
     tier.run(3000);
-    tier.cut = [&](int, int to) { return to < deaf; };
+    tier.cut = [&](int, int to) {
+      return to < deaf;
+    };
     tier.run(10'000);
     std::map<std::pair<int, int>, int> buried;  // by whom, who
     for (const auto& e : tier.events) {
-      if (e.node < deaf) continue;
-      EXPECT_LT(e.to, deaf) << "n" << e.node << " heard the others and took the word of a deaf one on n" << e.to;
+      if (e.node < deaf)
+        continue;
+      EXPECT_LT(e.to, deaf) << "n" << e.node
+                            << " heard the others and took the word of a deaf one on n" << e.to;
       int& times = buried[std::pair(e.node, e.to)];
       EXPECT_LE(times += e.life == Life::dead, 1) << "it flaps";
     }
@@ -271,9 +315,12 @@
     for (unsigned seed = 1; seed <= 5; ++seed) {
       Tier tier(16, seed);
       tier.run(3000 + seed * 37);
-      tier.cut = [&](int from, int to) { return (from < half) != (to < half); };
+      tier.cut = [&](int from, int to) {
+        return (from < half) != (to < half);
+      };
       std::vector<int> one, other;
-      for (int i = 0; i < 16; ++i) (i < half ? one : other).push_back(i);
+      for (int i = 0; i < 16; ++i)
+        (i < half ? one : other).push_back(i);
       EXPECT_GE(tier.until_agreed(other, other), 0);
       EXPECT_GE(tier.until_agreed(one, one), 0);
       tier.run(5000);
@@ -304,11 +351,19 @@
 // One membership alone, with all it hears given by hand.
 struct Alone {
   Alone() : node({.members = 8, .self = 0}, now, 1000) {
-    for (int from = 1; from < 8; ++from) word(from, {});
+    for (int from = 1; from < 8; ++from)
+      word(from, {});
   }
   void word(int from, std::vector<Rumour> rumours) {
     Membership::Output out;
-    node.hear(now, from, write_word({.kind = Word::Kind::tell, .number = 0, .incarnation = 1000, .digest = 0, .about = from, .rumours = std::move(rumours)}), out);
+    node.hear(now, from,
+              write_word({.kind = Word::Kind::tell,
+                          .number = 0,
+                          .incarnation = 1000,
+                          .digest = 0,
+                          .about = from,
+                          .rumours = std::move(rumours)}),
+              out);
   }
   void note(int from) {
     Membership::Output out;
@@ -317,7 +372,8 @@
   void silence(Time span) {
     Membership::Output out;
     Time until = now + span;
-    while (node.next() < until) node.tick(now = std::max(now, node.next()), out);
+    while (node.next() < until)
+      node.tick(now = std::max(now, node.next()), out);
     now = until;
   }
   Time now = 1'000'000;
@@ -346,8 +402,12 @@
   Alone a;
   a.now += 10;
   a.word(1, {{2, Life::dead, 1000, 2}});  // 2 says that it ends
-  a.word(1, {{3, Life::suspect, 1000, 1}, {3, Life::suspect, 1000, 4}, {3, Life::suspect, 1000, 5}, {3, Life::suspect, 1000, 6}});
-  for (int i = 0; i < 40; ++i) a.silence(40), a.word(1, {}), a.word(4, {});
+  a.word(1, {{3, Life::suspect, 1000, 1},
+             {3, Life::suspect, 1000, 4},
+             {3, Life::suspect, 1000, 5},
+             {3, Life::suspect, 1000, 6}});
+  for (int i = 0; i < 40; ++i)
+    a.silence(40), a.word(1, {}), a.word(4, {});
   ASSERT_EQ(a.node.at(3).life, Life::dead);
   a.now += 1500;
   a.note(2);
@@ -361,12 +421,14 @@
   tier.run(3000);
   std::vector<int> gone;
   for (int i = 0; i < 300; ++i)
-    if (i % 10 < 7) gone.push_back(i), tier.kill(i);
+    if (i % 10 < 7)
+      gone.push_back(i), tier.kill(i);
   Time took = tier.until_agreed(tier.all_but(gone), tier.all_but(gone));
   std::printf("210 of 300 die: known to all after %.0f ms\n", took);
   EXPECT_GE(took, 0);
   EXPECT_EQ(tier.deaths(), 90 * 210);
-  for (int i : gone) tier.start(i);
+  for (int i : gone)
+    tier.start(i);
   Time back = tier.until_agreed(tier.all_but({}), tier.all_but({}));
   std::printf("210 start again: known to all after %.0f ms\n", back);
   EXPECT_GE(back, 0);
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -20,9 +20,12 @@
 
 const PoolView kFine{.ready = 10, .warm = 10, .draining = 0, .capacity = 10};
 
-// A route's traffic while a move is under way: requests a second, and how likely each pool is to serve in time.
+// A route's traffic while a move is under way: requests a second, and how likely each pool is to
+// serve in time.
 struct World {
-  explicit World(MoveSpec s, unsigned seed = 1) : move(std::move(s)), random(seed) { move.pools(kFine, kFine, now); }
+  explicit World(MoveSpec s, unsigned seed = 1) : move(std::move(s)), random(seed) {
+    move.pools(kFine, kFine, now);
+  }
 
   void run(double seconds) {
     for (double until = now + 1000 * seconds; now < until;) {
@@ -35,7 +38,8 @@
         move.answered(arm, 1, uniform(random) < good ? 1 : 0, now, now);
       }
       move.tick(now);
-      if (move.state() == State::undone || move.state() == State::done) return;
+      if (move.state() == State::undone || move.state() == State::done)
+        return;
     }
   }
 
@@ -59,7 +63,8 @@
   World world(spec());
   world.move.start(world.now);
   double most = 0;
-  while (world.move.state() == State::running) most = std::max(most, world.move.share()), world.run(1);
+  while (world.move.state() == State::running)
+    most = std::max(most, world.move.share()), world.run(1);
   EXPECT_DOUBLE_EQ(most, 0.95);
 }
 
@@ -92,7 +97,8 @@
     slow.least_ms = 30'000;  // it stays at one half for as long as this lasts
     World world(slow);
     world.move.start(world.now);
-    while (world.move.step() < 1) world.run(1);
+    while (world.move.step() < 1)
+      world.run(1);
     world.run(3);
     PoolView to = kFine;
     to.capacity = capacity_new;
@@ -116,7 +122,8 @@
   slow.least_ms = 30'000;
   World world(slow);
   world.move.start(world.now);
-  while (world.move.step() < 1) world.run(1);
+  while (world.move.step() < 1)
+    world.run(1);
   PoolView small = kFine;
   small.capacity = 5;
   world.move.pools(kFine, small, world.now);
@@ -138,8 +145,10 @@
     slow.least_ms = 30'000;
     World world(slow);
     auto also = [&](double rate, double seconds) {  // requests of another route to the new pool
-      for (double end = world.now + 1000 * seconds; world.now < end && world.move.state() != State::undone;) {
-        for (int i = 0; i < rate / 10; ++i) world.move.arrived(Arm::trial, false, world.now);
+      for (double end = world.now + 1000 * seconds;
+           world.now < end && world.move.state() != State::undone;) {
+        for (int i = 0; i < rate / 10; ++i)
+          world.move.arrived(Arm::trial, false, world.now);
         world.run(0.1);
       }
     };
@@ -158,7 +167,8 @@
 TEST(Move, APoolTooSmallForItsShareIsAGroundWithoutAJump) {
   World world(spec());
   world.move.start(world.now);
-  while (world.move.step() < 1) world.run(1);
+  while (world.move.step() < 1)
+    world.run(1);
   world.move.pools(kFine, {.ready = 2, .warm = 2, .draining = 0, .capacity = 2}, world.now);
   world.in_time_new = 0.7;
   world.run(60);
@@ -230,7 +240,8 @@
 TEST(Move, NewStepsAreTakenUpWhereTheOldOnesStood) {
   World world(spec());
   world.move.start(world.now);
-  while (world.move.step() < 1) world.run(1);
+  while (world.move.step() < 1)
+    world.run(1);
   MoveSpec other = spec();
   other.steps = {20, 40, 60, 100};
   world.move.respec(other, world.now);
@@ -277,7 +288,8 @@
   EXPECT_EQ(faults(s).size(), 4u);
 }
 
-// Answers that hang together in time (an outage of both pools, second by second) must not count as independent.
+// Answers that hang together in time (an outage of both pools, second by second) must not count as
+// independent.
 TEST(Comparison, AnswersThatHangTogetherDoNotRaiseFalseAlarms) {
   int alarms = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
@@ -290,7 +302,8 @@
       bool bad_old = uniform(random) < 0.1, bad_new = uniform(random) < 0.1;
       for (int i = 0; i < 40; ++i) {
         bool trial = i % 4 == 0;
-        comparison.add(trial ? Arm::trial : Arm::control, 1, (trial ? bad_new : bad_old) ? 0 : 1, 1000.0 * second + i);
+        comparison.add(trial ? Arm::trial : Arm::control, 1, (trial ? bad_new : bad_old) ? 0 : 1,
+                       1000.0 * second + i);
       }
       called = called || (second > 8 && comparison.worse(comparison.estimate()));
     }
@@ -300,8 +313,9 @@
 }
 
 // Seconds that are bad for one pool alone, rarely: a move of an equal pool must outlast them.
-// Seven seconds of two equal pools, but for one second in which all that the new one answers is late: as independent
-// answers that is far more than chance, and there are too few seconds yet to see that its answers hang together.
+// Seven seconds of two equal pools, but for one second in which all that the new one answers is
+// late: as independent answers that is far more than chance, and there are too few seconds yet to
+// see that its answers hang together.
 TEST(Comparison, ABadMomentOfTheNewPoolIsNotABadPool) {
   int alarms = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
@@ -310,7 +324,8 @@
     Comparison comparison({});
     bool called = false;
     for (int i = 0; i < 2800; ++i) {
-      bool trial = i % 4 == 0, good = uniform(random) < 0.97 && !(trial && i / 400 == static_cast<int>(seed % 6));
+      bool trial = i % 4 == 0,
+           good = uniform(random) < 0.97 && !(trial && i / 400 == static_cast<int>(seed % 6));
       comparison.add(trial ? Arm::trial : Arm::control, 1, good ? 1 : 0, 2.5 * i);
       called = called || comparison.worse(comparison.estimate());
     }
@@ -328,7 +343,8 @@
     int jumps = 0;
     std::poisson_distribution<int> count(rate);
     for (int i = 0; i < seconds; ++i, now += 1000) {
-      for (int n = count(random); n > 0; --n) watch.arrived(now);
+      for (int n = count(random); n > 0; --n)
+        watch.arrived(now);
       watch.advance(now + 1000);
       jumps += watch.jump();
     }
@@ -348,7 +364,8 @@
     int jumps = 0;
     for (int second = 0; second < 40; ++second) {
       std::poisson_distribution<int> count(second < 10 ? 100 : 240);
-      for (int n = count(random); n > 0; --n) watch.arrived(1000.0 * second);
+      for (int n = count(random); n > 0; --n)
+        watch.arrived(1000.0 * second);
       watch.advance(1000.0 * (second + 1));
       jumps += watch.jump();
     }
--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -23,12 +23,29 @@
 TEST(OperationGuard, ASendIsForbiddenByEachOfItsFacts) {
   EXPECT_TRUE(may_send(kSend).allowed());
   const std::vector<std::pair<Reason, std::function<void(SendFacts&)>>> faults = {
-      {Reason::list_lease_expired, [](SendFacts& f) { f.list_lease_valid = false; }},
-      {Reason::endpoint_not_ready, [](SendFacts& f) { f.endpoint_ready = false; }},
-      {Reason::endpoint_moved, [](SendFacts& f) { f.same_address = false; }},
-      {Reason::client_gone, [](SendFacts& f) { f.client_waits = false; }},
-      {Reason::window_over, [](SendFacts& f) { f.in_window = false; }},
-      {Reason::deadline_passed, [](SendFacts& f) { f.time_left = 0ms; }}};
+      {Reason::list_lease_expired,
+       [](SendFacts& f) {
+         f.list_lease_valid = false;
+       }},
+      {Reason::endpoint_not_ready,
+       [](SendFacts& f) {
+         f.endpoint_ready = false;
+       }},
+      {Reason::endpoint_moved,
+       [](SendFacts& f) {
+         f.same_address = false;
+       }},
+      {Reason::client_gone,
+       [](SendFacts& f) {
+         f.client_waits = false;
+       }},
+      {Reason::window_over,
+       [](SendFacts& f) {
+         f.in_window = false;
+       }},
+      {Reason::deadline_passed, [](SendFacts& f) {
+         f.time_left = 0ms;
+       }}};
   for (const auto& [reason, spoil] : faults) {
     SendFacts facts = kSend;
     spoil(facts);
@@ -51,7 +68,8 @@
                       .in_window = true};
     EXPECT_EQ(may_repeat(facts).reason(), Reason::may_have_run);
   }
-  EXPECT_TRUE(may_repeat({.effect = Effect::unsafe, .in_window = true}).allowed()) << "it never ran";
+  EXPECT_TRUE(may_repeat({.effect = Effect::unsafe, .in_window = true}).allowed())
+      << "it never ran";
 }
 
 TEST(OperationGuard, KeyedWorkIsRepeatedWithinItsWindowAlone) {
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -15,7 +15,8 @@
 
 constexpr double kLater = 12345;
 
-WorkerList list(ListScope scope, std::vector<std::pair<reedlb::WorkerId, WorkerState>> workers, double born = 0) {
+WorkerList list(ListScope scope, std::vector<std::pair<reedlb::WorkerId, WorkerState>> workers,
+                double born = 0) {
   WorkerList out{.scope = scope, .entries = {}};
   for (auto [worker, state] : workers) {
     WorkerEntry entry;
@@ -27,7 +28,8 @@
 
 WorkerState told(const WorkerList& all, reedlb::WorkerId worker) {
   for (const WorkerEntry& entry : all.entries)
-    if (entry.worker == worker) return entry.state;
+    if (entry.worker == worker)
+      return entry.state;
   return WorkerState::gone;
 }
 
@@ -38,10 +40,13 @@
   ASSERT_TRUE(out);
   EXPECT_EQ(told(*out, 1), WorkerState::draining);
   EXPECT_FALSE(hand.out(1, "one"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::gone}})), 1), WorkerState::gone);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::gone}})), 1),
+            WorkerState::gone);
   EXPECT_EQ(hand.listed(), 1u);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::ready}}, kLater)), 1), WorkerState::draining);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{1, WorkerState::ready}}, kLater)), 1), WorkerState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::ready}}, kLater)), 1),
+            WorkerState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{1, WorkerState::ready}}, kLater)), 1),
+            WorkerState::draining);
   auto back = hand.back(1);
   ASSERT_TRUE(back);
   EXPECT_EQ(told(*back, 1), WorkerState::ready);
@@ -49,7 +54,8 @@
   EXPECT_FALSE(hand.back(1));
 }
 
-// Anything but a list from memory tells the module that discovery has answered: it would stop asking.
+// Anything but a list from memory tells the module that discovery has answered: it would stop
+// asking.
 TEST(ByHand, IsNoWordOfDiscoverys) {
   ByHand hand;
   hand.laid_over(list(ListScope::cached, {{1, WorkerState::ready}, {2, WorkerState::ready}}));
@@ -64,13 +70,17 @@
 TEST(ByHand, OneThatIsNotListedYetIsOutWhenItComes) {
   ByHand hand;
   EXPECT_FALSE(hand.out(7, "seven"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{7, WorkerState::ready}})), 7), WorkerState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{7, WorkerState::ready}})), 7),
+            WorkerState::draining);
   EXPECT_EQ(hand.hosts(), std::vector<std::string>{"seven"});
 }
 
 TEST(ByHand, EachUnavailableOneCountsOnce) {
   ByHand hand;
-  hand.laid_over(list(ListScope::full, {{1, WorkerState::ready}, {2, WorkerState::draining}, {3, WorkerState::ready}, {4, WorkerState::ready}}));
+  hand.laid_over(list(ListScope::full, {{1, WorkerState::ready},
+                                        {2, WorkerState::draining},
+                                        {3, WorkerState::ready},
+                                        {4, WorkerState::ready}}));
   hand.out(1, "one");
   hand.out(2, "two");
   hand.out(9, "not listed");
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -13,11 +13,15 @@
 
 using reedlb::Effect;
 
-Said said(Verdict v) { return {.spoke = true, .fallback = Fallback::allow, .verdict = std::move(v)}; }
+Said said(Verdict v) {
+  return {.spoke = true, .fallback = Fallback::allow, .verdict = std::move(v)};
+}
 const Subject kSafe{.effect = Effect::safe, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
 
 TEST(Verdict, OneRefusalIsEnoughAndTheLongestTimeToComeBackCounts) {
-  auto all = combine({said({}), said({.refuse = true, .come_back_ms = 500}), said({.refuse = true, .come_back_ms = 900}), said({.hold_ms = 5})}, kSafe, {});
+  auto all = combine({said({}), said({.refuse = true, .come_back_ms = 500}),
+                      said({.refuse = true, .come_back_ms = 900}), said({.hold_ms = 5})},
+                     kSafe, {});
   EXPECT_TRUE(all.verdict.refuse);
   EXPECT_EQ(all.refused_by, 1);
   EXPECT_EQ(all.verdict.come_back_ms, 900);
@@ -25,8 +29,11 @@
 }
 
 TEST(Verdict, WhoDoesNotSpeakCountsByItsFallback) {
-  EXPECT_FALSE(combine({{.spoke = false, .fallback = Fallback::allow, .verdict = {.refuse = true}}}, kSafe, {}).verdict.refuse);
-  auto refused = combine({said({}), {.spoke = false, .fallback = Fallback::refuse, .verdict = {}}}, kSafe, {});
+  EXPECT_FALSE(combine({{.spoke = false, .fallback = Fallback::allow, .verdict = {.refuse = true}}},
+                       kSafe, {})
+                   .verdict.refuse);
+  auto refused =
+      combine({said({}), {.spoke = false, .fallback = Fallback::refuse, .verdict = {}}}, kSafe, {});
   EXPECT_TRUE(refused.verdict.refuse);
   EXPECT_EQ(refused.refused_by, 1);
   EXPECT_EQ(refused.verdict.come_back_ms, Bounds{}.fallback_come_back_ms);
@@ -38,7 +45,8 @@
   EXPECT_EQ(all.held_by, 1);
   EXPECT_FALSE(all.hold_cut);
   all = combine({said({.hold_ms = 60'000})}, kSafe, {.most_hold_ms = 5000});
-  EXPECT_EQ(all.verdict.hold_ms, 2000) << "what is left of its patience beside what the module needs";
+  EXPECT_EQ(all.verdict.hold_ms, 2000)
+      << "what is left of its patience beside what the module needs";
   EXPECT_TRUE(all.hold_cut);
   EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.most_hold_ms = 50}).verdict.hold_ms, 50);
   Subject late = kSafe;
@@ -59,7 +67,8 @@
 }
 
 TEST(Verdict, WeightsMultiplyWithinBoundsAndTheFirstLabelCounts) {
-  auto all = combine({said({.weigh = 2}), said({.weigh = 3, .label = "a"}), said({.label = "b"})}, kSafe, {});
+  auto all = combine({said({.weigh = 2}), said({.weigh = 3, .label = "a"}), said({.label = "b"})},
+                     kSafe, {});
   EXPECT_EQ(all.verdict.weigh, 6);
   EXPECT_EQ(all.verdict.label, "a");
   EXPECT_EQ(combine({said({.weigh = 1e9})}, kSafe, {}).verdict.weigh, 16);
@@ -67,18 +76,21 @@
 }
 
 TEST(Verdict, WhatIsNoSaneNumberCountsAsNotSaid) {
-  for (double odd : {std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity(), -1.0, -0.0}) {
+  for (double odd : {std::numeric_limits<double>::quiet_NaN(),
+                     std::numeric_limits<double>::infinity(), -1.0, -0.0}) {
     auto all = combine({said({.come_back_ms = odd, .hold_ms = odd, .weigh = odd})}, kSafe, {});
     EXPECT_EQ(all.verdict.hold_ms, 0) << odd;
     EXPECT_EQ(all.verdict.weigh, 1) << odd;
     EXPECT_EQ(all.verdict.come_back_ms, 0) << odd;
   }
-  auto shape = combine({Shape{.has_share = true, .label = {}, .share = std::nan("")}, Shape{.has_share = true, .label = {}, .share = 7}});
+  auto shape = combine({Shape{.has_share = true, .label = {}, .share = std::nan("")},
+                        Shape{.has_share = true, .label = {}, .share = 7}});
   EXPECT_EQ(shape.share, 1);
 }
 
 TEST(Shape, OneDropIsEnoughAndTheFirstWordCounts) {
-  auto shape = combine({Shape{}, Shape{.has_label = true, .label = "a"}, Shape{.drop = true, .has_label = true, .label = "b"}});
+  auto shape = combine({Shape{}, Shape{.has_label = true, .label = "a"},
+                        Shape{.drop = true, .has_label = true, .label = "b"}});
   EXPECT_TRUE(shape.drop);
   EXPECT_EQ(shape.label, "a");
 }
@@ -101,8 +113,10 @@
   std::mt19937 random(7);
   Holds holds(1000, 1 << 20);
   std::vector<double> ends(200);
-  for (Holds::Id id = 0; id < 200; ++id) holds.add(id, 10, ends[id] = random() % 1000);
-  for (Holds::Id id = 0; id < 200; id += 3) EXPECT_TRUE(holds.remove(id));
+  for (Holds::Id id = 0; id < 200; ++id)
+    holds.add(id, 10, ends[id] = random() % 1000);
+  for (Holds::Id id = 0; id < 200; id += 3)
+    EXPECT_TRUE(holds.remove(id));
   EXPECT_FALSE(holds.remove(0));
   double last = 0;
   std::size_t count = 0;
@@ -120,7 +134,8 @@
 
 TEST(Holds, OtherBoundsLetTheOldestGo) {
   Holds holds(10, 1000);
-  for (Holds::Id id = 1; id <= 5; ++id) holds.add(id, 10, 100);
+  for (Holds::Id id = 1; id <= 5; ++id)
+    holds.add(id, 10, 100);
   EXPECT_EQ(holds.bound(3, 1000), (std::vector<Holds::Id>{1, 2}));
   EXPECT_EQ(holds.all(), (std::vector<Holds::Id>{3, 4, 5}));
   EXPECT_EQ(holds.add(6, 10, 100), (std::vector<Holds::Id>{})) << "there is room again";
@@ -135,12 +150,14 @@
 
 TEST(Breaker, StrikesWithinTheirWindowOpenIt) {
   Breaker breaker(steady(), 1);
-  for (int i = 0; i < 4; ++i) EXPECT_FALSE(breaker.strike(i));
+  for (int i = 0; i < 4; ++i)
+    EXPECT_FALSE(breaker.strike(i));
   EXPECT_TRUE(breaker.strike(5));
   EXPECT_EQ(breaker.state(), Breaker::State::open);
   EXPECT_FALSE(breaker.asks());
   Breaker patient(steady(), 1);
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(patient.strike(i * 2501.0)) << "five in more than the window";
+  for (int i = 0; i < 100; ++i)
+    EXPECT_FALSE(patient.strike(i * 2501.0)) << "five in more than the window";
 }
 
 TEST(Breaker, TheBackOffGrowsToItsMostAndThenItIsOut) {
@@ -171,7 +188,8 @@
     breaker.good(260 + i);
   }
   EXPECT_EQ(breaker.state(), Breaker::State::closed);
-  for (int i = 0; i < 5; ++i) breaker.strike(300 + i);
+  for (int i = 0; i < 5; ++i)
+    breaker.strike(300 + i);
   EXPECT_EQ(breaker.until(), 304 + 500) << "not calm for long enough: the back-off goes on growing";
   ASSERT_TRUE(breaker.begin_trial(804));
   breaker.asked();
@@ -186,7 +204,8 @@
   Breaker breaker(steady(), 1);
   breaker.died(0);
   breaker.begin_trial(250);
-  for (int i = 0; i < 3; ++i) breaker.good(300);
+  for (int i = 0; i < 3; ++i)
+    breaker.good(300);
   breaker.died(300 + 30'001);
   EXPECT_EQ(breaker.until(), 300 + 30'001 + 250);
 }
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -16,7 +16,8 @@
 using reedlb::WorkerState;
 
 constexpr double kCold = 20'000, kRest = 2'000;
-const NameLists kNames{{"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
+const NameLists kNames{
+    {"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
 
 std::vector<reedlb::ClassSettings> classes() {
   std::vector<reedlb::ClassSettings> out(3);
@@ -36,17 +37,21 @@
 struct Fleet {
   std::map<reedlb::WorkerId, std::string> names;
   WorkerList list;
-  Fleet& add(reedlb::WorkerId id, std::string name, double born = 0, WorkerState state = WorkerState::ready) {
+  Fleet& add(reedlb::WorkerId id, std::string name, double born = 0,
+             WorkerState state = WorkerState::ready) {
     names[id] = std::move(name);
     list.entries.push_back({id, 0, 0, 0, state, 1, born});
     return *this;
   }
   Router::Lists tell(Router& router, double now) {
-    return router.split(list, [this](reedlb::WorkerId id) { return std::string_view(names[id]); }, now);
+    return router.split(
+        list, [this](reedlb::WorkerId id) { return std::string_view(names[id]); }, now);
   }
 };
 
-Router make(Spec spec) { return Router(std::move(spec), kNames, classes(), {kCold, kRest}); }
+Router make(Spec spec) {
+  return Router(std::move(spec), kNames, classes(), {kCold, kRest});
+}
 
 Query query(std::uint64_t object, int cls = 0) {
   Query q;
@@ -60,28 +65,36 @@
   for (const auto& [told, list] : lists)
     if (told == pool)
       for (const auto& entry : list.entries)
-        if (entry.worker == worker) return &entry;
+        if (entry.worker == worker)
+          return &entry;
   return nullptr;
 }
 
 TEST(Router, AnEndpointBelongsToTheFirstPoolThatFitsIt) {
   Spec spec;
-  spec.pools = {{"both", {"east"}, {"fast"}, {}, {}}, {"blocks", {}, {}, {}, {3, 4}}, {"hosts", {}, {}, {"n-", "m-"}, {}}};
+  spec.pools = {{"both", {"east"}, {"fast"}, {}, {}},
+                {"blocks", {}, {}, {}, {3, 4}},
+                {"hosts", {}, {}, {"n-", "m-"}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"both", 1}}, false}};
   Router router = make(spec);
   std::map<reedlb::WorkerId, std::string> names{{1, "a"}, {2, "a"}, {3, "m-1"}, {4, "a"}};
   WorkerList list;
-  list.entries = {{1, 0, 0, 3, WorkerState::ready, 1, 0}, {2, 0, 1, 3, WorkerState::ready, 1, 0},
-                  {3, 1, 1, 9, WorkerState::ready, 1, 0}, {4, 1, 0, 9, WorkerState::ready, 1, 0}};
-  auto told = router.split(list, [&](reedlb::WorkerId id) { return std::string_view(names[id]); }, 1000);
+  list.entries = {{1, 0, 0, 3, WorkerState::ready, 1, 0},
+                  {2, 0, 1, 3, WorkerState::ready, 1, 0},
+                  {3, 1, 1, 9, WorkerState::ready, 1, 0},
+                  {4, 1, 0, 9, WorkerState::ready, 1, 0}};
+  auto told = router.split(
+      list, [&](reedlb::WorkerId id) { return std::string_view(names[id]); }, 1000);
   EXPECT_TRUE(find(told, 0, 1));
   EXPECT_TRUE(find(told, 1, 2));
   EXPECT_TRUE(find(told, 2, 3));
   EXPECT_EQ(router.unassigned(), 1);
   std::map<reedlb::WorkerId, int> count;
   for (const auto& [pool, part] : told)
-    for (const auto& entry : part.entries) ++count[entry.worker];
-  for (const auto& [worker, times] : count) EXPECT_EQ(times, 1) << worker;
+    for (const auto& entry : part.entries)
+      ++count[entry.worker];
+  for (const auto& [worker, times] : count)
+    EXPECT_EQ(times, 1) << worker;
 }
 
 TEST(Router, AStepMovesTheAddedShareAndNothingBack) {
@@ -94,7 +107,8 @@
     for (std::uint64_t object = 1; object <= 20'000; ++object) {
       bool now_new = router.choose(query(object), 0).pool == 0;
       ASSERT_TRUE(now_new || !moved.contains(object)) << object << " went back at " << share;
-      if (now_new) moved.insert(object);
+      if (now_new)
+        moved.insert(object);
     }
     EXPECT_GT(moved.size(), before);
     EXPECT_NEAR(static_cast<double>(moved.size()) / 20'000, share, 0.012);
@@ -109,7 +123,8 @@
   Fleet().add(1, "o1").add(2, "n1").add(3, "t1").tell(router, 0);
   router.shift(0, router.pool("old"), router.pool("new"), 0);
   std::map<std::uint64_t, int> before;
-  for (std::uint64_t object = 1; object <= 5000; ++object) before[object] = router.choose(query(object), 0).pool;
+  for (std::uint64_t object = 1; object <= 5000; ++object)
+    before[object] = router.choose(query(object), 0).pool;
   router.shift(0, router.pool("old"), router.pool("new"), 0.4);
   int moved = 0;
   for (auto [object, pool] : before) {
@@ -125,7 +140,8 @@
   Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
   int apart = 0;
   for (int i = 0; i < 200; ++i) {
-    std::string key = "k" + std::to_string(i), first = "a" + std::to_string(i), second = "b" + std::to_string(i);
+    std::string key = "k" + std::to_string(i), first = "a" + std::to_string(i),
+                second = "b" + std::to_string(i);
     Query a, b;
     a.idempotency_key = b.idempotency_key = key;
     a.id = first, b.id = second;
@@ -147,7 +163,8 @@
   Choice again = router.choose(hold, 3000);
   EXPECT_EQ(again.pool, 0);
   EXPECT_TRUE(again.kept);
-  EXPECT_EQ(router.choose(query(7, 0), 3000).pool, 1);  // another class of the same object goes by weight
+  EXPECT_EQ(router.choose(query(7, 0), 3000).pool,
+            1);  // another class of the same object goes by weight
   // The window counts from the latest that a try may have been sent: 3000 + patience + window.
   EXPECT_TRUE(router.choose(hold, 8900).kept);
   EXPECT_FALSE(router.choose(hold, 8900 + 1000 + 5000 + 1).kept);
@@ -176,8 +193,10 @@
   EXPECT_TRUE(router.choose(query(1), 0).spilled);
   EXPECT_EQ(router.choose(query(1), 0).pool, 1);
   Fleet().add(1, "o1").add(2, "n1", 10'000).tell(router, 11'000);
-  EXPECT_EQ(router.choose(query(1), 11'000).pool, 1) << "cold boxes get no share while others are warm";
-  EXPECT_EQ(router.choose(query(1), 10'000 + kCold + 200).pool, 0) << "warm by the clock alone, without a list";
+  EXPECT_EQ(router.choose(query(1), 11'000).pool, 1)
+      << "cold boxes get no share while others are warm";
+  EXPECT_EQ(router.choose(query(1), 10'000 + kCold + 200).pool, 0)
+      << "warm by the clock alone, without a list";
   Fleet().add(2, "n1", 40'000).tell(router, 41'000);
   EXPECT_EQ(router.choose(query(1), 41'000).pool, 0) << "cold is better than nothing";
 }
@@ -245,14 +264,17 @@
   for (int i = 0; i < 200; ++i) {
     Fleet fleet;
     for (reedlb::WorkerId w = 1; w <= 20; ++w)
-      if (random() % 3) fleet.add(w, "h", 0, random() % 4 ? WorkerState::ready : WorkerState::draining);
-    fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta, ListScope::failed}[random() % 4];
+      if (random() % 3)
+        fleet.add(w, "h", 0, random() % 4 ? WorkerState::ready : WorkerState::draining);
+    fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta,
+                                  ListScope::failed}[random() % 4];
     auto told = fleet.tell(router, i);
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(told[0].second.scope, fleet.list.scope);
     std::size_t count = fleet.list.scope == ListScope::failed ? 0 : fleet.list.entries.size();
     ASSERT_EQ(told[0].second.entries.size(), count);
-    for (std::size_t k = 0; k < count; ++k) EXPECT_EQ(told[0].second.entries[k].worker, fleet.list.entries[k].worker);
+    for (std::size_t k = 0; k < count; ++k)
+      EXPECT_EQ(told[0].second.entries[k].worker, fleet.list.entries[k].worker);
   }
 }
 
@@ -260,7 +282,8 @@
   Spec spec = two_pools(0, 0);
   spec.pools.push_back({"old", {}, {}, {}, {}});
   spec.routes.push_back({"x", {"sale"}, {}, {}, {{"none", 1}}, false});
-  EXPECT_EQ(faults(spec).size(), 5u);  // a second "old", weights of zero, "all" before "x", no pool "none", "x" last
+  EXPECT_EQ(faults(spec).size(),
+            5u);  // a second "old", weights of zero, "all" before "x", no pool "none", "x" last
   EXPECT_TRUE(faults(two_pools(1, 1)).empty());
   spec = two_pools(1, 1);
   spec.pools[0].sites = {"north"};
@@ -271,12 +294,15 @@
 TEST(KeyMemory, IsOfFixedSizeAndCountsWhatItForgets) {
   KeyMemory memory(1024);
   std::mt19937_64 random(5);
-  for (int i = 0; i < 100'000; ++i) memory.put(random(), 1, 10'000, i * 0.001);
+  for (int i = 0; i < 100'000; ++i)
+    memory.put(random(), 1, 10'000, i * 0.001);
   EXPECT_EQ(memory.capacity(), 1024u);
   EXPECT_GT(memory.forgotten(), 90'000u);
   KeyMemory calm(1024);
-  for (int i = 0; i < 100'000; ++i) calm.put(random(), 1, i + 50, i);
-  EXPECT_LT(calm.forgotten(), 100u);  // expired entries are no loss; now and then five live ones meet in a bucket
+  for (int i = 0; i < 100'000; ++i)
+    calm.put(random(), 1, i + 50, i);
+  EXPECT_LT(calm.forgotten(),
+            100u);  // expired entries are no loss; now and then five live ones meet in a bucket
 }
 
 }  // namespace
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -23,7 +23,8 @@
 std::vector<WorkerId> draw(int count, unsigned seed) {
   std::mt19937 random(seed);
   std::set<WorkerId> ids;
-  while (static_cast<int>(ids.size()) < count) ids.insert(static_cast<WorkerId>(random()));
+  while (static_cast<int>(ids.size()) < count)
+    ids.insert(static_cast<WorkerId>(random()));
   return {ids.begin(), ids.end()};
 }
 
@@ -34,16 +35,20 @@
 }
 
 using Pairs = std::set<std::pair<int, WorkerId>>;
-Pairs pairs_of(const std::vector<WorkerId>& workers, const std::vector<int>& dispatchers, int of) {  // of so many, all told
+Pairs pairs_of(const std::vector<WorkerId>& workers, const std::vector<int>& dispatchers,
+               int of) {  // of so many, all told
   Pairs out;
-  auto homes = subsets(workers, dispatchers, homes_for_each(6, of, static_cast<int>(workers.size())));
+  auto homes =
+      subsets(workers, dispatchers, homes_for_each(6, of, static_cast<int>(workers.size())));
   for (std::size_t w = 0; w < workers.size(); ++w)
-    for (int d : homes[w]) out.emplace(d, workers[w]);
+    for (int d : homes[w])
+      out.emplace(d, workers[w]);
   return out;
 }
 
 std::size_t added(const Pairs& before, const Pairs& after) {
-  return static_cast<std::size_t>(std::count_if(after.begin(), after.end(), [&](const auto& p) { return !before.contains(p); }));
+  return static_cast<std::size_t>(std::count_if(
+      after.begin(), after.end(), [&](const auto& p) { return !before.contains(p); }));
 }
 
 TEST(Subsets, EveryDispatcherHasAsManyAndEveryExecutorTwoMoreOrLessAtMost) {
@@ -56,10 +61,13 @@
       double part = 1.0 * each * dispatchers / workers;
       for (const auto& of : homes) {
         EXPECT_GE(of.size(), 1u);
-        EXPECT_LE(std::abs(static_cast<double>(of.size()) - part), 2) << dispatchers << "/" << workers << " seed " << seed;
-        for (int d : of) ++has[d];
+        EXPECT_LE(std::abs(static_cast<double>(of.size()) - part), 2)
+            << dispatchers << "/" << workers << " seed " << seed;
+        for (int d : of)
+          ++has[d];
       }
-      for (int d : first(dispatchers)) EXPECT_EQ(has[d], each) << dispatchers << "/" << workers << " seed " << seed;
+      for (int d : first(dispatchers))
+        EXPECT_EQ(has[d], each) << dispatchers << "/" << workers << " seed " << seed;
     }
 }
 
@@ -73,20 +81,25 @@
       int gone = static_cast<int>(seed) % dispatchers;
       std::erase(fewer, gone);
       by_dispatcher += static_cast<double>(added(before, pairs_of(ids, fewer, dispatchers)));
-      own_d += static_cast<double>(std::count_if(before.begin(), before.end(), [&](const auto& p) { return p.first == gone; }));
+      own_d += static_cast<double>(std::count_if(before.begin(), before.end(),
+                                                 [&](const auto& p) { return p.first == gone; }));
       WorkerId lost = ids[seed];
       auto rest = ids;
       std::erase(rest, lost);
-      by_worker += static_cast<double>(added(before, pairs_of(rest, first(dispatchers), dispatchers)));
-      own_w += static_cast<double>(std::count_if(before.begin(), before.end(), [&](const auto& p) { return p.second == lost; }));
+      by_worker +=
+          static_cast<double>(added(before, pairs_of(rest, first(dispatchers), dispatchers)));
+      own_w += static_cast<double>(std::count_if(before.begin(), before.end(),
+                                                 [&](const auto& p) { return p.second == lost; }));
     }
-    std::printf("%3d/%3d: moved %.2f times its own homes by a dispatcher, %.2f by an executor\n", dispatchers, workers, by_dispatcher / own_d, by_worker / own_w);
+    std::printf("%3d/%3d: moved %.2f times its own homes by a dispatcher, %.2f by an executor\n",
+                dispatchers, workers, by_dispatcher / own_d, by_worker / own_w);
     EXPECT_LT(by_dispatcher / own_d, 2);
     EXPECT_LT(by_worker / own_w, 2);
   }
 }
 
-// A third sees the fleet without the dispatchers of one zone, a third a stale list: the sum stays near what it was.
+// A third sees the fleet without the dispatchers of one zone, a third a stale list: the sum stays
+// near what it was.
 TEST(Subsets, ThoseWhoSeeDifferentMembersStillAddUp) {
   for (auto [dispatchers, workers] : kSizes) {
     auto ids = draw(workers, 1);
@@ -99,15 +112,19 @@
     for (int d : first(dispatchers)) {
       const auto& list = d % 3 == 1 ? stale : ids;
       const auto& members = d % 3 == 2 ? fewer : first(dispatchers);
-      auto homes = subsets(list, members, homes_for_each(6, dispatchers, static_cast<int>(list.size())));
+      auto homes =
+          subsets(list, members, homes_for_each(6, dispatchers, static_cast<int>(list.size())));
       int has = 0;
       for (std::size_t w = 0; w < list.size(); ++w)
-        if (std::binary_search(homes[w].begin(), homes[w].end(), d)) ++sum[list[w]], ++has;
+        if (std::binary_search(homes[w].begin(), homes[w].end(), d))
+          ++sum[list[w]], ++has;
       EXPECT_LE(has, each + 2);
       EXPECT_GE(has, each - 2);
     }
     double part = 1.0 * each * dispatchers / workers;
-    for (auto& [w, count] : sum) EXPECT_LE(count, 2 * part + 2) << "an executor is home to " << count << " instead of " << part;
+    for (auto& [w, count] : sum)
+      EXPECT_LE(count, 2 * part + 2)
+          << "an executor is home to " << count << " instead of " << part;
   }
 }
 
@@ -117,7 +134,8 @@
   s.rank = 7;
   Homes homes(s);
   reedlb::WorkerList list;
-  for (WorkerId w : draw(30, 3)) list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
+  for (WorkerId w : draw(30, 3))
+    list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
   auto told = homes.after(list);
   ASSERT_TRUE(told);
   EXPECT_EQ(told->workers.size(), 30u);
@@ -133,7 +151,8 @@
   lives[3] = false;
   auto without = homes.after(reedlb::Members{lives});
   ASSERT_TRUE(without);
-  for (const auto& at : without->workers) EXPECT_EQ(std::count(at.others.begin(), at.others.end(), 3), 0);
+  for (const auto& at : without->workers)
+    EXPECT_EQ(std::count(at.others.begin(), at.others.end(), 3), 0);
   EXPECT_FALSE(homes.after(reedlb::Timer{}));
 }
 
--- a/tests/logic/turns_replay.cpp
+++ b/tests/logic/turns_replay.cpp
@@ -1,5 +1,5 @@
-// Random runs of the Promela model (turns/turns.pml), played step by step with real Dispatchers and Turns: what the model
-// grants, sends, takes and drops, they do.
+// Random runs of the Promela model (turns/turns.pml), played step by step with real Dispatchers and
+// Turns: what the model grants, sends, takes and drops, they do.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -17,19 +17,25 @@
 
 constexpr int kNodes = 10;
 constexpr Time kUnit = 50;  // ms that a unit of the model stands for
-// Steps of 100 ms, grants of 500, 550 to the owner, given back from 125 ms before the end on, windows of two seconds.
-const std::string kRatios = " -DSTEP=2 -DLENGTH=10 -DGIVEN_FOR=11 -DEARLY=2 -DWINDOW=40 -DPART=400 -DJOB=100 -DWANT=200 -DEND=400 -DLIVES=3 -DMOST=6 -DOFTEN ";
+// Steps of 100 ms, grants of 500, 550 to the owner, given back from 125 ms before the end on,
+// windows of two seconds.
+const std::string kRatios =
+    " -DSTEP=2 -DLENGTH=10 -DGIVEN_FOR=11 -DEARLY=2 -DWINDOW=40 -DPART=400 -DJOB=100 -DWANT=200 "
+    "-DEND=400 -DLIVES=3 -DMOST=6 -DOFTEN ";
 
 std::vector<std::string> run_of(unsigned seed) {
   std::string command = "spin -n" + std::to_string(seed) + " -T" + kRatios + TURNS_MODEL + " 2>&1";
   std::vector<std::string> lines;
   std::FILE* pipe = popen(command.c_str(), "r");
-  if (!pipe) return lines;
+  if (!pipe)
+    return lines;
   std::array<char, 256> line;
   while (std::fgets(line.data(), line.size(), pipe)) {
     std::string text(line.data());
-    if (text.find("assert") != std::string::npos || text.find("rror") != std::string::npos) ADD_FAILURE() << text;
-    if (auto at = text.find('#'); at != std::string::npos) lines.push_back(text.substr(at + 1, text.find_last_not_of(" \n") - at));
+    if (text.find("assert") != std::string::npos || text.find("rror") != std::string::npos)
+      ADD_FAILURE() << text;
+    if (auto at = text.find('#'); at != std::string::npos)
+      lines.push_back(text.substr(at + 1, text.find_last_not_of(" \n") - at));
   }
   pclose(pipe);
   return lines;
@@ -38,17 +44,21 @@
 class Replay {
  public:
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
-    s_.fall_multiple = 400.0 * 8 / (0.62 * s_.fall_ms) + 1e-9;  // so that the first owner's part is 400 ms of work
+    s_.fall_multiple =
+        400.0 * 8 / (0.62 * s_.fall_ms) + 1e-9;  // so that the first owner's part is 400 ms of work
     auto order = order_at({kCold, 0, 0, 0, WorkerState::ready, 1, kBorn}, kNodes);
     ranks_ = {order[8], order[9], order[0]};  // two that have no part, and the owner
-    for (int rank : ranks_) lives_[static_cast<std::size_t>(rank)] = true;
+    for (int rank : ranks_)
+      lives_[static_cast<std::size_t>(rank)] = true;
     now_ = kBorn - 1;  // before it: nothing can have been sent yet
-    for (int i = 0; i < 3; ++i) begin(i);
+    for (int i = 0; i < 3; ++i)
+      begin(i);
     now_ = kBorn;
   }
 
   void play() {
-    while (at_ < lines_.size() && !::testing::Test::HasFailure()) step(lines_[at_++]);
+    while (at_ < lines_.size() && !::testing::Test::HasFailure())
+      step(lines_[at_++]);
   }
   int grants = 0, backs = 0, lates = 0, again = 0;
 
@@ -58,14 +68,18 @@
     std::string bytes;
   };
 
-  void begin(int i) { nodes_[static_cast<std::size_t>(i)] = std::make_unique<Node>(s_, ranks_[static_cast<std::size_t>(i)], now_, lives_); }
+  void begin(int i) {
+    nodes_[static_cast<std::size_t>(i)] =
+        std::make_unique<Node>(s_, ranks_[static_cast<std::size_t>(i)], now_, lives_);
+  }
   Node& node(int i) {
     Node& n = *nodes_[static_cast<std::size_t>(i)];
     n.bench.now = now_;
     return n;
   }
   bool next_is(const std::string& line) {
-    if (at_ >= lines_.size() || lines_[at_] != line) return false;
+    if (at_ >= lines_.size() || lines_[at_] != line)
+      return false;
     return ++at_, true;
   }
 
@@ -73,25 +87,32 @@
   void tell(int i) {
     for (const Tell& word : node(i).words()) {
       int to = 0;
-      while (ranks_[static_cast<std::size_t>(to)] != word.peer) ++to;
-      if (next_is("sent")) net_.push_back({i, to, word.bytes});
-      else if (!next_is("unsent")) ADD_FAILURE() << "line " << at_ << ": a word that the model does not send";
+      while (ranks_[static_cast<std::size_t>(to)] != word.peer)
+        ++to;
+      if (next_is("sent"))
+        net_.push_back({i, to, word.bytes});
+      else if (!next_is("unsent"))
+        ADD_FAILURE() << "line " << at_ << ": a word that the model does not send";
     }
-    EXPECT_FALSE(at_ < lines_.size() && (lines_[at_] == "sent" || lines_[at_] == "unsent")) << "line " << at_ << ": the model sends a word";
+    EXPECT_FALSE(at_ < lines_.size() && (lines_[at_] == "sent" || lines_[at_] == "unsent"))
+        << "line " << at_ << ": the model sends a word";
   }
 
   void deliver() {
     Letter letter = net_.front();
     net_.pop_front();
-    node(letter.to).bench.play(PeerMessage{ranks_[static_cast<std::size_t>(letter.from)], letter.bytes});
+    node(letter.to).bench.play(
+        PeerMessage{ranks_[static_cast<std::size_t>(letter.from)], letter.bytes});
     backs += read_turn(letter.bytes)->kind == TurnWord::Kind::back;
     if (at_ < lines_.size() && lines_[at_].starts_with("grant ")) {
       auto words = node(letter.to).words();
       ASSERT_EQ(words.size(), 1u) << "line " << at_;
       EXPECT_EQ("grant " + std::to_string(read_turn(words[0].bytes)->work), lines_[at_++]);
       ++grants;
-      if (next_is("sent")) net_.push_back({letter.to, letter.from, words[0].bytes});
-      else EXPECT_TRUE(next_is("unsent"));
+      if (next_is("sent"))
+        net_.push_back({letter.to, letter.from, words[0].bytes});
+      else
+        EXPECT_TRUE(next_is("unsent"));
       return;
     }
     tell(letter.to);
@@ -112,14 +133,21 @@
     words >> what;
     if (what == "tick") {
       now_ += 2 * kUnit;
-      node(2).bench.play(ClientGone{});  // that its wait is over the module hears with the next event, whatever that is
+      node(2).bench.play(ClientGone{});  // that its wait is over the module hears with the next
+                                         // event, whatever that is
     }
-    if (what == "deliver") deliver();
-    if (what == "lose") net_.pop_front();
-    if (what == "double") net_.push_back(net_.front());
-    if (what == "rotate") net_.push_back(net_.front()), net_.pop_front();
-    if (what == "again") begin(0), ++again;
-    if (line == "owner again") begin(2), ++again;
+    if (what == "deliver")
+      deliver();
+    if (what == "lose")
+      net_.pop_front();
+    if (what == "double")
+      net_.push_back(net_.front());
+    if (what == "rotate")
+      net_.push_back(net_.front()), net_.pop_front();
+    if (what == "again")
+      begin(0), ++again;
+    if (line == "owner again")
+      begin(2), ++again;
     if (what == "own") {
       words >> how;
       EXPECT_EQ(node(2).job(), how == "used") << "line " << at_;
@@ -152,7 +180,9 @@
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
     grants += replay.grants, backs += replay.backs, lates += replay.lates, again += replay.again;
   }
-  RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(backs) + " given back " + std::to_string(lates) + " late " + std::to_string(again) + " restarts");
+  RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(backs) +
+                             " given back " + std::to_string(lates) + " late " +
+                             std::to_string(again) + " restarts");
   // Runs in which nothing happens would prove nothing.
   EXPECT_GT(grants, 100);
   EXPECT_GT(backs, 5);
--- a/tests/logic/turns_test.cpp
+++ b/tests/logic/turns_test.cpp
@@ -1,4 +1,5 @@
-// Turns: whatever the network and the nodes do, all together send a cold executor no more than its budget.
+// Turns: whatever the network and the nodes do, all together send a cold executor no more than its
+// budget.
 #include "fleet/turns.h"
 
 #include <gtest/gtest.h>
@@ -22,31 +23,40 @@
   int most_delay = 20;             // ms
   int mute = 0;                    // so many nodes hear all and are heard by nobody
   bool restarts = false, stalls = false;
-  unsigned jobs = 10;              // of 1000 steps of a node
-  std::size_t busy = 30;           // nodes that have any
+  unsigned jobs = 10;     // of 1000 steps of a node
+  std::size_t busy = 30;  // nodes that have any
 };
 
-// Words come late, doubled, out of order or never; nodes stop for 3 s and find everything at once when they wake, or start
-// again and know nothing.
+// Words come late, doubled, out of order or never; nodes stop for 3 s and find everything at once
+// when they wake, or start again and know nothing.
 struct World {
   World(int count, unsigned seed, const Faults& f) : s(many(count)), random(seed), faults(f) {
-    for (int n = 0; n < count; ++n) nodes.push_back(std::make_unique<Node>(s, n, kBorn - 1));
+    for (int n = 0; n < count; ++n)
+      nodes.push_back(std::make_unique<Node>(s, n, kBorn - 1));
     asleep.resize(nodes.size());
-    for (now = kBorn; now < kBorn + 20000; now += 5) step();
+    for (now = kBorn; now < kBorn + 20000; now += 5)
+      step();
   }
 
   void step() {
     for (; !coming.empty() && coming.begin()->first <= now; coming.erase(coming.begin())) {
       auto [from, to, bytes] = coming.begin()->second;
-      if (asleep[to] > now) coming.emplace(asleep[to], std::tuple(from, to, bytes));
-      else at(to).bench.play(PeerMessage{static_cast<int>(from), bytes});
+      if (asleep[to] > now)
+        coming.emplace(asleep[to], std::tuple(from, to, bytes));
+      else
+        at(to).bench.play(PeerMessage{static_cast<int>(from), bytes});
     }
     for (std::size_t n = 0; n < nodes.size(); ++n) {
-      if (asleep[n] > now) continue;
-      if (faults.restarts && random() % 4000 == 0) nodes[n] = std::make_unique<Node>(s, static_cast<int>(n), now);
-      if (faults.stalls && random() % 4000 == 0) asleep[n] = now + 3000;
-      if (n < faults.busy && random() % 1000 < faults.jobs && at(n).job()) sent.emplace_back(now, kJob);
-      for (const Tell& word : at(n).words()) post(n, word);
+      if (asleep[n] > now)
+        continue;
+      if (faults.restarts && random() % 4000 == 0)
+        nodes[n] = std::make_unique<Node>(s, static_cast<int>(n), now);
+      if (faults.stalls && random() % 4000 == 0)
+        asleep[n] = now + 3000;
+      if (n < faults.busy && random() % 1000 < faults.jobs && at(n).job())
+        sent.emplace_back(now, kJob);
+      for (const Tell& word : at(n).words())
+        post(n, word);
     }
   }
 
@@ -57,21 +67,28 @@
 
   void post(std::size_t from, const Tell& word) {
     ++words;
-    if (static_cast<int>(from) < faults.mute || random() % 100 < faults.lost) return;
+    if (static_cast<int>(from) < faults.mute || random() % 100 < faults.lost)
+      return;
     for (unsigned copies = 1 + (random() % 100 < faults.doubled); copies > 0; --copies)
-      coming.emplace(now + 1 + random() % static_cast<unsigned>(faults.most_delay), std::tuple(from, static_cast<std::size_t>(word.peer), word.bytes));
+      coming.emplace(now + 1 + random() % static_cast<unsigned>(faults.most_delay),
+                     std::tuple(from, static_cast<std::size_t>(word.peer), word.bytes));
   }
 
   double fullest() const {  // of what makes it fall over
     double most = 0;
     for (std::size_t first = 0; first < sent.size(); ++first) {
       double sum = 0;
-      for (std::size_t i = first; i < sent.size() && sent[i].first <= sent[first].first + s.fall_ms; ++i) sum += sent[i].second;
+      for (std::size_t i = first; i < sent.size() && sent[i].first <= sent[first].first + s.fall_ms;
+           ++i)
+        sum += sent[i].second;
       most = std::max(most, sum);
     }
     return most / (s.fall_multiple * s.fall_ms);
   }
-  double used() const { return static_cast<double>(sent.size()) * kJob / 20000 * s.fall_ms / (s.fall_multiple * s.fall_ms); }
+  double used() const {
+    return static_cast<double>(sent.size()) * kJob / 20000 * s.fall_ms /
+           (s.fall_multiple * s.fall_ms);
+  }
 
   Settings s;
   std::mt19937 random;
@@ -95,29 +112,42 @@
       {"all but one mute", {.mute = 29, .jobs = 60}},
       {"stalls", {.lost = 10, .doubled = 30, .stalls = true, .jobs = 60}},
       {"restarts", {.lost = 10, .doubled = 30, .restarts = true, .jobs = 60}},
-      {"everything", {.lost = 20, .doubled = 50, .most_delay = 1000, .mute = 5, .restarts = true, .stalls = true, .jobs = 60}},
+      {"everything",
+       {.lost = 20,
+        .doubled = 50,
+        .most_delay = 1000,
+        .mute = 5,
+        .restarts = true,
+        .stalls = true,
+        .jobs = 60}},
   };
   for (const auto& [name, faults] : kinds)
     for (unsigned seed : {1u, 2u, 3u}) {
       World world(30, seed, faults);
       EXPECT_LE(world.fullest(), kMargin + 1e-9) << name << ", seed " << seed;
-      RecordProperty(std::string(name) + " " + std::to_string(seed), std::to_string(world.fullest()) + " used " + std::to_string(world.used()));
+      RecordProperty(std::string(name) + " " + std::to_string(seed),
+                     std::to_string(world.fullest()) + " used " + std::to_string(world.used()));
     }
 }
 
 TEST(Turns, GrantsMakePartsOfUseToThoseWhoHaveTheTraffic) {
   for (unsigned seed : {1u, 2u, 3u}) {
-    World alone(30, seed, {.lost = 100, .jobs = 60, .busy = 6}), together(30, seed, {.jobs = 60, .busy = 6}), lossy(30, seed, {.lost = 30, .jobs = 60, .busy = 6});
+    World alone(30, seed, {.lost = 100, .jobs = 60, .busy = 6}),
+        together(30, seed, {.jobs = 60, .busy = 6}),
+        lossy(30, seed, {.lost = 30, .jobs = 60, .busy = 6});
     EXPECT_GT(together.used(), 1.5 * alone.used()) << "seed " << seed;
     EXPECT_GT(lossy.used(), 1.2 * alone.used()) << "seed " << seed;
-    RecordProperty("seed " + std::to_string(seed), std::to_string(alone.used()) + " " + std::to_string(together.used()) + " " + std::to_string(lossy.used()));
+    RecordProperty("seed " + std::to_string(seed), std::to_string(alone.used()) + " " +
+                                                       std::to_string(together.used()) + " " +
+                                                       std::to_string(lossy.used()));
   }
 }
 
 TEST(Turns, PartsAddUpToOne) {
   for (int nodes : {1, 2, 3, 7, 8, 9, 100, 1000}) {
     double sum = 0;
-    for (int place = 0; place < nodes; ++place) sum += share_at(place, nodes);
+    for (int place = 0; place < nodes; ++place)
+      sum += share_at(place, nodes);
     EXPECT_NEAR(sum, 1, 1e-9) << nodes;
   }
 }
@@ -172,7 +202,8 @@
   p.to(kBorn + 100 + length);
   EXPECT_FALSE(p.asker->job()) << "its end has come";
   p.to(kBorn + 100 + (1 + kDrift) * length + p.s.fall_ms - 1);
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before - work) << "it may have been used up to its end, and fills the window from there";
+  EXPECT_DOUBLE_EQ(p.owner->room().own, before - work)
+      << "it may have been used up to its end, and fills the window from there";
   p.to(kBorn + 100 + (1 + kDrift) * length + p.s.fall_ms + 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
 }
@@ -201,7 +232,8 @@
   p.asker->bench.play(ClientGone{});  // any event
   auto words = p.asker->words();
   ASSERT_EQ(words.size(), 1u);
-  for (int twice = 0; twice < 2; ++twice) p.owner->bench.play(PeerMessage{p.order[10], words[0].bytes});
+  for (int twice = 0; twice < 2; ++twice)
+    p.owner->bench.play(PeerMessage{p.order[10], words[0].bytes});
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - kJob);
   EXPECT_EQ(p.asker->room().granted, 0) << "what was given back is not used any more";
 }
@@ -244,7 +276,8 @@
 
 TEST(Turns, AnExecutorThatBecomesReadyIsAskedForAndOneThatDrainsIsNot) {
   Pair p;
-  for (auto [state, asks] : {std::pair(WorkerState::draining, false), std::pair(WorkerState::ready, true)}) {
+  for (auto [state, asks] :
+       {std::pair(WorkerState::draining, false), std::pair(WorkerState::ready, true)}) {
     p.to(kBorn + (asks ? 300 : 100));
     WorkerList list;
     list.entries = {{kCold, 0, 0, 0, state, 1, kBorn}};
@@ -258,7 +291,8 @@
   p.to(kBorn + 100);
   std::string ask = p.ask();
   double before = p.owner->room().own;
-  for (std::size_t size = 0; size < ask.size(); ++size) EXPECT_TRUE(p.grant(ask.substr(0, size)).empty());
+  for (std::size_t size = 0; size < ask.size(); ++size)
+    EXPECT_TRUE(p.grant(ask.substr(0, size)).empty());
   for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // mark, version, kind, executor, its life
     std::string other = ask;
     other[i] = static_cast<char>(other[i] ^ 0x55);
@@ -266,7 +300,8 @@
   }
   EXPECT_TRUE(p.grant(ask + "x").empty());
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
-  p.hear(write_turn({TurnWord::Kind::grant, kCold, read_turn(ask)->life, read_turn(ask)->asker, read_turn(ask)->number + 1, 5000, 0}));
+  p.hear(write_turn({TurnWord::Kind::grant, kCold, read_turn(ask)->life, read_turn(ask)->asker,
+                     read_turn(ask)->number + 1, 5000, 0}));
   EXPECT_EQ(p.asker->room().granted, 0) << "nothing was asked with that number";
 }
 
@@ -291,7 +326,8 @@
   for (Time t = 100; t < 900; t += 100) {
     asker.bench.now = kBorn + t;
     asker.job();
-    for (const Tell& word : asker.words()) ++asked[word.peer];
+    for (const Tell& word : asker.words())
+      ++asked[word.peer];
   }
   EXPECT_EQ(asked.count(order[0]), 0u);
   EXPECT_EQ(asked.size(), 7u) << "each of the others in turn";
--- a/tests/logic/turns_world.h
+++ b/tests/logic/turns_world.h
@@ -1,4 +1,5 @@
-// Nodes that share a cold executor: each a Dispatcher with its Turns; nothing but what they send there is played.
+// Nodes that share a cold executor: each a Dispatcher with its Turns; nothing but what they send
+// there is played.
 #pragma once
 
 #include "fleet/turns.h"
@@ -9,7 +10,8 @@
 constexpr reedlb::WorkerId kCold = 7, kWarm = 8;
 constexpr reedlb::Time kBorn = 10000, kJob = 100;
 
-// The budget does not change beneath the sums: the executor counts as cold and is as fast as if it were warm.
+// The budget does not change beneath the sums: the executor counts as cold and is as fast as if it
+// were warm.
 inline reedlb::Settings many(int nodes) {
   reedlb::Settings s = reedlb::basic_settings();
   s.parallel_tries = false;
@@ -29,7 +31,8 @@
     reedlb::WorkerList list;
     list.entries = {{kWarm, 0, 0, 0, reedlb::WorkerState::ready, 1, 0}};
     bench.play(list);
-    if (!lives.empty()) bench.play(reedlb::Members{lives});
+    if (!lives.empty())
+      bench.play(reedlb::Members{lives});
     bench.arrive(1, kJob);  // from then on it knows what a usual job takes
     bench.play(reedlb::Started{1, 0});
     bench.now = now;
@@ -45,15 +48,18 @@
     bench.arrive(id, kJob);
     bool went = !bench.sends.empty();
     bench.sends.clear();
-    if (went) bench.outcome(id, 0, reedlb::Result::cancelled, true);
-    else bench.play(reedlb::ClientGone{id});
+    if (went)
+      bench.outcome(id, 0, reedlb::Result::cancelled, true);
+    else
+      bench.play(reedlb::ClientGone{id});
     return went;
   }
   // The words of turns that it has to tell.
   std::vector<reedlb::Tell> words() {
     std::vector<reedlb::Tell> out;
     for (reedlb::Tell& t : std::exchange(bench.tells, {}))
-      if (read_turn(t.bytes)) out.push_back(std::move(t));
+      if (read_turn(t.bytes))
+        out.push_back(std::move(t));
     return out;
   }
   reedlb::ColdRoom room() const { return bench.d.cold_room(kCold, bench.now); }
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -25,7 +25,8 @@
   double after_one = b.d.calibration(0);
   EXPECT_GT(after_one, 1.0);
   EXPECT_LT(after_one, 3.0);
-  for (RequestId id = 2; id < 120; ++id) serve(b, id, 100, 300);
+  for (RequestId id = 2; id < 120; ++id)
+    serve(b, id, 100, 300);
   EXPECT_NEAR(b.d.calibration(0), 3.0, 0.05);
 }
 
@@ -80,18 +81,21 @@
     Bench b(s);
     b.workers(1);
     std::vector<bool> lives(4, false);
-    for (int d = 0; d < living; ++d) lives[static_cast<std::size_t>(d)] = true;
+    for (int d = 0; d < living; ++d)
+      lives[static_cast<std::size_t>(d)] = true;
     b.play(Members{lives});
     b.arrive(100, 500);
     b.arrive(101, 500);  // they fill the one worker
-    for (RequestId id : {100u, 101u}) b.play(Started{id, 0});
-    b.now += 4000;       // as much as may be saved up
+    for (RequestId id : {100u, 101u})
+      b.play(Started{id, 0});
+    b.now += 4000;  // as much as may be saved up
     Arrival large;
     large.request = 50;
     large.tenant = 1;
     large.hint = 300;
     large.ttl_ms = 10000;
-    // Of eight a second a dispatcher alone may save up sixteen, one of four only four: the others count as larger.
+    // Of eight a second a dispatcher alone may save up sixteen, one of four only four: the others
+    // count as larger.
     for (RequestId id = 1; id <= 10; ++id) {
       Arrival a;
       a.request = id;
@@ -102,19 +106,24 @@
     b.play(large);
     int before = 0;
     for (int turn = 0; turn < 40; ++turn) {
-      if (static_cast<std::size_t>(turn) >= b.sends.size()) break;
+      if (static_cast<std::size_t>(turn) >= b.sends.size())
+        break;
       RequestId id = b.sends[static_cast<std::size_t>(turn)].request;
-      if (id == 50) break;
+      if (id == 50)
+        break;
       before += id < 50;
       b.now += 1;
       b.outcome(id, 0, Result::ok, true);
     }
-    if (living == 1) EXPECT_EQ(before, 10);
-    else EXPECT_LT(before, 10);
+    if (living == 1)
+      EXPECT_EQ(before, 10);
+    else
+      EXPECT_LT(before, 10);
   }
 }
 
-// Warm workers are preferred where the dispatcher is told that they are home to it; a cold one where it may send to it.
+// Warm workers are preferred where the dispatcher is told that they are home to it; a cold one
+// where it may send to it.
 TEST(Fleet, HomesAreAsToldAndThoseOfAColdWorkerItsOwn) {
   Settings s = basic_settings();
   s.dispatchers = 100;
@@ -122,13 +131,15 @@
   Bench b(s);
   b.workers(20);
   Homes homes;
-  for (WorkerId w = 100; w < 120; ++w) homes.workers.push_back({w, w == 107, {}});
+  for (WorkerId w = 100; w < 120; ++w)
+    homes.workers.push_back({w, w == 107, {}});
   b.play(homes);
   b.arrive(1, 10);
   ASSERT_EQ(b.sends.size(), 1u);
   EXPECT_EQ(b.sends[0].worker, 107u);
   int cold_home = 0;
-  for (int rank = 0; rank < 100; ++rank) {  // the first few of its own order alone, whatever they are told
+  for (int rank = 0; rank < 100;
+       ++rank) {  // the first few of its own order alone, whatever they are told
     s.rank = rank;
     Bench one(s);
     WorkerList list;
@@ -165,7 +176,8 @@
   s.classes.resize(2, s.classes[0]);
   Bench b(s);
   b.workers(2);
-  for (RequestId id = 1; id < 60; ++id) serve(b, id, 100, 400, 1);  // class 1 runs four times its hint
+  for (RequestId id = 1; id < 60; ++id)
+    serve(b, id, 100, 400, 1);  // class 1 runs four times its hint
   b.play(WorkerList{ListScope::full, {}});
   b.arrive(901, 100, 1);
   b.arrive(902, 200, 0);
@@ -191,7 +203,8 @@
   b.workers(40);
   for (RequestId id = 1; id <= 30; ++id) {  // one refusal after another
     b.arrive(id, 100);
-    if (b.sends.back().request == id) b.outcome(id, 0, Result::full, false);
+    if (b.sends.back().request == id)
+      b.outcome(id, 0, Result::full, false);
     b.play(ClientGone{id});
   }
   b.play(WorkerList{ListScope::full, {}});
@@ -220,7 +233,8 @@
 TEST(Cap, RefusalsLowerItAndTimelyServiceRaisesIt) {
   Bench b(basic_settings());
   b.workers(1);
-  for (RequestId id = 1; id <= 6; ++id) b.arrive(id, 100);
+  for (RequestId id = 1; id <= 6; ++id)
+    b.arrive(id, 100);
   std::size_t at_first = b.sends.size();
   EXPECT_LT(at_first, 6u);  // the rest wait
   EXPECT_EQ(b.d.held(), 6 - at_first);
@@ -238,8 +252,10 @@
       b.play(Started{x.request, 0});
     }
     b.advance(b.now + 5);
-    for (const Send& x : fresh) --out, b.outcome(x.request, 0, Result::ok, true);
-    while (b.d.held() < 5) b.arrive(next++, 100);
+    for (const Send& x : fresh)
+      --out, b.outcome(x.request, 0, Result::ok, true);
+    while (b.d.held() < 5)
+      b.arrive(next++, 100);
   }
   EXPECT_GT(most, at_first);
 }
@@ -247,9 +263,11 @@
 TEST(Pick, FewestOwnSlotsAmongWorkersWithRoom) {
   Bench b(basic_settings());
   b.workers(4);
-  for (RequestId id = 1; id <= 4; ++id) b.arrive(id, 100);
+  for (RequestId id = 1; id <= 4; ++id)
+    b.arrive(id, 100);
   std::set<WorkerId> used;
-  for (const auto& x : b.sends) used.insert(x.worker);
+  for (const auto& x : b.sends)
+    used.insert(x.worker);
   EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
 }
 
@@ -351,7 +369,8 @@
   b.advance(b.now + 1000);  // a late start: the worker rests, its cap falls
   b.play(WorkerList{ListScope::delta, {{100, 0, 0, 0, WorkerState::ready, 1, b.now - 20000}}});
   b.arrive(2, 100);
-  ASSERT_EQ(b.sends.size(), 2u);  // the fresh one is used at once, beside the attempt at its former life
+  ASSERT_EQ(b.sends.size(),
+            2u);  // the fresh one is used at once, beside the attempt at its former life
   b.arrive(3, 100);
   EXPECT_EQ(b.sends.size(), 2u);  // but that one still counts
   b.outcome(1, 0, Result::reset, false);
@@ -369,8 +388,9 @@
   b.arrive(1, 100, 1);
   ASSERT_EQ(b.sends.size(), 1u);
   EXPECT_EQ(b.sends[0].worker, 101u);
-  b.play(WorkerList{ListScope::delta,
-                    {{100, 0, 0, 0, WorkerState::gone, 1, 0}, {101, 0, 1, 0, WorkerState::gone, 1, 0}}});
+  b.play(WorkerList{
+      ListScope::delta,
+      {{100, 0, 0, 0, WorkerState::gone, 1, 0}, {101, 0, 1, 0, WorkerState::gone, 1, 0}}});
   b.arrive(2, 100, 1);
   b.play(WorkerList{ListScope::delta, {{100, 0, 0, 0, WorkerState::ready, 1, 0}}});
   EXPECT_EQ(b.sends.size(), 1u);  // the wrong kind never gets it
@@ -385,7 +405,8 @@
     bool recalled = false;
     for (int i = 0; i < 300; ++i) {
       b.advance(b.now + 1);
-      for (const auto& a : b.last) recalled = recalled || std::holds_alternative<Recall>(a);
+      for (const auto& a : b.last)
+        recalled = recalled || std::holds_alternative<Recall>(a);
     }
     EXPECT_EQ(recalled, key == 0);
   }
@@ -408,7 +429,8 @@
       mine.insert(b.sends.back().worker);
     }
     at_large += mine.size() > 15;
-    for (WorkerId w : mine) ++fleet[w];
+    for (WorkerId w : mine)
+      ++fleet[w];
   }
   EXPECT_LE(at_large, 3);
   EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
@@ -425,14 +447,16 @@
   }
   explicit Shared(Effect effect = Effect::safe) : Bench(settings(effect)) { workers(2); }
   void hears(int peer, WorkerId worker, double load, Sign sign = Sign::none, Time born = 0) {
-    play(PeerMessage{peer, write_note({worker, mark_of({.worker = worker, .born = born}), load, sign})});
+    play(PeerMessage{peer,
+                     write_note({worker, mark_of({.worker = worker, .born = born}), load, sign})});
   }
   int sent_to_first(int jobs) {  // of so many jobs that are served at once
     int count = 0;
     for (int i = 0; i < jobs; ++i) {
       sends.clear();
       arrive(++last_job, 100);
-      for (const Send& x : std::vector<Send>(sends)) count += x.worker == 100, outcome(x.request, 0, Result::ok, true);
+      for (const Send& x : std::vector<Send>(sends))
+        count += x.worker == 100, outcome(x.request, 0, Result::ok, true);
     }
     return count;
   }
@@ -462,13 +486,16 @@
 TEST(Peers, AWorkerThatFailsOthersIsLeftAloneHere) {
   Shared b;
   b.sent_to_first(4);
-  for (int peer : {3, 4, 5}) b.hears(peer, 100, 0, Sign::failed);
+  for (int peer : {3, 4, 5})
+    b.hears(peer, 100, 0, Sign::failed);
   EXPECT_EQ(b.sent_to_first(40), 0);
 }
 
 TEST(Peers, AWorkerThatOthersCouldNotReachHasNoFaultsHere) {
-  Shared b(Effect::unsafe);  // which a worker with faults is not tried with, however long it was left alone
-  for (int peer : {3, 4, 5}) b.hears(peer, 100, 0, Sign::unreached);
+  Shared b(Effect::unsafe);  // which a worker with faults is not tried with, however long it was
+                             // left alone
+  for (int peer : {3, 4, 5})
+    b.hears(peer, 100, 0, Sign::unreached);
   EXPECT_EQ(b.sent_to_first(40), 0);
   b.advance(b.now + 10000);
   EXPECT_GT(b.sent_to_first(40), 0);
@@ -476,8 +503,10 @@
 
 TEST(Peers, NotesOnAFormerLifeOrThatAreNoneChangeNothing) {
   Shared b;
-  for (int peer : {3, 4, 5}) b.hears(peer, 100, 200, Sign::failed, 77);
-  for (std::string bytes : {"", "1234567", "123456789"}) b.play(PeerMessage{3, bytes});
+  for (int peer : {3, 4, 5})
+    b.hears(peer, 100, 200, Sign::failed, 77);
+  for (std::string bytes : {"", "1234567", "123456789"})
+    b.play(PeerMessage{3, bytes});
   b.play(PeerMessage{3, std::string(8, '\xff')});
   b.hears(3, 999, 200, Sign::failed);  // a worker that is not listed
   EXPECT_GT(b.sent_to_first(40), 0);
@@ -509,7 +538,8 @@
     b.play(Started{id, 0});
     b.advance(b.now + (w == 100 ? 600 : 100));
     b.outcome(id, 0, Result::ok, true);
-    if (id > 50) ++all, slow += w == 100;
+    if (id > 50)
+      ++all, slow += w == 100;
   }
   EXPECT_LT(slow, all / 4);
 }
@@ -533,17 +563,20 @@
       }
   }
   std::size_t pairs = 0;
-  for (const auto& [key, workers] : used) pairs += workers.size();
+  for (const auto& [key, workers] : used)
+    pairs += workers.size();
   EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five workers a key
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
   auto run = [](Bench& b) {
     b.workers(12, 3, 1);
-    for (RequestId id = 1; id < 60; ++id) b.arrive(id, 50 + id % 7);
+    for (RequestId id = 1; id < 60; ++id)
+      b.arrive(id, 50 + id % 7);
     b.advance(b.now + 500);
     std::vector<std::pair<RequestId, WorkerId>> all;
-    for (const auto& x : b.sends) all.emplace_back(x.request, x.worker);
+    for (const auto& x : b.sends)
+      all.emplace_back(x.request, x.worker);
     return all;
   };
   Settings s = basic_settings();
@@ -561,11 +594,14 @@
     change(s);
     return s;
   };
-  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.dispatchers = 0; }), 1), std::invalid_argument);
+  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.dispatchers = 0; }), 1),
+               std::invalid_argument);
   EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.rank = 1; }), 1), std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.classes.clear(); }), 1), std::invalid_argument);
+  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.classes.clear(); }), 1),
+               std::invalid_argument);
   EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.tick_ms = NAN; }), 1), std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.classes[0].kind = 9; }), 1), std::invalid_argument);
+  EXPECT_THROW(Dispatcher(broken([](Settings& s) { s.classes[0].kind = 9; }), 1),
+               std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -1,4 +1,5 @@
-// Moments in which two events cross, forced in either order. docs/design/crossings.md names each of them.
+// Moments in which two events cross, forced in either order. docs/design/crossings.md names each of
+// them.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -16,7 +17,8 @@
 void play(const std::string& text, const Options& options = {}) {
   Scenario scenario(options);
   scenario.play(kStart);
-  if (!testing::Test::HasFailure()) scenario.play(text);
+  if (!testing::Test::HasFailure())
+    scenario.play(text);
 }
 
 Options with(const std::string& settings) {
@@ -26,9 +28,15 @@
 }
 
 const std::string kHead = R"(HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n)";
-const std::string kDraining = R"({"host":"box","dial":"127.0.0.1:9","site":"east","class":"fast","block":1,"health":"draining"})";
-std::string chunk(const std::string& json) { return "send disco chunk " + json + "\n"; }
-std::string delta(int version, const std::string& hosts) { return chunk("{\"seq\":" + std::to_string(version) + ",\"whole\":false,\"hosts\":[" + hosts + "]}\\n"); }
+const std::string kDraining =
+    R"({"host":"box","dial":"127.0.0.1:9","site":"east","class":"fast","block":1,"health":"draining"})";
+std::string chunk(const std::string& json) {
+  return "send disco chunk " + json + "\n";
+}
+std::string delta(int version, const std::string& hosts) {
+  return chunk("{\"seq\":" + std::to_string(version) + ",\"whole\":false,\"hosts\":[" + hosts +
+               "]}\\n");
+}
 
 // Nothing is sent to a box that drains: the request waits in vain.
 const std::string kNothingGoesToBox = R"(
@@ -42,20 +50,30 @@
 // ---- lists and watches ----
 
 class Crossings : public testing::TestWithParam<const char*> {};  // lists asked for, and pushed
-INSTANTIATE_TEST_SUITE_P(Lists, Crossings, testing::Values("ask", "push"), [](const auto& mode) { return std::string(mode.param); });
-Options mode(const char* name) { return with(std::string(R"({"registry_mode":")") + name + "\"}"); }
+INSTANTIATE_TEST_SUITE_P(Lists, Crossings, testing::Values("ask", "push"),
+                         [](const auto& mode) { return std::string(mode.param); });
+Options mode(const char* name) {
+  return with(std::string(R"({"registry_mode":")") + name + "\"}");
+}
 
 TEST_P(Crossings, AnIndentedListIsTakenInPiecesOfOneByte) {
   std::string text;
-  for (char c : std::string("{\n  \"seq\": 3,\n  \"note\": \"}{ \\\" ]\",\n  \"whole\": false,\n\n  \"hosts\": [\n    ") + kDraining + "\n  ]\n}\n")
+  for (char c : std::string("{\n  \"seq\": 3,\n  \"note\": \"}{ \\\" ]\",\n  \"whole\": false,\n\n "
+                            " \"hosts\": [\n    ") +
+                    kDraining + "\n  ]\n}\n")
     text += chunk(c == '\n' ? "\\n" : c == ' ' ? "\\s" : c == '\\' ? "\\\\" : std::string(1, c));
-  play(text + "wait lists_received 3\nwait watches_broken 0\n" + kNothingGoesToBox, mode(GetParam()));
+  play(text + "wait lists_received 3\nwait watches_broken 0\n" + kNothingGoesToBox,
+       mode(GetParam()));
 }
 
 TEST_P(Crossings, SeveralListsInOnePieceAreTakenWithWhatStandsBetweenThem) {
-  play(chunk(R"({"seq":3,"whole":false,"hosts":[]}\n\n  {"seq":4,"whole":false,"hosts":[]}{"seq":5,"whole":false,\n"hosts":[)" + kDraining + R"(]}\n{"seq":6,)") +
-           "wait lists_received 5\n" + chunk(R"("whole":false,"hosts":[]})") + "wait lists_received 6\nwait watches_broken 0\n" + kNothingGoesToBox,
-       mode(GetParam()));
+  play(
+      chunk(
+          R"({"seq":3,"whole":false,"hosts":[]}\n\n  {"seq":4,"whole":false,"hosts":[]}{"seq":5,"whole":false,\n"hosts":[)" +
+          kDraining + R"(]}\n{"seq":6,)") +
+          "wait lists_received 5\n" + chunk(R"("whole":false,"hosts":[]})") +
+          "wait lists_received 6\nwait watches_broken 0\n" + kNothingGoesToBox,
+      mode(GetParam()));
 }
 
 TEST_P(Crossings, AListThatDoesNotEndIsNoWatchThoughEmptyLinesFollow) {
@@ -64,17 +82,20 @@
     under 3
     accept disco disco
     expect disco since=2 HTTP
-  )", mode(GetParam()));
+  )",
+       mode(GetParam()));
 }
 
 TEST_P(Crossings, WhatIsNoListEndsTheWatchAtOnce) {
-  for (const char* bad : {"nonsense\\n", "[]\\n", "{}\\n", R"({"seq":3,"whole":false,"hosts":[{"host":"box","health":"ready"}]}\n)"})
+  for (const char* bad : {"nonsense\\n", "[]\\n", "{}\\n",
+                          R"({"seq":3,"whole":false,"hosts":[{"host":"box","health":"ready"}]}\n)"})
     play("clock\n" + chunk(bad) + R"(
       closed disco
       under 3
       accept disco disco
       expect disco since=2 HTTP
-    )", mode(GetParam()));
+    )",
+         mode(GetParam()));
 }
 
 // What the first watch misses counts as told 6 s after its last word.
@@ -84,15 +105,19 @@
       clock
       accept disco disco
       expect disco since=2 HTTP
-    )" + second + R"(
+    )" + second +
+             R"(
       accept third disco
       expect third since=2 HTTP
-      send third )" + kHead + "\n" + R"(
-      send third chunk {"seq":3,"whole":false,"hosts":[)" + kDraining + R"(]}\n
+      send third )" +
+             kHead + "\n" + R"(
+      send third chunk {"seq":3,"whole":false,"hosts":[)" +
+             kDraining + R"(]}\n
       wait lists_received 5
       under 6
       closed disco
-    )" + kNothingGoesToBox, mode(GetParam()));
+    )" + kNothingGoesToBox,
+         mode(GetParam()));
 }
 
 TEST_P(Crossings, AWatchSilentFromItsStartAndOneThatIsResetAreOpenedAnew) {
@@ -102,28 +127,37 @@
       expect disco since=2 HTTP
       accept disco2nd disco
       expect disco2nd since=2 HTTP
-      send disco2nd )" + kHead + "\n" + R"(
-      send disco2nd chunk {"seq":3,"whole":false,"hosts":[)" + kDraining + R"(]}
+      send disco2nd )" +
+             kHead + "\n" + R"(
+      send disco2nd chunk {"seq":3,"whole":false,"hosts":[)" +
+             kDraining + R"(]}
       wait lists_received 5
-    )" + kNothingGoesToBox, mode(GetParam()));
+    )" + kNothingGoesToBox,
+         mode(GetParam()));
 }
 
 TEST_P(Crossings, AVersionThatGoesBackBringsNoExecutorBack) {
-  const std::string ready = R"({"host":"box","dial":"127.0.0.1:9","site":"east","class":"fast","block":1,"health":"ready"})";
+  const std::string ready =
+      R"({"host":"box","dial":"127.0.0.1:9","site":"east","class":"fast","block":1,"health":"ready"})";
   // of changes what has been overtaken is passed over
-  play(delta(5, kDraining) + delta(4, ready) + delta(6, "") + "wait lists_received 4\nwait watches_broken 0\n" + kNothingGoesToBox, mode(GetParam()));
-  // a whole list may be that of a discovery that counts anew: it is asked for all it has, and then believed
+  play(delta(5, kDraining) + delta(4, ready) + delta(6, "") +
+           "wait lists_received 4\nwait watches_broken 0\n" + kNothingGoesToBox,
+       mode(GetParam()));
+  // a whole list may be that of a discovery that counts anew: it is asked for all it has, and then
+  // believed
   play(delta(5, kDraining) + chunk(R"({"seq":1,"whole":true,"hosts":[)" + ready + "]}\\n") + R"(
       closed disco
       accept disco disco
       expect disco GET /discovery/hosts?follow=1 HTTP
-  )" + kNothingGoesToBox + "send disco " + kHead + R"(
+  )" + kNothingGoesToBox +
+           "send disco " + kHead + R"(
       list whole box:ready
       open d
       send d job B price 5000
       accept b box
       expect b X-Trace-Id: B
-  )", mode(GetParam()));
+  )",
+       mode(GetParam()));
 }
 
 // What the agent has counts as told from the moment of its return.
@@ -136,15 +170,18 @@
     clock
     accept disco disco
     under 0.6
-  )", mode("push"));
+  )",
+       mode("push"));
 }
 
 TEST(Crossing, HalfAListIsNotContinuedByTheDiscoveryThatSighupNames) {
   for (const char* order : {"signal HUP\nwait reloads 1\n", ""})
-    play(chunk(R"({"seq":3,"whole":false,"hosts":[)") + "config disco2\n" + order + (*order ? "" : "close disco\nsignal HUP\nwait reloads 1\n") + R"(
+    play(chunk(R"({"seq":3,"whole":false,"hosts":[)") + "config disco2\n" + order +
+         (*order ? "" : "close disco\nsignal HUP\nwait reloads 1\n") + R"(
       accept disco disco2
       expect disco since=2 HTTP
-      send disco )" + kHead + "\n" + delta(1, kDraining) + "wait lists_received 3+\n" + kNothingGoesToBox);
+      send disco )" +
+         kHead + "\n" + delta(1, kDraining) + "wait lists_received 3+\n" + kNothingGoesToBox);
 }
 
 // ---- a drain, and an attempt whose connection comes up late ----
@@ -167,7 +204,8 @@
     expect b body
     wait attempts_never_connected 1
     wait attempts_reset 0
-  )", with(R"({"limits":{"connect_timeout_ms":8000}})"));
+  )",
+       with(R"({"limits":{"connect_timeout_ms":8000}})"));
 }
 
 TEST(Crossing, AConnectionThatComesUpBeforeTheDrainCarriesItsRequest) {
@@ -184,17 +222,21 @@
     send b ok 202
     news A box done {"result":"drained"}
     expect c drained
-  )", with(R"({"limits":{"connect_timeout_ms":8000}})"));
+  )",
+       with(R"({"limits":{"connect_timeout_ms":8000}})"));
 }
 
 // ---- keyed work, and a connection that comes up late ----
 
-// With lists pushed the node asks its agent again every 100 ms: so many tries are over a second, and the window is past.
+// With lists pushed the node asks its agent again every 100 ms: so many tries are over a second,
+// and the window is past.
 const std::string kOverASecond = "close disco\nstop disco\nwait watches_broken 16+\n";
 Options window(const char* ms) {
-  return with(std::string(R"({"registry_mode":"push","limits":{"connect_timeout_ms":15000},"classes":[
+  return with(
+      std::string(R"({"registry_mode":"push","limits":{"connect_timeout_ms":15000},"classes":[
     {"name":"price","effect":"safe","target_ms":500.0},
-    {"name":"hold","effect":"keyed","key_scope":"zone","target_ms":500.0,"dedup_window_ms":)") + ms + R"(},
+    {"name":"hold","effect":"keyed","key_scope":"zone","target_ms":500.0,"dedup_window_ms":)") +
+      ms + R"(},
     {"name":"sale","effect":"unsafe","target_ms":500.0}]})");
 }
 const std::string kSecondConnecting = R"(
@@ -217,7 +259,8 @@
     wait attempts_never_connected 1
     wait attempts_started 2
     nobody box
-  )", window("1000.0"));
+  )",
+       window("1000.0"));
 }
 
 TEST(Crossing, KeyedWorkWhoseConnectionComesUpLateAndWithinItsWindowIsWritten) {
@@ -229,7 +272,8 @@
     send late ok 202
     news A box done {"result":"in time"}
     expect c in time
-  )", window("15000.0"));
+  )",
+       window("15000.0"));
 }
 
 // ---- clients that leave ----
@@ -245,16 +289,22 @@
     wait attempts_started 1
     nobody box
 )";
-const std::string kHeld = "list box:draining\nwait lists_received 3\nopen c\nsend c job A price 15000\nwait requests_taken 1\n";
+const std::string kHeld =
+    "list box:draining\nwait lists_received 3\nopen c\nsend c job A price 15000\nwait "
+    "requests_taken 1\n";
 
 TEST(Crossing, WhoLeavesWhileItsRequestIsHeldIsNotSentOn) {
-  for (const char* how : {"close c\n", "reset c\n", "fill c 4000 GET /up HTTP/1.1\\r\\n\\r\\n\nclose c\n", "fill c 4000 GET /up HTTP/1.1\\r\\n\\r\\n\nreset c\n"})
+  for (const char* how :
+       {"close c\n", "reset c\n", "fill c 4000 GET /up HTTP/1.1\\r\\n\\r\\n\nclose c\n",
+        "fill c 4000 GET /up HTTP/1.1\\r\\n\\r\\n\nreset c\n"})
     play(kHeld + how + "wait clients_gone 1\n" + kOnlyB);
 }
 
 TEST(Crossing, WhoLeavesAfterSighupOrSigtermIsNotSentOn) {
   play(kHeld + "signal HUP\nwait reloads 1\nclose c\nwait clients_gone 1\n" + kOnlyB);
-  play(kHeld + "signal TERM\nwait drain_stage 1\nclose c\nwait clients_gone 1\nlist box:ready\nexit 0\nnobody box\n");
+  play(kHeld +
+       "signal TERM\nwait drain_stage 1\nclose c\nwait clients_gone 1\nlist box:ready\nexit "
+       "0\nnobody box\n");
 }
 
 TEST(Crossing, WhoLeavesBetweenTwoAttemptsIsNotSentOnAgain) {
@@ -279,13 +329,17 @@
 }
 
 TEST(Crossing, WhoLeavesWhileAPlugInLooksAtItsRequestOrHoldsItIsNotSentOn) {
-  // A plug-in that spins is cut off after its budget of processor time, and its request goes on: the client leaves before.
-  for (const char* source : {"-- (budget (time 100ms))\nfunction on_request(r) while r.id == 'A' do end end", "function on_request(r) if r.id == 'A' then return {hold = 1} end end"}) {
+  // A plug-in that spins is cut off after its budget of processor time, and its request goes on:
+  // the client leaves before.
+  for (const char* source :
+       {"-- (budget (time 100ms))\nfunction on_request(r) while r.id == 'A' do end end",
+        "function on_request(r) if r.id == 'A' then return {hold = 1} end end"}) {
     Options options;
     options.plugins = {{"p", source}};
     options.progress = "(heartbeat 300ms)";
     bool holds = std::string(source).find("hold") != std::string::npos;
-    play(std::string("until p ready true\nopen c\nsend c job A price 15000\n") + (holds ? "wait plugin_held 1\n" : "wait plugin_asked 1\n") + R"(
+    play(std::string("until p ready true\nopen c\nsend c job A price 15000\n") +
+             (holds ? "wait plugin_held 1\n" : "wait plugin_asked 1\n") + R"(
       close c
       wait clients_gone 1
       open d
@@ -297,7 +351,8 @@
       wait plugin_hosts_ended 1
       wait attempts_started 1
       nobody box
-    )", options);
+    )",
+         options);
   }
 }
 
@@ -312,12 +367,18 @@
 }
 
 TEST(Crossing, WhoLeavesBeforeOrAfterItsRequestIsRoutedAgainIsNotSentOn) {
-  const std::string routed = "own (admin (socket \"admin\")) (pool none (host \"box2\")) (pool old) (route all (to (old 1)))\nsignal HUP\nwait reloads 1\n";
+  const std::string routed =
+      "own (admin (socket \"admin\")) (pool none (host \"box2\")) (pool old) (route all (to (old "
+      "1)))\nsignal HUP\nwait reloads 1\n";
   const std::string gone = "close c\nwait clients_gone 1\n";
   Options options;
-  options.own = R"((pool new (host "box2")) (pool old) (admin (socket "admin")) (route all (to (new 50) (old 50))))";
+  options.own =
+      R"((pool new (host "box2")) (pool old) (admin (socket "admin")) (route all (to (new 50) (old 50))))";
   for (bool before : {true, false})
-    play("list box:draining box2:draining\nopen c\nsend c job A price 15000\nwait requests_taken 1\n" + (before ? gone + routed : routed + gone) + R"(
+    play(
+        "list box:draining box2:draining\nopen c\nsend c job A price 15000\nwait requests_taken "
+        "1\n" +
+            (before ? gone + routed : routed + gone) + R"(
       list box:ready box2:ready
       open d
       send d job B price 5000
@@ -326,7 +387,8 @@
       wait attempts_started 1
       nobody box
       nobody box2
-    )", options);
+    )",
+        options);
 }
 
 // Also where the settings bar calling attempts off: nothing has been asked of the executor yet.
@@ -346,7 +408,8 @@
       accept b box
       expect b X-Trace-Id: B
       nobody box
-    )", with(std::string(R"({"limits":{"connect_timeout_ms":8000,"cancel":)") + cancel + "}}"));
+    )",
+         with(std::string(R"({"limits":{"connect_timeout_ms":8000,"cancel":)") + cancel + "}}"));
 }
 
 TEST(Crossing, WhereAttemptsAreNotCalledOffOneThatIsOutIsLeftAlone) {
@@ -362,16 +425,20 @@
     news A box done {"result":"for nobody"}
     wait attempts_served 1
     absent b DELETE
-  )", with(R"({"limits":{"cancel":false}})"));
+  )",
+       with(R"({"limits":{"cancel":false}})"));
 }
 
-// The loop is held up; then the executor's return and the clients' going are in one turn, whichever came first.
+// The loop is held up; then the executor's return and the clients' going are in one turn, whichever
+// came first.
 TEST(Crossing, AHundredWhoLeaveInOneTurnAreNotSentOn) {
   for (const char* how : {"close", "reset"})
     for (bool first : {true, false}) {
       std::string leave = std::string("leave x 100 ") + how + "\n", back = "list box:ready\n";
-      play("list box:draining\nwait lists_received 3\ncrowd x 100 price 15000\nwait requests_taken 100\nsignal STOP\n" +
-           (first ? leave + back : back + leave) + R"(
+      play(
+          "list box:draining\nwait lists_received 3\ncrowd x 100 price 15000\nwait requests_taken "
+          "100\nsignal STOP\n" +
+          (first ? leave + back : back + leave) + R"(
         signal CONT
         wait clients_gone 100
         wait lists_received 4
@@ -393,7 +460,8 @@
       expect c up
       signal STOP
       send c job A price 15000
-      )") + how + R"( c
+      )") +
+         how + R"( c
       signal CONT
       open d
       send d job B price 5000
@@ -432,7 +500,8 @@
       accept b box
       expect b body
       send b HTTP/1.1 503 no\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nabc
-      )") + end + R"(
+      )") +
+         end + R"(
       expect c HTTP/1.1 502
       wait attempts_started 1
       wait attempts_turned_away 0
@@ -449,7 +518,8 @@
       send b ok 202
       news A box started
       news A box returned
-      )" + (unsafe ? "accept b box\n" : "") + R"(
+      )" +
+         (unsafe ? "accept b box\n" : "") + R"(
       expect b X-Trace-Id: A
       expect b body
       send b ok 202
@@ -458,7 +528,9 @@
       expect b DELETE /jobs/A
       wait attempts_started 2
       send b ok 200
-      )" + (unsafe ? "expect c HTTP/1.1 502\nwait attempts_started 2\n" : "wait attempts_started 3\n"));
+      )" +
+         (unsafe ? "expect c HTTP/1.1 502\nwait attempts_started 2\n"
+                 : "wait attempts_started 3\n"));
   }
 }
 
@@ -494,7 +566,8 @@
       send c job B price 15000
       expect b X-Trace-Id: B
       expect b body
-      send b )") + second + R"(
+      send b )") +
+         second + R"(
       accept b2 box
       expect b2 DELETE /jobs/B
       wait attempts_started 2
@@ -545,7 +618,8 @@
     send b ok 202
     expect late HTTP/1.1 503
     under 2.2
-  )", with(classes));
+  )",
+       with(classes));
 }
 
 // Its end is told, and the connection for its DELETE comes up, in one turn of the loop.
@@ -562,19 +636,22 @@
     full box
     expect c HTTP/1.1 5
     signal STOP
-    send n POST /_jobs/news HTTP/1.1\r\nContent-Length: )" + std::to_string(body.size()) + "\\r\\n\\r\\n" + body + R"(
+    send n POST /_jobs/news HTTP/1.1\r\nContent-Length: )" +
+           std::to_string(body.size()) + "\\r\\n\\r\\n" + body + R"(
     free box
     accept late box
     signal CONT
     expect n HTTP/1.1 200
     closed late
     absent late POST
-  )", with(R"({"limits":{"connect_timeout_ms":8000}})"));
+  )",
+       with(R"({"limits":{"connect_timeout_ms":8000}})"));
 }
 
 TEST(Crossing, AnExecutorThatHangsUnderARequestHoldsItsClientNoLongerThanItsDeadline) {
   for (const char* half : {"", "send b HTTP/1.1 50\n"})
-    play(std::string("open c\nsend c job A sale 700\nclock\naccept b box\nexpect b body\n") + half + R"(
+    play(std::string("open c\nsend c job A sale 700\nclock\naccept b box\nexpect b body\n") + half +
+         R"(
       expect c HTTP/1.1 504
       under 1.2
       closed b
@@ -595,15 +672,18 @@
       send younger chunk {"seq":9,"whole":true,"hosts":[]}
       ask READY => done
     )";
-    play("list box:draining\nwait lists_received 3\nopen c\nsend c job A price 15000\nwait requests_taken 1\n" +
-         (before ? "signal STOP\nclose c\nsignal CONT\n" + upgrade : upgrade + gone) + R"(
+    play(
+        "list box:draining\nwait lists_received 3\nopen c\nsend c job A price 15000\nwait "
+        "requests_taken 1\n" +
+            (before ? "signal STOP\nclose c\nsignal CONT\n" + upgrade : upgrade + gone) + R"(
       list box:ready
       clock
       elder TERM
       elder exit
       under 3
       nobody box
-    )", options);
+    )",
+        options);
   }
 }
 
@@ -623,7 +703,8 @@
     send b ok 202
     news A box done {"result":"by the elder"}
     expect c by the elder
-  )", options);
+  )",
+       options);
 }
 
 TEST(Crossing, SigtermTwiceAndSighupAfterItChangeNothing) {
@@ -646,10 +727,12 @@
   )");
 }
 
-// What is in the kernel when the node looks, and has not been read: the Server by itself, so that the moment is the test's.
+// What is in the kernel when the node looks, and has not been read: the Server by itself, so that
+// the moment is the test's.
 class Echo final : public Front {
  public:
-  std::unique_ptr<Exchange> on_request(InboundConnection& connection, HttpRequest request) override {
+  std::unique_ptr<Exchange> on_request(InboundConnection& connection,
+                                       HttpRequest request) override {
     connection.respond(200, "for " + request.head.target);
     ++served;
     return nullptr;
@@ -678,7 +761,10 @@
   }
   void run_until(const std::function<bool()>& done) {
     auto late = loop.now() + std::chrono::seconds(10);
-    std::function<void()> look = [&] { done() || loop.now() > late ? loop.stop() : void(loop.at(loop.now() + std::chrono::milliseconds(1), look)); };
+    std::function<void()> look = [&] {
+      done() || loop.now() > late ? loop.stop()
+                                  : void(loop.at(loop.now() + std::chrono::milliseconds(1), look));
+    };
     look();
     loop.run();
     ASSERT_TRUE(done());
@@ -686,7 +772,8 @@
   static std::string answer(int fd) {
     std::string all;
     char piece[512];
-    for (ssize_t got; (got = recv(fd, piece, sizeof piece, 0)) > 0;) all.append(piece, static_cast<std::size_t>(got));
+    for (ssize_t got; (got = recv(fd, piece, sizeof piece, 0)) > 0;)
+      all.append(piece, static_cast<std::size_t>(got));
     return all;
   }
 };
@@ -722,14 +809,16 @@
   close(fd);
 }
 
-// Both come due while something else holds the loop: the request is sent, and then the connection has waited long enough.
+// Both come due while something else holds the loop: the request is sent, and then the connection
+// has waited long enough.
 TEST(Crossing, ARequestThatComesAsItsRestingConnectionRunsOutOfTimeIsServed) {
   End end;
   int fd = end.client();
   end.run_until([&] { return end.server.connections() == 1; });
   auto began = end.loop.now();
   end.loop.at(began + std::chrono::milliseconds(2400), [&] {
-    while (end.loop.now() < began + std::chrono::milliseconds(2600)) continue;
+    while (end.loop.now() < began + std::chrono::milliseconds(2600))
+      continue;
   });
   end.loop.at(began + std::chrono::milliseconds(2410), [&] { End::ask(fd); });
   end.run_until([&] { return end.front.served == 1 || end.server.connections() == 0; });
@@ -748,30 +837,40 @@
 
 // ---- customers and settings ----
 
-// Its pools have come and gone too often, or its log cannot be opened: of the rest nothing is taken either.
+// Its pools have come and gone too often, or its log cannot be opened: of the rest nothing is taken
+// either.
 TEST(Crossing, AFileWhoseLastPartIsRefusedChangesNothing) {
   std::string many, more;
-  for (int i = 0; i < 15; ++i) many += " (pool p" + std::to_string(i) + " (host \"x\"))";
-  for (int i = 0; i < 3; ++i) more += " (pool q" + std::to_string(i) + " (host \"x\"))";
-  const std::string admin = "own (admin (socket \"admin\"))", rest = " (pool rest) (route all (to (rest 1)))\n";
+  for (int i = 0; i < 15; ++i)
+    many += " (pool p" + std::to_string(i) + " (host \"x\"))";
+  for (int i = 0; i < 3; ++i)
+    more += " (pool q" + std::to_string(i) + " (host \"x\"))";
+  const std::string admin = "own (admin (socket \"admin\"))",
+                    rest = " (pool rest) (route all (to (rest 1)))\n";
   Options options;
   options.own = R"((admin (socket "admin")) (pool rest) (route all (to (rest 1))))";
-  for (const auto& [bad, why] : {std::pair(more + rest, "too often"), {" (log (file \"/nowhere/at/all\")) (pool p0 (host \"x\")) (route all (to (p0 1)))\n", "nowhere"}})
+  for (const auto& [bad, why] :
+       {std::pair(more + rest, "too often"),
+        {" (log (file \"/nowhere/at/all\")) (pool p0 (host \"x\")) (route all (to (p0 1)))\n",
+         "nowhere"}})
     play(admin + many + rest + "signal HUP\nwait reloads 1\n" + admin + bad + R"(
       settings {"classes": [{"name": "late", "effect": "safe", "target_ms": 500.0, "value": 1.0}]}
       signal HUP
       wait reloads_failed 1
-      log )" + why + R"(
+      log )" +
+             why + R"(
       open c
       send c job A late 500
       expect c HTTP/1.1 404
       send c job B price 5000
       accept b box
       expect b X-Trace-Id: B
-    )", options);
+    )",
+         options);
 }
 
-// A customer's requests that are held and out when it goes, comes back or changes places end as they came.
+// A customer's requests that are held and out when it goes, comes back or changes places end as
+// they came.
 TEST(Crossing, CustomersThatChangeAtSighupWithRequestsHeldAndOutAreServed) {
   play(R"(
     open c
@@ -815,7 +914,8 @@
     request.head.method = "POST";
     request.head.target = "/price";
     request.head.headers = {{"X-Trace-Id", "A"}, {"X-Expires-In-Ms", "500"}};
-    if (*customer) request.head.headers.emplace_back("X-Customer", customer);
+    if (*customer)
+      request.head.headers.emplace_back("X-Customer", customer);
     return std::get<Job>(decode_job(std::move(request), names)).tenant;
   };
   EXPECT_EQ(tenant("river street"), 0);
@@ -828,37 +928,62 @@
 // Where customers change places at SIGHUP, each keeps its number, and its own share comes with it.
 TEST(Crossing, CustomersThatComeGoAndChangePlacesKeepTheirOwnShares) {
   auto config = [](const std::string& tenants) {
-    return decode_config(R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"balancers":1,"rank":0,"locality":0,"dcs":["e"],"kinds":["k"],
+    return decode_config(
+        R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"balancers":1,"rank":0,"locality":0,"dcs":["e"],"kinds":["k"],
       "classes":[{"name":"p","effect":"safe","target_ms":5.0}],"granularity_ms":4.0,"registry_mode":"ask","limits":{"try_limit":3},
       "safety":{"cold_from":0.14,"cold_ms":23000.0,"drain_grace_ms":500.0,"fall_ms":2000.0,"fall_multiple":4.0,"grace_to_answer_ms":16.0},
-      "tenants":)" + tenants + "}}");
+      "tenants":)" +
+        tenants + "}}");
+  };
+  auto none = [](int) {
+    return false;
   };
-  auto none = [](int) { return false; };
-  Config now = config(R"([{"name":"a","quota_per_s":1.0},{"name":"b","quota_per_s":2.0},{"name":"c","quota_per_s":3.0}])");
-  Config next = retune(now, config(R"([{"name":"d","quota_per_s":40.0},{"name":"c","quota_per_s":30.0},{"name":"a","quota_per_s":10.0}])"), none).config;
+  Config now = config(
+      R"([{"name":"a","quota_per_s":1.0},{"name":"b","quota_per_s":2.0},{"name":"c","quota_per_s":3.0}])");
+  Config next =
+      retune(
+          now,
+          config(
+              R"([{"name":"d","quota_per_s":40.0},{"name":"c","quota_per_s":30.0},{"name":"a","quota_per_s":10.0}])"),
+          none)
+          .config;
   EXPECT_EQ(next.names.tenants, (std::vector<std::string>{"a", "b", "c", "d"}));
   EXPECT_EQ(next.settings.tenant_quota, (std::vector<double>{10, 0, 30, 40}));
-  Config back = retune(next, config(R"([{"name":"b","quota_per_s":7.0},{"name":"a","quota_per_s":1.0}])"), none).config;
+  Config back =
+      retune(next, config(R"([{"name":"b","quota_per_s":7.0},{"name":"a","quota_per_s":1.0}])"),
+             none)
+          .config;
   EXPECT_EQ(back.names.tenants, (std::vector<std::string>{"a", "b", "c", "d"}));
   EXPECT_EQ(back.settings.tenant_quota, (std::vector<double>{1, 7, 0, 0}));
 }
 
 TEST(Crossing, NamesAndKeysDoNotBecomeOtherSettings) {
-  std::string lines = flatten_settings(R"({"balancers":2,"x\nbalancers":9,"y=1\nbalancers":9,"a.b":1,"tenants":[{"name":"t=1\nbalancers=9\r","quota_per_s":1.0}]})");
+  std::string lines = flatten_settings(
+      R"({"balancers":2,"x\nbalancers":9,"y=1\nbalancers":9,"a.b":1,"tenants":[{"name":"t=1\nbalancers=9\r","quota_per_s":1.0}]})");
   std::size_t at = 0, count = 0;
-  for (std::istringstream in(lines); std::getline(in, lines); ++at) count += lines.starts_with("balancers=");
+  for (std::istringstream in(lines); std::getline(in, lines); ++at)
+    count += lines.starts_with("balancers=");
   EXPECT_EQ(count, 1u);
 }
 
 TEST(Crossing, TheLongestDeadlineIsThatOfAllClassesOrUnknown) {
   auto longest = [](const std::string& classes) {
-    return decode_config(R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"balancers":1,"rank":0,"locality":0,"dcs":["e"],"kinds":["k"],
+    return decode_config(
+               R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"balancers":1,"rank":0,"locality":0,"dcs":["e"],"kinds":["k"],
       "granularity_ms":4.0,"registry_mode":"ask","limits":{"try_limit":3},
       "safety":{"cold_from":0.14,"cold_ms":23000.0,"drain_grace_ms":500.0,"fall_ms":2000.0,"fall_multiple":4.0,"grace_to_answer_ms":16.0},
-      "classes":)" + classes + "}}").longest_deadline;
+      "classes":)" +
+               classes + "}}")
+        .longest_deadline;
   };
-  EXPECT_EQ(longest(R"([{"name":"p","effect":"safe","target_ms":5.0,"give_up_ms":900.0},{"name":"q","effect":"safe","target_ms":5.0,"give_up_ms":2800.0}])"), std::chrono::milliseconds(2800));
-  EXPECT_EQ(longest(R"([{"name":"p","effect":"safe","target_ms":5.0,"give_up_ms":900.0},{"name":"q","effect":"safe","target_ms":5.0}])"), Duration::max());
+  EXPECT_EQ(
+      longest(
+          R"([{"name":"p","effect":"safe","target_ms":5.0,"give_up_ms":900.0},{"name":"q","effect":"safe","target_ms":5.0,"give_up_ms":2800.0}])"),
+      std::chrono::milliseconds(2800));
+  EXPECT_EQ(
+      longest(
+          R"([{"name":"p","effect":"safe","target_ms":5.0,"give_up_ms":900.0},{"name":"q","effect":"safe","target_ms":5.0}])"),
+      Duration::max());
 }
 
 }  // namespace
