--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -158,8 +158,8 @@
     }
   }
 
-  WorkerList topology() const {
-    WorkerList list;
+  EndpointList topology() const {
+    EndpointList list;
     switch (int scope = get8(r_, 1)) {
       case 0:
         list.scope = ListScope::cached;
@@ -184,9 +184,9 @@
         fault("unknown worker phase " + std::to_string(phase));
       list.entries.push_back({get<std::uint32_t>(e, 0), get8(e, 4), get8(e, 5),
                               get<std::uint16_t>(e, 6),
-                              phase == 1   ? WorkerState::ready
-                              : phase == 2 ? WorkerState::draining
-                                           : WorkerState::gone,
+                              phase == 1   ? EndpointState::ready
+                              : phase == 2 ? EndpointState::draining
+                                           : EndpointState::gone,
                               get_f32(e, 9), get_f64(e, 13)});
     }
     return list;
@@ -232,7 +232,7 @@
     void operator()(const Send& a) const {
       char* r = w.record(10);
       put(r + 1, a.request);
-      put(r + 5, a.worker);
+      put(r + 5, a.endpoint);
       put_f64(r + 9, a.timeout_ms);
     }
     void operator()(const Refuse& a) const {
@@ -251,7 +251,7 @@
       put(r + 1, a.name);
       put_f64(r + 9, a.when);
     }
-    void operator()(const Probe& a) const { put(w.record(60) + 1, a.worker); }
+    void operator()(const Probe& a) const { put(w.record(60) + 1, a.endpoint); }
     void operator()(const Subscribe&) const { w.record(110)[1] = 1; }
     void operator()(const Tell& a) const {
       char* r = w.record(80);
--- a/bench/bench_dispatcher.cpp
+++ b/bench/bench_dispatcher.cpp
@@ -23,9 +23,10 @@
   settings.tells_start = true;
   Dispatcher dispatcher(settings, 7);
   Actions actions;
-  WorkerList list;
+  EndpointList list;
   for (int i = 0; i < static_cast<int>(state.range(0)); ++i)
-    list.entries.push_back({static_cast<WorkerId>(i + 1), 0, 0, i / 4, WorkerState::ready, 2, 0});
+    list.entries.push_back(
+        {static_cast<EndpointId>(i + 1), 0, 0, i / 4, EndpointState::ready, 2, 0});
   Time now = 1000;
   dispatcher.handle(now, list, actions);
   RequestId last = 0;
--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -34,7 +34,7 @@
         traffic_(*this, clock_, engine_,
                  {Names{{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings()}, counters_),
         destinations_(
-            loop_, {}, {}, [](reedlb::WorkerList) {}, counters_, 1) {
+            loop_, {}, {}, [](reedlb::EndpointList) {}, counters_, 1) {
     engine_.connect(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
@@ -51,9 +51,9 @@
       moves[0].least_ms = 1e9, moves[0].most_ms = 2e9;
     }
     traffic_.configure(spec, moves);
-    reedlb::WorkerList list;
-    for (reedlb::WorkerId w = 1; w <= 12; ++w)
-      list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
+    reedlb::EndpointList list;
+    for (reedlb::EndpointId w = 1; w <= 12; ++w)
+      list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::EndpointState::ready, 1, 0});
     traffic_.list(std::move(list));
     if (kind == Kind::moving)
       traffic_.command("m", "start");
@@ -80,10 +80,10 @@
 
  private:
   void on_final(FinalAnswer) override {}
-  void start(AttemptRef ref, WorkerId, const Job&, const Terms&) override { sent_ = ref; }
+  void start(AttemptRef ref, EndpointId, const Job&, const Terms&) override { sent_ = ref; }
   void give_up(AttemptRef) override {}
   void give_up_unsent(AttemptRef) override {}
-  void probe(WorkerId) override {}
+  void probe(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers_.add(when, std::move(task));
@@ -117,11 +117,11 @@
   spec.routes = {{"all", {}, {}, {}, {{"old", 50}, {"new", 50}}, false}};
   routes::Router router(spec, {{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings().classes,
                         {20'000, 2'000});
-  reedlb::WorkerList list;
-  for (reedlb::WorkerId w = 1; w <= 12; ++w)
-    list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::WorkerState::ready, 1, 0});
+  reedlb::EndpointList list;
+  for (reedlb::EndpointId w = 1; w <= 12; ++w)
+    list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::EndpointState::ready, 1, 0});
   router.split(
-      list, [](reedlb::WorkerId) { return std::string_view("s"); }, 0);
+      list, [](reedlb::EndpointId) { return std::string_view("s"); }, 0);
   double now = 0;
   std::uint64_t n = 0;
   std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/include/reedlb/dispatcher.h
+++ b/include/reedlb/dispatcher.h
@@ -1,4 +1,4 @@
-// reedlb: the decisions of one dispatcher that pushes jobs to workers.
+// reedlb: the decisions of one dispatcher that pushes jobs to endpoints.
 //
 // A Dispatcher is told the time and one event per call and appends what it wants done to a list of
 // actions. It has no clock, no threads, no I/O and no globals; the same settings, seed and events
@@ -17,7 +17,7 @@
 
 using Time = double;
 using RequestId = std::uint32_t;
-using WorkerId = std::uint32_t;
+using EndpointId = std::uint32_t;
 
 enum class Effect : std::uint8_t {
   safe,
@@ -46,25 +46,25 @@
   double stretch = 0;
   double value = 1;  // worth of a job, and the share of it that a late answer still earns
   double late_worth = 0;
-  int kind = -1;     // the only worker kind that runs it, or -1
-  int priority = 0;  // counts in the workers' queues where queue_by_priority
+  int kind = -1;     // the only endpoint kind that runs it, or -1
+  int priority = 0;  // counts in the endpoints' queues where queue_by_priority
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct Settings {
   int dispatchers = 1, rank = 0;       // how many there are, and which one this is
-  int zone = 0, zones = 1, kinds = 1;  // own zone, and how many zones and worker kinds exist
+  int zone = 0, zones = 1, kinds = 1;  // own zone, and how many zones and endpoint kinds exist
   std::vector<ClassSettings> classes;
   std::vector<double>
       tenant_quota;  // per tenant: jobs a second within its share, over all dispatchers
   double over_share_worth = 1;
   double tick_ms = 1;     // events arrive no more often than this
-  bool ask_list = false;  // the worker list must be asked for (Subscribe)
+  bool ask_list = false;  // the endpoint list must be asked for (Subscribe)
   double ask_within_ms = 10000;
   bool cancel = true, probes = false, peers = false, parallel_tries = false, retry_after = false;
   int try_limit = 1;
   double max_retry_after_ms = 0;
-  bool tells_start = false;  // workers report when a job starts
+  bool tells_start = false;  // endpoints report when a job starts
   bool queue_by_priority = false;
   double probe_price = 0, cross_zone_price = 0, waste_price = 0,
          late_fail_price = 0;       // points of service each
@@ -76,18 +76,18 @@
 
 // ---- events ----
 
-enum class WorkerState : std::uint8_t { gone, ready, draining };
-struct WorkerEntry {
-  WorkerId worker = 0;
+enum class EndpointState : std::uint8_t { gone, ready, draining };
+struct EndpointEntry {
+  EndpointId endpoint = 0;
   int zone = 0, kind = 0, cell = 0;
-  WorkerState state = WorkerState::ready;
+  EndpointState state = EndpointState::ready;
   double nominal = 1;
-  Time born = 0;  // when it last started; 0 = long ago
+  Time started_at = 0;  // when it last started; 0 = long ago
 };
 enum class ListScope : std::uint8_t { cached, failed, delta, full };
-struct WorkerList {
+struct EndpointList {
   ListScope scope = ListScope::full;
-  std::vector<WorkerEntry> entries;
+  std::vector<EndpointEntry> entries;
 };
 struct Arrival {
   RequestId request = 0;
@@ -123,7 +123,7 @@
   float values[4] = {};
 };
 struct ProbeResult {
-  WorkerId worker = 0;
+  EndpointId endpoint = 0;
   bool ok = false;
   double elapsed_ms = 0;
   LoadReport report;
@@ -171,12 +171,12 @@
     void add(double hint) { hint_sum += hint, ++hint_count; }
   };
   struct OfKind {
-    double cores = 1;  // most own jobs in work at once on a warm worker
-    double slow = 1;   // run times on warm workers over corrected hints
+    double cores = 1;  // most own jobs in work at once on a warm endpoint
+    double slow = 1;   // run times on warm endpoints over corrected hints
   };
   struct Seen {
-    WorkerId worker = 0;
-    Time born = 0;  // of another life nothing is believed
+    EndpointId endpoint = 0;
+    Time started_at = 0;  // of another life nothing is believed
     OfWorker of;
     double load = 0,
            cold_work = 0;  // own slots in flight; work sent within the last window while cold
@@ -186,7 +186,7 @@
     double mean_run = 0;              // EMA of own run times
     double crowding = 0;              // share of late starts and refusals among the latest signs
   };
-  std::vector<Seen> workers;
+  std::vector<Seen> endpoints;
   std::vector<OfClass> classes;  // by number, as many as the settings have, as kinds and zones
   std::vector<OfKind> kinds;
   OfFleet fleet;
@@ -206,39 +206,39 @@
 struct Members {
   std::vector<bool> lives;
 };
-// Who is at home at the workers that the Dispatcher knows: it prefers those that are home to it,
-// and tells the others there of them where `talk`. While a worker is cold its Turns say so instead.
-// Until the first one comes all are at home.
+// Who is at home at the endpoints that the Dispatcher knows: it prefers those that are home to it,
+// and tells the others there of them where `talk`. While a endpoint is cold its Turns say so
+// instead. Until the first one comes all are at home.
 struct Homes {
   struct At {
-    WorkerId worker = 0;
+    EndpointId endpoint = 0;
     bool own = false;
     std::vector<int> others;  // ranks
   };
-  std::vector<At> workers;
+  std::vector<At> endpoints;
   bool talk = false;
 };
-// Rule 4 holds of what all dispatchers send to a cold worker. Each has a part; until it is told of
-// it, an even one.
+// Rule 4 holds of what all dispatchers send to a cold endpoint. Each has a part; until it is told
+// of it, an even one.
 struct Turns {
   struct At {
-    Homes::At home;    // while it is cold
-    Time born = 0;     // of another life it says nothing
-    double share = 0;  // of the budget
+    Homes::At home;       // while it is cold
+    Time started_at = 0;  // of another life it says nothing
+    double share = 0;     // of the budget
   };
-  std::vector<At> workers;
+  std::vector<At> endpoints;
 };
-// Work that may be sent to a cold worker until that time, of another dispatcher's part (ours: in
+// Work that may be sent to a cold endpoint until that time, of another dispatcher's part (ours: in
 // place of what such a grant had left); or that another one was granted of the own part, which
 // counts as sent then (less than 0: it gave that back).
 struct Grant {
-  WorkerId worker = 0;
-  Time born = 0;
+  EndpointId endpoint = 0;
+  Time started_at = 0;
   double work = 0;  // ms
   Time until = 0;
   bool ours = false;
 };
-using Event = std::variant<WorkerList, Arrival, StreamBegun, Started, ClientGone, Timer,
+using Event = std::variant<EndpointList, Arrival, StreamBegun, Started, ClientGone, Timer,
                            PeerMessage, ProbeResult, Outcome, Retune, Knowledge, Twin, Members,
                            Homes, Turns, Grant, SendPermission>;
 
@@ -246,7 +246,7 @@
 
 struct Send {  // attempts of a request are numbered 0, 1, 2 ... in the order of their Sends
   RequestId request = 0;
-  WorkerId worker = 0;
+  EndpointId endpoint = 0;
   double timeout_ms = 0;  // 0: until the client gives up
 };
 struct Refuse {  // final: the client may safely try again
@@ -265,9 +265,9 @@
   Time when = 0;
 };
 struct Probe {
-  WorkerId worker = 0;
+  EndpointId endpoint = 0;
 };
-struct Subscribe {};  // ask for the worker list and its changes
+struct Subscribe {};  // ask for the endpoint list and its changes
 struct Tell {  // a message to the dispatcher of that rank (the own one: the twin); it may come late
                // or never
   int peer = 0;
@@ -289,7 +289,7 @@
 
 void validate(const Settings& settings);  // throws std::invalid_argument on impossible settings
 
-// What a Dispatcher may send to a cold worker now, in ms of work.
+// What a Dispatcher may send to a cold endpoint now, in ms of work.
 struct ColdRoom {
   double own = 0;      // of its own part; below 0: more was sent than is thought right by now
   double granted = 0;  // of others' parts
@@ -312,8 +312,8 @@
   double calibration(int cls) const;  // the factor B of a class, for monitoring
   std::size_t held() const;           // jobs waiting here, for monitoring
   Knowledge knowledge(Time now) const;
-  ColdRoom cold_room(WorkerId worker, Time now) const;
-  bool avoids(WorkerId worker,
+  ColdRoom cold_room(EndpointId endpoint, Time now) const;
+  bool avoids(EndpointId endpoint,
               Time now) const;  // it is ready and yet left alone, as it looks ill; for monitoring
 
  private:
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -30,7 +30,7 @@
     bool leaves = job_.leaves_after > Duration::zero();
     timer_ = leaves ? owner_.world_.loop.at(began_ + job_.leaves_after, [this] { leave(); })
                     : owner_.world_.loop.at(deadline_ + kSlack, [this] { silent(); });
-    connection_ = owner_.pool_.take(static_cast<WorkerId>(node_), owner_.world_.nodes[node_]);
+    connection_ = owner_.pool_.take(static_cast<EndpointId>(node_), owner_.world_.nodes[node_]);
     if (!connection_)
       return;  // the deadline ends it
     connection_->attach(this);
@@ -63,7 +63,7 @@
   void on_body(std::string_view bytes) override { body_ += bytes; }
   void on_complete(bool reusable) override {
     if (reusable)
-      owner_.pool_.give_back(static_cast<WorkerId>(node_), std::move(connection_));
+      owner_.pool_.give_back(static_cast<EndpointId>(node_), std::move(connection_));
     else
       owner_.pool_.discard(std::move(connection_));  // its end must not be taken for this request's
     finish(status_);
@@ -75,7 +75,8 @@
     bool again = connection_tries_++ == 0 && status_ == 0 && owner_.world_.loop.now() < deadline_;
     if (!again)
       return finish(0);
-    connection_ = owner_.pool_.take(static_cast<WorkerId>(node_), owner_.world_.nodes[node_], true);
+    connection_ =
+        owner_.pool_.take(static_cast<EndpointId>(node_), owner_.world_.nodes[node_], true);
     if (!connection_)
       return;
     connection_->attach(this);
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -582,7 +582,7 @@
     m["recover-s"] = fault > 0 ? recovery(seconds, static_cast<std::size_t>(fault)) : 0;
   }
 
-  // Executors home to each node, in times the mean.
+  // Endpoints home to each node, in times the mean.
   void look_at_homes(std::map<std::string, double>& m) {
     std::vector<double> homes;
     for (const json& fleet : fleets_) {
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -12,10 +12,10 @@
 
 constexpr double kWanted = 4,
                  kWantedWhereTold =
-                     6;  // home executors for each dispatcher; where dispatchers talk of them
+                     6;  // home endpoints for each dispatcher; where dispatchers talk of them
 constexpr int kTellingFleet = 16;  // dispatchers from which on they do
 constexpr int kFree = 2;           // of its homes a dispatcher has wherever its best pairs fall
-// By how much an executor's dispatchers may lie under and over its part. Narrower bounds move more
+// By how much an endpoint's dispatchers may lie under and over its part. Narrower bounds move more
 // at each change, and bounds on whole or half numbers, where parts often lie, would all jump with
 // one dispatcher more or less.
 constexpr double kUnder = 1.25, kOver = 1.75, kFew = 4;
@@ -23,21 +23,21 @@
 
 struct Pair {
   std::uint64_t score;
-  std::uint32_t dispatcher, worker;  // places in the lists
+  std::uint32_t dispatcher, endpoint;  // places in the lists
   bool taken = false;
   auto operator<=>(const Pair& o) const {
-    return std::tie(score, dispatcher, worker) <=> std::tie(o.score, o.dispatcher, o.worker);
+    return std::tie(score, dispatcher, endpoint) <=> std::tie(o.score, o.dispatcher, o.endpoint);
   }
 };
 
 // The best pairs, in order: they are enough, and sorting all would cost most of the time.
-std::vector<Pair> best_pairs(const std::vector<reedlb::WorkerId>& workers,
+std::vector<Pair> best_pairs(const std::vector<reedlb::EndpointId>& endpoints,
                              const std::vector<int>& dispatchers, int each) {
-  double share = std::min(1.0, kLooked * (each + 2.0) / static_cast<double>(workers.size()));
+  double share = std::min(1.0, kLooked * (each + 2.0) / static_cast<double>(endpoints.size()));
   auto most = share >= 1 ? ~std::uint64_t{0} : static_cast<std::uint64_t>(share * 0x1p64);
   std::vector<Pair> pairs;
-  for (std::size_t w = 0; w < workers.size(); ++w) {
-    std::uint64_t seed = mix(workers[w]);
+  for (std::size_t w = 0; w < endpoints.size(); ++w) {
+    std::uint64_t seed = mix(endpoints[w]);
     for (std::size_t d = 0; d < dispatchers.size(); ++d) {
       std::uint64_t score = mix(seed + static_cast<std::uint64_t>(dispatchers[d]));
       if (score <= most)
@@ -50,24 +50,24 @@
 
 }  // namespace
 
-std::vector<std::vector<int>> subsets(const std::vector<reedlb::WorkerId>& workers,
+std::vector<std::vector<int>> subsets(const std::vector<reedlb::EndpointId>& endpoints,
                                       const std::vector<int>& dispatchers, int each) {
-  std::vector<std::vector<int>> homes(workers.size());
-  if (workers.empty() || dispatchers.empty())
+  std::vector<std::vector<int>> homes(endpoints.size());
+  if (endpoints.empty() || dispatchers.empty())
     return homes;
-  each = std::min(each, static_cast<int>(workers.size()));
+  each = std::min(each, static_cast<int>(endpoints.size()));
   double part = static_cast<double>(each) * static_cast<double>(dispatchers.size()) /
-                static_cast<double>(workers.size());
-  std::vector<Pair> pairs = best_pairs(workers, dispatchers, each);
+                static_cast<double>(endpoints.size());
+  std::vector<Pair> pairs = best_pairs(endpoints, dispatchers, each);
   std::vector<int> has(dispatchers.size());
   auto pass = [&](int most, double bound) {
     for (Pair& p : pairs) {
       if (p.taken || has[p.dispatcher] >= most ||
-          static_cast<double>(homes[p.worker].size()) + 1 > bound)
+          static_cast<double>(homes[p.endpoint].size()) + 1 > bound)
         continue;
       p.taken = true;
       ++has[p.dispatcher];
-      homes[p.worker].push_back(dispatchers[p.dispatcher]);
+      homes[p.endpoint].push_back(dispatchers[p.dispatcher]);
     }
   };
   // Of a few, one more or less is much.
@@ -88,17 +88,17 @@
   return talks_of_homes(peers, dispatchers) ? kWantedWhereTold : kWanted;
 }
 
-int homes_at_each(double wanted, int dispatchers, int workers) {
-  return workers == 0 ? 0
-                      : static_cast<int>(std::min<double>(
-                            dispatchers, 1 + std::ceil(wanted * dispatchers / workers)));
+int homes_at_each(double wanted, int dispatchers, int endpoints) {
+  return endpoints == 0 ? 0
+                        : static_cast<int>(std::min<double>(
+                              dispatchers, 1 + std::ceil(wanted * dispatchers / endpoints)));
 }
 
-int homes_for_each(double wanted, int dispatchers, int workers) {
-  if (workers == 0)
+int homes_for_each(double wanted, int dispatchers, int endpoints) {
+  if (endpoints == 0)
     return 0;
-  double all = static_cast<double>(homes_at_each(wanted, dispatchers, workers)) * workers;
-  return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, workers);
+  double all = static_cast<double>(homes_at_each(wanted, dispatchers, endpoints)) * endpoints;
+  return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, endpoints);
 }
 
 Homes::Homes(const reedlb::Settings& s)
@@ -108,7 +108,7 @@
       lives_(static_cast<std::size_t>(std::max(1, s.dispatchers)), true) {}
 
 std::optional<reedlb::Homes> Homes::after(const reedlb::Event& event) {
-  if (const auto* list = std::get_if<reedlb::WorkerList>(&event)) {
+  if (const auto* list = std::get_if<reedlb::EndpointList>(&event)) {
     if (!take(*list))
       return std::nullopt;
   } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
@@ -126,41 +126,41 @@
   return told_ = divide();
 }
 
-bool Homes::take(const reedlb::WorkerList& list) {
+bool Homes::take(const reedlb::EndpointList& list) {
   if (list.scope == reedlb::ListScope::failed)
     return false;
-  std::set<reedlb::WorkerId> now;
+  std::set<reedlb::EndpointId> now;
   if (list.scope == reedlb::ListScope::delta)
-    now = workers_;
-  for (const reedlb::WorkerEntry& e : list.entries)
-    if (e.state == reedlb::WorkerState::gone)
-      now.erase(e.worker);
+    now = endpoints_;
+  for (const reedlb::EndpointEntry& e : list.entries)
+    if (e.state == reedlb::EndpointState::gone)
+      now.erase(e.endpoint);
     else
-      now.insert(e.worker);
-  if (now == workers_)
+      now.insert(e.endpoint);
+  if (now == endpoints_)
     return false;
-  workers_ = std::move(now);
+  endpoints_ = std::move(now);
   return true;
 }
 
 reedlb::Homes Homes::divide() const {
-  std::vector<reedlb::WorkerId> workers(workers_.begin(), workers_.end());
+  std::vector<reedlb::EndpointId> endpoints(endpoints_.begin(), endpoints_.end());
   std::vector<int> living;
   for (int d = 0; d < dispatchers_; ++d)
     if (lives_[static_cast<std::size_t>(d)] || d == self_)
       living.push_back(d);
   // By the number of all: who is left keeps as many as before.
   int each = homes_for_each(wanted_homes(peers_, dispatchers_), dispatchers_,
-                            static_cast<int>(workers.size()));
-  auto homes = subsets(workers, living, each);
+                            static_cast<int>(endpoints.size()));
+  auto homes = subsets(endpoints, living, each);
   reedlb::Homes out;
   out.talk = talks_of_homes(peers_, dispatchers_);
-  for (std::size_t w = 0; w < workers.size(); ++w) {
+  for (std::size_t w = 0; w < endpoints.size(); ++w) {
     auto self = std::find(homes[w].begin(), homes[w].end(), self_);
     bool home = self != homes[w].end();
     if (home)
       homes[w].erase(self);
-    out.workers.push_back({workers[w], home, std::move(homes[w])});
+    out.endpoints.push_back({endpoints[w], home, std::move(homes[w])});
   }
   return out;
 }
--- a/logic/fleet/turns.cpp
+++ b/logic/fleet/turns.cpp
@@ -11,8 +11,8 @@
 
 using reedlb::ColdRoom;
 using reedlb::Dispatcher;
+using reedlb::EndpointEntry;
 using reedlb::Event;
-using reedlb::WorkerEntry;
 
 constexpr char kMark = '\xfd';
 constexpr char kVersion = 1;
@@ -26,10 +26,10 @@
 constexpr int kOwners =
     8;  // nodes that own parts: with fewer much lies at nodes that have no use for it
 
-std::uint64_t seed_of(const WorkerEntry& e) {
-  return mix(e.worker ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.born) * 1000)));
+std::uint64_t seed_of(const EndpointEntry& e) {
+  return mix(e.endpoint ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.started_at) * 1000)));
 }
-std::uint32_t life_of(const WorkerEntry& e) {
+std::uint32_t life_of(const EndpointEntry& e) {
   return static_cast<std::uint32_t>(seed_of(e));
 }
 
@@ -53,7 +53,7 @@
 
 std::string write_turn(const TurnWord& w) {
   std::string out{kMark, kVersion, static_cast<char>(w.kind), '\0'};
-  for (std::uint32_t v : {w.worker, w.life, w.asker, w.number, w.work, w.least})
+  for (std::uint32_t v : {w.endpoint, w.life, w.asker, w.number, w.work, w.least})
     put(out, v);
   return out;
 }
@@ -71,8 +71,8 @@
                   get(bytes, 24)};
 }
 
-std::vector<int> order_at(const WorkerEntry& worker, int dispatchers) {
-  std::uint64_t seed = seed_of(worker);
+std::vector<int> order_at(const EndpointEntry& endpoint, int dispatchers) {
+  std::uint64_t seed = seed_of(endpoint);
   std::vector<std::pair<std::uint64_t, int>> scored;
   for (int d = 0; d < dispatchers; ++d)
     scored.emplace_back(mix(seed + static_cast<std::uint64_t>(d)), d);
@@ -109,11 +109,11 @@
 void Turns::after(reedlb::Time now, const Event& event, const Dispatcher& dispatcher,
                   std::vector<Event>& told, reedlb::Actions& out) {
   now_ = std::max(now_, now);
-  if (const auto* list = std::get_if<reedlb::WorkerList>(&event)) {
+  if (const auto* list = std::get_if<reedlb::EndpointList>(&event)) {
     if (take(*list))
       order();
     for (auto& [id, turn] : turns_)
-      turn.entry = workers_.at(id);  // it may have begun to drain
+      turn.entry = endpoints_.at(id);  // it may have begun to drain
   } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
     if (members->lives.size() == lives_.size())
       lives_ = members->lives;
@@ -140,37 +140,37 @@
     ask_all(dispatcher, told, out);
 }
 
-// True: an executor came or went, or started again.
-bool Turns::take(const reedlb::WorkerList& list) {
+// True: an endpoint came or went, or started again.
+bool Turns::take(const reedlb::EndpointList& list) {
   if (list.scope == reedlb::ListScope::failed)
     return false;
-  std::map<reedlb::WorkerId, WorkerEntry> now;
+  std::map<reedlb::EndpointId, EndpointEntry> now;
   if (list.scope == reedlb::ListScope::delta)
-    now = workers_;
-  for (const WorkerEntry& e : list.entries) {
-    if (e.state == reedlb::WorkerState::gone)
-      now.erase(e.worker);
+    now = endpoints_;
+  for (const EndpointEntry& e : list.entries) {
+    if (e.state == reedlb::EndpointState::gone)
+      now.erase(e.endpoint);
     else
-      now[e.worker] = e;
+      now[e.endpoint] = e;
   }
   bool same =
-      now.size() == workers_.size() &&
-      std::equal(now.begin(), now.end(), workers_.begin(), [](const auto& a, const auto& b) {
-        return a.first == b.first && a.second.born == b.second.born;
+      now.size() == endpoints_.size() &&
+      std::equal(now.begin(), now.end(), endpoints_.begin(), [](const auto& a, const auto& b) {
+        return a.first == b.first && a.second.started_at == b.second.started_at;
       });
-  workers_ = std::move(now);
+  endpoints_ = std::move(now);
   return !same;
 }
 
 void Turns::order() {
   std::erase_if(turns_, [&](const auto& t) {
-    auto it = workers_.find(t.first);
-    return it == workers_.end() || it->second.born != t.second.entry.born;
+    auto it = endpoints_.find(t.first);
+    return it == endpoints_.end() || it->second.started_at != t.second.entry.started_at;
   });
   int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
-                            static_cast<int>(workers_.size()));
-  for (const auto& [id, entry] : workers_) {
-    if (entry.born <= 0 || now_ >= entry.born + cold_ms_)
+                            static_cast<int>(endpoints_.size()));
+  for (const auto& [id, entry] : endpoints_) {
+    if (entry.started_at <= 0 || now_ >= entry.started_at + cold_ms_)
       continue;
     Turn& turn = turns_[id];
     if (turn.order.size() != lives_.size())
@@ -188,7 +188,7 @@
 // at the grant's end.
 bool Turns::waits(const Turn& turn) const {
   double over = started_ + window_ + (peers_ ? (1 + kDrift) * length_ : 0);
-  return turn.entry.born <= started_ && now_ < over;
+  return turn.entry.started_at <= started_ && now_ < over;
 }
 
 double Turns::share(const Turn& turn) const {
@@ -198,30 +198,30 @@
 void Turns::tell_shares(std::vector<Event>& told) {
   reedlb::Turns turns;
   int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
-                            static_cast<int>(workers_.size()));
+                            static_cast<int>(endpoints_.size()));
   for (auto& [id, turn] : turns_) {
     double now = share(turn);
     if (now == turn.told_share)
       continue;
     turn.told_share = now;
-    reedlb::Turns::At at{{id, turn.own, {}}, turn.entry.born, now};
+    reedlb::Turns::At at{{id, turn.own, {}}, turn.entry.started_at, now};
     for (int place = 0; place < std::min(homes, dispatchers_); ++place)
       if (place != turn.place)
         at.home.others.push_back(turn.order[static_cast<std::size_t>(place)]);
-    turns.workers.push_back(std::move(at));
+    turns.endpoints.push_back(std::move(at));
   }
-  if (!turns.workers.empty())
+  if (!turns.endpoints.empty())
     told.emplace_back(std::move(turns));
 }
 
-// What has ended: grants held, owners that did not answer, executors that are warm by now.
+// What has ended: grants held, owners that did not answer, endpoints that are warm by now.
 void Turns::age(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
   if (now_ < next_)
     return;
   next_ = now_ + length_;
   for (auto it = turns_.begin(); it != turns_.end();) {
     Turn& turn = it->second;
-    if (now_ >= turn.entry.born + cold_ms_) {
+    if (now_ >= turn.entry.started_at + cold_ms_) {
       it = turns_.erase(it);
       continue;
     }
@@ -236,17 +236,17 @@
 
 void Turns::give_back(Turn& turn, double left, std::vector<Event>& told, reedlb::Actions& out) {
   turn.until = 0;
-  told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born, 0, 0, true});
+  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at, 0, 0, true});
   if (whole(left) == 0)
     return;
   out.emplace_back(reedlb::Tell{
-      turn.owner, write_turn({TurnWord::Kind::back, turn.entry.worker, life_of(turn.entry), life_,
+      turn.owner, write_turn({TurnWord::Kind::back, turn.entry.endpoint, life_of(turn.entry), life_,
                               turn.number, whole(left), 0})});
 }
 
 void Turns::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
   for (auto& [id, turn] : turns_) {
-    if (!turn.own || turn.entry.state != reedlb::WorkerState::ready)
+    if (!turn.own || turn.entry.state != reedlb::EndpointState::ready)
       continue;
     if (turn.waiting && now_ - turn.asked < kAnswer)
       continue;
@@ -290,7 +290,7 @@
   double lacks = std::max(1.0, room.usual - std::max(0.0, room.own));
   out.emplace_back(reedlb::Tell{
       owner,
-      write_turn({TurnWord::Kind::ask, turn.entry.worker, life_of(turn.entry), life_, turn.number,
+      write_turn({TurnWord::Kind::ask, turn.entry.endpoint, life_of(turn.entry), life_, turn.number,
                   whole(std::max(lacks, kWanted * room.usual)), whole(std::ceil(lacks))})});
 }
 
@@ -299,7 +299,7 @@
   auto word = read_turn(message.bytes);
   if (!word || message.peer < 0 || message.peer >= dispatchers_ || message.peer == self_)
     return;
-  auto it = turns_.find(word->worker);
+  auto it = turns_.find(word->endpoint);
   if (it == turns_.end() || life_of(it->second.entry) != word->life)
     return;
   Turn& turn = it->second;
@@ -313,8 +313,8 @@
     given->second.back = true;
     ++figures_.came_back;
     double work = std::min<double>(word->work, given->second.work);
-    told.emplace_back(
-        reedlb::Grant{turn.entry.worker, turn.entry.born, -work, given->second.until, false});
+    told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at, -work,
+                                    given->second.until, false});
     return;
   }
   // A grant ends by the clock of the one that asked, from its asking on: that is before the giver's
@@ -330,7 +330,7 @@
     return void(turn.until = 0);
   ++figures_.got;
   next_ = std::min(next_, turn.until - length_ / 4);
-  told.emplace_back(reedlb::Grant{turn.entry.worker, turn.entry.born,
+  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at,
                                   static_cast<double>(word->work), turn.until, true});
 }
 
@@ -342,16 +342,16 @@
   bool newer = word.asker > last.asker || (word.asker == last.asker && word.number > last.number);
   if (!newer || !grants() || share(turn) <= 0)
     return;
-  double room = dispatcher.cold_room(turn.entry.worker, now_).own * kGives;
+  double room = dispatcher.cold_room(turn.entry.endpoint, now_).own * kGives;
   std::uint32_t work = std::min(word.work, whole(room));
   if (work < word.least || work == 0)
     return void(++figures_.denied);
   double until = now_ + (1 + kDrift) * length_;
   last = {word.asker, word.number, static_cast<double>(work), until, false};
   ++figures_.granted;
-  told.emplace_back(
-      reedlb::Grant{turn.entry.worker, turn.entry.born, static_cast<double>(work), until, false});
-  out.emplace_back(reedlb::Tell{asker, write_turn({TurnWord::Kind::grant, turn.entry.worker,
+  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at,
+                                  static_cast<double>(work), until, false});
+  out.emplace_back(reedlb::Tell{asker, write_turn({TurnWord::Kind::grant, turn.entry.endpoint,
                                                    word.life, word.asker, word.number, work, 0})});
 }
 
--- a/logic/fleet/turns.h
+++ b/logic/fleet/turns.h
@@ -1,13 +1,13 @@
-// Who may send how much to a cold executor (rule 4): granted, never inferred. Pure.
+// Who may send how much to a cold endpoint (rule 4): granted, never inferred. Pure.
 //
-// Each life of an executor orders all nodes of the configuration by a hash that all share. The
+// Each life of an endpoint orders all nodes of the configuration by a hash that all share. The
 // first few own fixed parts of what all together may send it within a window; the parts add up to
 // the whole whatever anyone believes or hears. An owner may grant another node some of its own part
 // for a while. It counts that as sent at the grant's end, which is later by any clock that drifts
 // less than kDrift than the end by which the other goes; what the other tells that it has not used,
 // and will not use, comes back. A lost word wastes a little of the budget and never exceeds it.
 //
-// A node that starts has no part in executors that started before it, until all that a former life
+// A node that starts has no part in endpoints that started before it, until all that a former life
 // of it may have sent or granted is out of the window.
 #pragma once
 
@@ -22,13 +22,13 @@
 
 namespace keelflow::fleet {
 
-// What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; executor (4), its life
+// What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; endpoint (4), its life
 // (4), the asker's life (4), number (4), work and least work in ms (4 each). Of another version,
 // size or kind it is none.
 struct TurnWord {
   enum class Kind : std::uint8_t { ask, grant, back } kind = Kind::ask;
-  reedlb::WorkerId worker = 0;
-  std::uint32_t life = 0;   // of the executor
+  reedlb::EndpointId endpoint = 0;
+  std::uint32_t life = 0;   // of the endpoint
   std::uint32_t asker = 0;  // life of the node that asked
   std::uint32_t number = 0;
   std::uint32_t work = 0,
@@ -37,8 +37,8 @@
 std::string write_turn(const TurnWord& word);
 std::optional<TurnWord> read_turn(std::string_view bytes);
 
-// The order of all nodes at one life of an executor.
-std::vector<int> order_at(const reedlb::WorkerEntry& worker, int dispatchers);
+// The order of all nodes at one life of an endpoint.
+std::vector<int> order_at(const reedlb::EndpointEntry& endpoint, int dispatchers);
 // The part of the one at that place: all add up to 1.
 double share_at(int place, int dispatchers);
 
@@ -51,8 +51,8 @@
     std::uint64_t asked = 0, got = 0, granted = 0, denied = 0, came_back = 0, late = 0;
     Figures& operator+=(const Figures& o);
   };
-  struct Turn {  // at one cold executor
-    reedlb::WorkerEntry entry;
+  struct Turn {  // at one cold endpoint
+    reedlb::EndpointEntry entry;
     std::vector<int> order;
     int place = 0;  // of this node
     bool own = false;
@@ -80,13 +80,13 @@
 
   void grants(bool on) { grants_ = on; }  // off: it asks for nothing and grants nothing from now on
 
-  const std::map<reedlb::WorkerId, Turn>& turns() const { return turns_; }
+  const std::map<reedlb::EndpointId, Turn>& turns() const { return turns_; }
   const Figures& figures() const { return figures_; }
   double length() const { return length_; }  // of a grant, ms
 
  private:
-  bool take(const reedlb::WorkerList& list);
-  void begin(const reedlb::WorkerEntry& entry);
+  bool take(const reedlb::EndpointList& list);
+  void begin(const reedlb::EndpointEntry& entry);
   void order();
   double share(const Turn& turn) const;
   bool waits(const Turn& turn) const;
@@ -109,8 +109,8 @@
   reedlb::Time now_ = 0, started_, next_ = 0;
   double cold_ms_, window_, length_;
   std::uint32_t life_, number_ = 0;
-  std::map<reedlb::WorkerId, reedlb::WorkerEntry> workers_;
-  std::map<reedlb::WorkerId, Turn> turns_;
+  std::map<reedlb::EndpointId, reedlb::EndpointEntry> endpoints_;
+  std::map<reedlb::EndpointId, Turn> turns_;
   std::vector<bool> lives_;
   std::vector<reedlb::Time> silent_;  // by node: it did not answer; it is asked last until then
   Figures figures_;
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -1,5 +1,5 @@
 // The last word on four operations: may this be sent, repeated, closed, started now? Every path
-// asks right before its system call. The decision module keeps which worker, whether to try again
+// asks right before its system call. The decision module keeps which endpoint, whether to try again
 // and what is refused; the guard can only forbid. Pure: typed facts in, a typed verdict out.
 #pragma once
 
--- a/logic/overlay/by_hand.cpp
+++ b/logic/overlay/by_hand.cpp
@@ -4,49 +4,49 @@
 
 namespace keelflow::overlay {
 
+using reedlb::EndpointList;
+using reedlb::EndpointState;
 using reedlb::ListScope;
-using reedlb::WorkerList;
-using reedlb::WorkerState;
 
-void ByHand::lay_over(reedlb::WorkerEntry& entry) const {
-  if (entry.state == WorkerState::ready && is_out(entry.worker))
-    entry.state = WorkerState::draining;
+void ByHand::lay_over(reedlb::EndpointEntry& entry) const {
+  if (entry.state == EndpointState::ready && is_out(entry.endpoint))
+    entry.state = EndpointState::draining;
 }
 
-WorkerList ByHand::laid_over(WorkerList list) {
+EndpointList ByHand::laid_over(EndpointList list) {
   if (list.scope == ListScope::failed)
     return list;
   if (list.scope != ListScope::delta)
     listed_.clear();  // a complete list: whoever is missing is gone
-  for (reedlb::WorkerEntry& entry : list.entries) {
-    if (entry.state == WorkerState::gone)
-      listed_.erase(entry.worker);
+  for (reedlb::EndpointEntry& entry : list.entries) {
+    if (entry.state == EndpointState::gone)
+      listed_.erase(entry.endpoint);
     else
-      listed_[entry.worker] = entry;
+      listed_[entry.endpoint] = entry;
     lay_over(entry);
   }
   return list;
 }
 
-std::optional<WorkerList> ByHand::out(reedlb::WorkerId worker, const std::string& host) {
-  if (!out_.emplace(worker, host).second)
+std::optional<EndpointList> ByHand::out(reedlb::EndpointId endpoint, const std::string& host) {
+  if (!out_.emplace(endpoint, host).second)
     return std::nullopt;
-  return told_anew(worker);
+  return told_anew(endpoint);
 }
 
-std::optional<WorkerList> ByHand::back(reedlb::WorkerId worker) {
-  if (out_.erase(worker) == 0)
+std::optional<EndpointList> ByHand::back(reedlb::EndpointId endpoint) {
+  if (out_.erase(endpoint) == 0)
     return std::nullopt;
-  return told_anew(worker);
+  return told_anew(endpoint);
 }
 
-std::optional<WorkerList> ByHand::told_anew(reedlb::WorkerId worker) const {
-  auto it = listed_.find(worker);
-  if (it == listed_.end() || it->second.state != WorkerState::ready)
+std::optional<EndpointList> ByHand::told_anew(reedlb::EndpointId endpoint) const {
+  auto it = listed_.find(endpoint);
+  if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
   // A change or a whole list would tell the module that discovery has answered, and it would no
   // longer ask.
-  WorkerList told{.scope = ListScope::cached, .entries = {}};
+  EndpointList told{.scope = ListScope::cached, .entries = {}};
   for (const auto& [id, entry] : listed_)
     lay_over(told.entries.emplace_back(entry));
   return told;
@@ -54,15 +54,15 @@
 
 std::vector<std::string> ByHand::hosts() const {
   std::vector<std::string> all;
-  for (const auto& [worker, host] : out_)
+  for (const auto& [endpoint, host] : out_)
     all.push_back(host);
   return all;
 }
 
-std::size_t ByHand::unavailable(const std::function<bool(reedlb::WorkerId)>& avoided) const {
+std::size_t ByHand::unavailable(const std::function<bool(reedlb::EndpointId)>& avoided) const {
   std::size_t count = 0;
-  for (const auto& [worker, entry] : listed_)
-    count += entry.state != WorkerState::ready || is_out(worker) || avoided(worker);
+  for (const auto& [endpoint, entry] : listed_)
+    count += entry.state != EndpointState::ready || is_out(endpoint) || avoided(endpoint);
   return count;
 }
 
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -10,10 +10,10 @@
 namespace keelflow::routes {
 namespace {
 
+using reedlb::EndpointEntry;
+using reedlb::EndpointList;
+using reedlb::EndpointState;
 using reedlb::ListScope;
-using reedlb::WorkerEntry;
-using reedlb::WorkerList;
-using reedlb::WorkerState;
 
 std::size_t at(int i) {
   return static_cast<std::size_t>(i);
@@ -208,7 +208,7 @@
 }
 
 bool Router::cold(const Endpoint& endpoint, double now_ms) const {
-  return endpoint.entry.born > 0 && now_ms < endpoint.entry.born + timing_.cold_ms;
+  return endpoint.entry.started_at > 0 && now_ms < endpoint.entry.started_at + timing_.cold_ms;
 }
 
 void Router::settle(Endpoint& endpoint, double now_ms) {
@@ -219,8 +219,8 @@
 }
 
 // True: the endpoint has left another pool, whose Dispatcher must be told.
-bool Router::take(WorkerEntry entry, std::string_view host, double now_ms) {
-  auto [it, fresh] = endpoints_.try_emplace(entry.worker);
+bool Router::take(EndpointEntry entry, std::string_view host, double now_ms) {
+  auto [it, fresh] = endpoints_.try_emplace(entry.endpoint);
   Endpoint& endpoint = it->second;
   endpoint.entry = entry;
   if (!host.empty())
@@ -232,8 +232,8 @@
 
 // As cached: to the module such a list is complete, and says nothing of whether discovery is being
 // watched.
-WorkerList Router::whole(int pool) const {
-  WorkerList list;
+EndpointList Router::whole(int pool) const {
+  EndpointList list;
   list.scope = ListScope::cached;
   for (const auto& [id, endpoint] : endpoints_)
     if (endpoint.pool == pool && endpoint.joins <= 0)
@@ -248,34 +248,34 @@
   return out;
 }
 
-Router::Lists Router::split(const WorkerList& list,
-                            const std::function<std::string_view(reedlb::WorkerId)>& host,
+Router::Lists Router::split(const EndpointList& list,
+                            const std::function<std::string_view(reedlb::EndpointId)>& host,
                             double now_ms) {
   Lists out;
   for (int i = 0; i < numbers(); ++i)
-    out.emplace_back(i, WorkerList{list.scope, {}});
+    out.emplace_back(i, EndpointList{list.scope, {}});
   if (list.scope == ListScope::failed)
     return out;
   if (list.scope != ListScope::delta) {  // complete: whoever is missing is gone
-    std::set<reedlb::WorkerId> named;
-    for (const WorkerEntry& e : list.entries)
-      named.insert(e.worker);
+    std::set<reedlb::EndpointId> named;
+    for (const EndpointEntry& e : list.entries)
+      named.insert(e.endpoint);
     std::erase_if(endpoints_, [&](const auto& known) { return !named.contains(known.first); });
   }
-  for (const WorkerEntry& e : list.entries) {
-    auto known = endpoints_.find(e.worker);
+  for (const EndpointEntry& e : list.entries) {
+    auto known = endpoints_.find(e.endpoint);
     int before = known == endpoints_.end() ? -1 : known->second.pool;
-    if (e.state == WorkerState::gone) {
+    if (e.state == EndpointState::gone) {
       if (before >= 0)
         out[at(before)].second.entries.push_back(e);
-      endpoints_.erase(e.worker);
+      endpoints_.erase(e.endpoint);
       continue;
     }
-    bool left = take(e, host(e.worker), now_ms);
-    const Endpoint& endpoint = endpoints_[e.worker];
+    bool left = take(e, host(e.endpoint), now_ms);
+    const Endpoint& endpoint = endpoints_[e.endpoint];
     if (left && list.scope == ListScope::delta) {
-      WorkerEntry gone = e;
-      gone.state = WorkerState::gone;
+      EndpointEntry gone = e;
+      gone.state = EndpointState::gone;
       out[at(before)].second.entries.push_back(gone);
     }
     if (endpoint.pool >= 0 && endpoint.joins <= 0)
@@ -320,12 +320,12 @@
     if (e.pool < 0 || e.joins > 0)
       continue;
     Health& h = health_[at(e.pool)];
-    h.draining += e.entry.state == WorkerState::draining;
-    if (e.entry.state != WorkerState::ready)
+    h.draining += e.entry.state == EndpointState::draining;
+    if (e.entry.state != EndpointState::ready)
       continue;
     ++h.ready;
     if (cold(e, now_ms)) {
-      warms_ = std::min(warms_, e.entry.born + timing_.cold_ms);
+      warms_ = std::min(warms_, e.entry.started_at + timing_.cold_ms);
       continue;
     }
     ++h.warm;
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -55,7 +55,7 @@
 class Router {
  public:
   using Lists =
-      std::vector<std::pair<int, reedlb::WorkerList>>;  // pool, what its Dispatcher is to be told
+      std::vector<std::pair<int, reedlb::EndpointList>>;  // pool, what its Dispatcher is to be told
 
   // `classes` tell which are keyed, and for how long repeats are dropped. The Spec must be without
   // faults.
@@ -76,10 +76,10 @@
     classes_ = std::move(classes);
   }
 
-  // Splits what discovery tells. `host` names a worker; empty where it is not known (it then keeps
-  // its pool).
-  Lists split(const reedlb::WorkerList& list,
-              const std::function<std::string_view(reedlb::WorkerId)>& host, double now_ms);
+  // Splits what discovery tells. `host` names a endpoint; empty where it is not known (it then
+  // keeps its pool).
+  Lists split(const reedlb::EndpointList& list,
+              const std::function<std::string_view(reedlb::EndpointId)>& host, double now_ms);
   // A cold endpoint that changes pools joins the new one after rest_ms: the new Dispatcher does not
   // know what the old one sent to it, and a cold box must not get both shares. To be called when
   // `next_due` has come.
@@ -117,7 +117,7 @@
     std::vector<Segment> segments;
   };
   struct Endpoint {
-    reedlb::WorkerEntry entry;
+    reedlb::EndpointEntry entry;
     std::string host;
     int pool = -1;
     double joins = 0;  // while > 0: not yet told to its pool
@@ -128,9 +128,9 @@
   int pool_for(const Endpoint& endpoint) const;
   bool cold(const Endpoint& endpoint, double now_ms) const;
   void settle(Endpoint& endpoint, double now_ms);
-  bool take(reedlb::WorkerEntry entry, std::string_view host, double now_ms);
+  bool take(reedlb::EndpointEntry entry, std::string_view host, double now_ms);
   Lists whole() const;
-  reedlb::WorkerList whole(int pool) const;
+  reedlb::EndpointList whole(int pool) const;
   void count(double now_ms);
 
   Spec spec_;
@@ -141,7 +141,7 @@
   std::vector<std::string> pool_names_;
   std::vector<int> pool_numbers_;  // of spec_.pools
   std::vector<Route> routes_;
-  std::map<reedlb::WorkerId, Endpoint>
+  std::map<reedlb::EndpointId, Endpoint>
       endpoints_;               // in order, so that the same events give the same lists
   std::vector<Health> health_;  // by pool; counted at changes, and when an endpoint has warmed up
   double warms_ = 0;            // the next such moment
--- a/node/admin/admin_front.h
+++ b/node/admin/admin_front.h
@@ -4,7 +4,7 @@
 //   GET  /status              name, pools, routes, moves, counters
 //   GET  /moves               the moves alone
 //   GET  /plugins             the plug-ins alone
-//   GET  /fleet               which nodes live, and who is at home at which executor
+//   GET  /fleet               which nodes live, and who is at home at which endpoint
 //   POST /plugins/VERB        reload: all of them. 200, 409 (why not)
 //   POST /plugins/NAME/VERB   reload, enable, disable: 200, 409 (why not) or 404
 //   POST /moves/NAME/VERB     start, pause, resume, undo: 200, 409 (why not) or 404
--- a/node/admin/operator_calls.h
+++ b/node/admin/operator_calls.h
@@ -2,7 +2,7 @@
 //
 //   READY          "done" once the process serves; else "error" and why not
 //   STATS          the figures, a line each (node.NAME:VALUE|c for counts, |g for what holds now),
-//   then "end" DISABLE ID     executor ID gets no new work until it is called back, whatever
+//   then "end" DISABLE ID     endpoint ID gets no new work until it is called back, whatever
 //   discovery says of it ENABLE ID      the call back
 #pragma once
 
--- a/node/config/own_config.h
+++ b/node/config/own_config.h
@@ -33,7 +33,7 @@
   Progress progress;
   plugins::Settings plugins;
   Members::Settings members;
-  bool turns = true;  // nodes grant one another of their parts in cold executors
+  bool turns = true;  // nodes grant one another of their parts in cold endpoints
 };
 
 // What stands in the text. With any fault the result is not to be used.
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -107,10 +107,10 @@
                      [&](const auto& r) { return r.second.job.cls == cls; });
 }
 
-bool Engine::avoids(WorkerId worker) const {
+bool Engine::avoids(EndpointId endpoint) const {
   double now = clock_.unix_ms(timers_.now());
   return std::any_of(lanes_.begin(), lanes_.end(),
-                     [&](const auto& lane) { return lane->dispatcher.avoids(worker, now); });
+                     [&](const auto& lane) { return lane->dispatcher.avoids(endpoint, now); });
 }
 
 // Events are played one after another, each at its own time. An action may cause the next event
@@ -159,7 +159,7 @@
     return recall({a->request, a->attempt}, false);
   if (const auto* a = std::get_if<reedlb::Probe>(&action)) {
     ++counters_.probes_sent;
-    return endpoints_->probe(a->worker);
+    return endpoints_->probe(a->endpoint);
   }
   if (const auto* a = std::get_if<reedlb::Tell>(&action); a && a->peer == settings_.rank)
     return twin_ ? twin_(a->bytes) : void();
@@ -346,12 +346,12 @@
   if (send.timeout_ms != 0)
     until = std::min(until, now + from_ms(std::max(0.0, send.timeout_ms)));
   bool again = std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& a) {
-    return a.worker == send.worker && (a.out || a.may_tell);
+    return a.endpoint == send.endpoint && (a.out || a.may_tell);
   });
   TimePoint by = write_by(request);
-  Attempt attempt{.worker = send.worker, .sent = now};
+  Attempt attempt{.endpoint = send.endpoint, .sent = now};
   attempt.timer = timers_.at(until, [this, ref] { recall(ref, true); });
-  operation_guard::Verdict verdict = may_repeat(request, send.worker);
+  operation_guard::Verdict verdict = may_repeat(request, send.endpoint);
   request.attempts.push_back(attempt);
   ++counters_.attempts_started;
   ++attempts_out_;
@@ -363,21 +363,21 @@
         ref, {.ending = Ending::cancelled, .reach = Reach::never_written, .withheld = true});
   }
   endpoints_->start(
-      ref, send.worker, request.job,
+      ref, send.endpoint, request.job,
       {.until = until,
        .write_by = by,
        .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
        .again = again});
 }
 
-operation_guard::Verdict Engine::may_repeat(const Request& request, WorkerId worker) const {
+operation_guard::Verdict Engine::may_repeat(const Request& request, EndpointId endpoint) const {
   operation_guard::RepeatFacts facts{
       .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
       .parallel_allowed = settings_.parallel_tries,
       .in_window = timers_.now() <= write_by(request)};
   for (const Attempt& a : request.attempts) {
     facts.earlier_out = facts.earlier_out || a.out;
-    facts.earlier_out_there = facts.earlier_out_there || (a.out && a.worker == worker);
+    facts.earlier_out_there = facts.earlier_out_there || (a.out && a.endpoint == endpoint);
     facts.earlier_may_have_run = facts.earlier_may_have_run || a.may_have_run;
   }
   return operation_guard::may_repeat(facts);
@@ -487,10 +487,11 @@
   post(pool, outcome);
 }
 
-void Engine::probed(WorkerId worker, bool ok, Duration elapsed, const reedlb::LoadReport& report) {
+void Engine::probed(EndpointId endpoint, bool ok, Duration elapsed,
+                    const reedlb::LoadReport& report) {
   // The module sends no probes yet. With pools, the answer belongs to the lane that asked.
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::ProbeResult{worker, ok, to_ms(elapsed), report});
+    post(static_cast<int>(i), reedlb::ProbeResult{endpoint, ok, to_ms(elapsed), report});
 }
 
 void Engine::told(int peer, const std::string& bytes) {
@@ -506,7 +507,7 @@
 
 void Engine::each_home(const std::function<void(int pool, const reedlb::Homes::At&)>& look) const {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    for (const auto& at : lanes_[i]->homes.told().workers)
+    for (const auto& at : lanes_[i]->homes.told().endpoints)
       look(static_cast<int>(i), at);
 }
 
@@ -514,8 +515,8 @@
                                                 const reedlb::ColdRoom&)>& look) const {
   double now = clock_.unix_ms(timers_.now());
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    for (const auto& [worker, turn] : lanes_[i]->turns.turns())
-      look(static_cast<int>(i), turn, lanes_[i]->dispatcher.cold_room(worker, now));
+    for (const auto& [endpoint, turn] : lanes_[i]->turns.turns())
+      look(static_cast<int>(i), turn, lanes_[i]->dispatcher.cold_room(endpoint, now));
 }
 
 fleet::Turns::Figures Engine::turn_figures() const {
@@ -531,7 +532,7 @@
     lane->turns.grants(on);
 }
 
-void Engine::destinations(reedlb::WorkerList list, int pool) {
+void Engine::destinations(reedlb::EndpointList list, int pool) {
   post(pool, std::move(list));
 }
 
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -70,7 +70,7 @@
   void attempt_started(AttemptRef ref);
   void attempt_progress(AttemptRef ref, double share);
   void attempt_ended(AttemptRef ref, AttemptEnd end);
-  void probed(WorkerId worker, bool ok, Duration elapsed, const reedlb::LoadReport& report);
+  void probed(EndpointId endpoint, bool ok, Duration elapsed, const reedlb::LoadReport& report);
 
   // Which nodes of the tier live, by rank.
   void members(const std::vector<bool>& lives);
@@ -85,12 +85,12 @@
   void told(int peer, const std::string& bytes);
 
   // From discovery.
-  void destinations(reedlb::WorkerList list, int pool = 0);
+  void destinations(reedlb::EndpointList list, int pool = 0);
 
   std::size_t pending() const {
     return pending_;
-  }                                    // requests whose client still waits for its answer
-  bool avoids(WorkerId worker) const;  // some lane leaves it alone at present
+  }                                        // requests whose client still waits for its answer
+  bool avoids(EndpointId endpoint) const;  // some lane leaves it alone at present
   std::size_t open_requests() const { return by_name_.size(); }
   std::size_t open_attempts() const { return attempts_out_; }
   std::size_t held(int pool) const {
@@ -99,7 +99,7 @@
 
  private:
   struct Attempt {
-    WorkerId worker = 0;
+    EndpointId endpoint = 0;
     TimePoint sent;
     TimerId timer = 0;
     bool out = true, started = false, timed_out = false, giving_up = false, may_tell = false,
@@ -138,7 +138,7 @@
   void count_end(const Request& request, FinalAnswer::Kind kind);
   void send(const reedlb::Send& send);
   TimePoint write_by(const Request& request) const;
-  operation_guard::Verdict may_repeat(const Request& request, WorkerId worker) const;
+  operation_guard::Verdict may_repeat(const Request& request, EndpointId endpoint) const;
   void recall(AttemptRef ref, bool timed_out);
   void finish(RequestId id, FinalAnswer answer);
   void forget_if_over(RequestId id);
--- a/node/core/ports.h
+++ b/node/core/ports.h
@@ -14,8 +14,8 @@
 
 namespace keelflow {
 
+using reedlb::EndpointId;
 using reedlb::RequestId;
-using reedlb::WorkerId;
 
 struct Payload;  // what the outbound side sends on unchanged; opaque to the core
 
@@ -125,11 +125,11 @@
     bool again =
         false;  // call-backs of an earlier attempt of this request at that endpoint may still come
   };
-  virtual void start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) = 0;
+  virtual void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) = 0;
   virtual void give_up(AttemptRef ref) = 0;
   // Only if its last byte has not been written: then nothing has been asked of the endpoint yet.
   virtual void give_up_unsent(AttemptRef ref) = 0;
-  virtual void probe(WorkerId worker) = 0;
+  virtual void probe(EndpointId endpoint) = 0;
 };
 
 // The other nodes of the tier, by rank. Messages may come late or never.
--- a/node/discovery/destination_set.cpp
+++ b/node/discovery/destination_set.cpp
@@ -67,13 +67,13 @@
   take(list, reedlb::ListScope::cached);
 }
 
-const Destination* DestinationSet::find(WorkerId worker) const {
-  auto it = destinations_.find(worker);
+const Destination* DestinationSet::find(EndpointId endpoint) const {
+  auto it = destinations_.find(endpoint);
   return it == destinations_.end() ? nullptr : &it->second;
 }
 
-void DestinationSet::disable(WorkerId worker, bool disabled) {
-  auto it = destinations_.find(worker);
+void DestinationSet::disable(EndpointId endpoint, bool disabled) {
+  auto it = destinations_.find(endpoint);
   if (it != destinations_.end())
     it->second.disabled = disabled;
 }
@@ -343,16 +343,16 @@
 void DestinationSet::take(const HostList& list, reedlb::ListScope scope) {
   version_ = list.version;
   has_list_ = scope != reedlb::ListScope::cached || version_ > 0;  // no list yet: ask for the whole
-  reedlb::WorkerList received;
+  reedlb::EndpointList received;
   received.scope = scope;
   if (scope != reedlb::ListScope::delta)
-    for (auto& [worker, destination] : destinations_)
+    for (auto& [endpoint, destination] : destinations_)
       destination.listed_ready = false;
   for (const Host& host : list.hosts) {
-    auto known = destinations_.find(host.entry.worker);
-    bool ready = host.entry.state == reedlb::WorkerState::ready;
+    auto known = destinations_.find(host.entry.endpoint);
+    bool ready = host.entry.state == reedlb::EndpointState::ready;
     if (known == destinations_.end() && host.dial.in.sin_port != 0)
-      destinations_[host.entry.worker] = {host.name, host.dial, ready};
+      destinations_[host.entry.endpoint] = {host.name, host.dial, ready};
     else if (known != destinations_.end()) {
       if (host.dial.in.sin_port != 0)
         known->second.dial = host.dial;
@@ -362,7 +362,7 @@
   }
   ++counters_.lists_received;
   auto not_ready = std::count_if(list.hosts.begin(), list.hosts.end(), [](const Host& host) {
-    return host.entry.state != reedlb::WorkerState::ready;
+    return host.entry.state != reedlb::EndpointState::ready;
   });
   log::info(Subsystem::discovery, "list-applied",
             {{"version", list.version},
--- a/node/discovery/destination_set.h
+++ b/node/discovery/destination_set.h
@@ -30,7 +30,7 @@
 
 class DestinationSet final : public DiscoveryCall::Owner {
  public:
-  using Listener = std::function<void(reedlb::WorkerList)>;
+  using Listener = std::function<void(reedlb::EndpointList)>;
 
   DestinationSet(net::EventLoop& loop, net::Address discovery, Names names, Listener listener,
                  Counters& counters, std::uint64_t seed);
@@ -49,7 +49,7 @@
   void move(const net::Address& discovery);
   void stop();
   void names(Names names) { names_ = std::move(names); }  // from the next list on
-  void disable(WorkerId worker, bool disabled);           // administrative override
+  void disable(EndpointId endpoint, bool disabled);       // administrative override
   WatchSurvey& survey() { return survey_; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
 
@@ -61,7 +61,7 @@
 
   // An endpoint stays known for the process's life: jobs it has are still cancelled there when it
   // left the list.
-  const Destination* find(WorkerId worker) const;
+  const Destination* find(EndpointId endpoint) const;
 
  private:
   using Calls = std::vector<std::unique_ptr<DiscoveryCall>>;
@@ -97,7 +97,7 @@
   Counters& counters_;
   invariants::Monitor* monitor_ = nullptr;
   std::minstd_rand random_;
-  std::unordered_map<WorkerId, Destination> destinations_;
+  std::unordered_map<EndpointId, Destination> destinations_;
   discovery::CallSchedule schedule_;
   Calls calls_;  // oldest first
   std::uint64_t calls_begun_ = 0;
--- a/node/discovery/host_list.cpp
+++ b/node/discovery/host_list.cpp
@@ -17,7 +17,7 @@
   return -1;
 }
 
-reedlb::WorkerId worker_id(std::string_view host) {
+reedlb::EndpointId endpoint_id(std::string_view host) {
   std::uint32_t hash = 2166136261u;  // FNV-1a
   for (unsigned char c : host)
     hash = (hash ^ c) * 16777619u;
@@ -27,22 +27,22 @@
 namespace {
 
 using nlohmann::json;
-using reedlb::WorkerState;
+using reedlb::EndpointState;
 
 // Throws where the field has another type; a missing one is what it usually is.
-void decode_place(const json& item, const Names& names, reedlb::WorkerEntry& entry) {
+void decode_place(const json& item, const Names& names, reedlb::EndpointEntry& entry) {
   entry.zone = Names::place(names.zones, item.value("site", ""));
   entry.kind = Names::place(names.kinds, item.value("class", ""));
   entry.cell = item.value("block", 0);
   entry.nominal = item.value("share", 1.0);
-  entry.born = item.value("born_ms", 0.0);
+  entry.started_at = item.value("born_ms", 0.0);
 }
 
-WorkerState decode_state(const json& item) {
+EndpointState decode_state(const json& item) {
   const std::string health = item.at("health").get<std::string>();
   if (health == "ready")
-    return WorkerState::ready;
-  return health == "draining" ? WorkerState::draining : WorkerState::gone;
+    return EndpointState::ready;
+  return health == "draining" ? EndpointState::draining : EndpointState::gone;
 }
 
 // An endpoint that is not ready needs no address: what it has is known by its earlier entry.
@@ -52,13 +52,13 @@
   auto dial = given ? net::parse_address(field->get<std::string>()) : std::nullopt;
   if (dial)
     host.dial = *dial;
-  return dial || host.entry.state != WorkerState::ready;
+  return dial || host.entry.state != EndpointState::ready;
 }
 
 // False: it is malformed, and `host` is gone.
 bool decode_host(const json& item, const Names& names, Host& host) {
-  host.entry.worker = worker_id(host.name);
-  host.entry.state = WorkerState::gone;
+  host.entry.endpoint = endpoint_id(host.name);
+  host.entry.state = EndpointState::gone;
   try {
     host.entry.state = decode_state(item);
     decode_place(item, names, host.entry);
@@ -66,8 +66,8 @@
       return true;
   } catch (const json::exception&) {
   }
-  if (host.entry.state == WorkerState::ready)
-    host.entry.state = WorkerState::gone;
+  if (host.entry.state == EndpointState::ready)
+    host.entry.state = EndpointState::gone;
   return false;
 }
 
--- a/node/handover/knowledge_form.cpp
+++ b/node/handover/knowledge_form.cpp
@@ -21,9 +21,9 @@
     out["kinds"][names.kinds[i]] = {{"cores", k.kinds[i].cores}, {"slow", k.kinds[i].slow}};
   for (std::size_t i = 0; i < k.fleet.start_delay.size() && i < names.zones.size(); ++i)
     out["zones"][names.zones[i]] = k.fleet.start_delay[i];
-  for (const Knowledge::Seen& w : k.workers)
-    out["workers"].push_back({{"id", w.worker},
-                              {"born", w.born},
+  for (const Knowledge::Seen& w : k.endpoints)
+    out["workers"].push_back({{"id", w.endpoint},
+                              {"born", w.started_at},
                               {"slow", w.of.slow},
                               {"cap", w.of.cap},
                               {"strikes", w.of.strikes},
@@ -54,14 +54,14 @@
     if (int i = Names::place(names.zones, name); i >= 0)
       k.fleet.start_delay[static_cast<std::size_t>(i)] = delay.get<double>();
   for (const json& w : told.at("workers")) {
-    Knowledge::Seen seen{w.at("id").get<WorkerId>(),
+    Knowledge::Seen seen{w.at("id").get<EndpointId>(),
                          w.at("born").get<double>(),
                          {},
                          w.at("load").get<double>(),
                          w.at("cold_work").get<double>()};
     seen.of = {w.at("slow").get<double>(), w.at("cap").get<double>(), w.at("strikes").get<int>(),
                w.at("faults").get<int>(), w.at("shut_until").get<double>()};
-    k.workers.push_back(seen);
+    k.endpoints.push_back(seen);
   }
   return k;
 }
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -101,7 +101,7 @@
     // Keys that are no number still have to be the same one at every node.
     job.key = number<std::uint64_t>(key, 16).value_or(0);
     if (job.key == 0)
-      job.key = 1 + std::uint64_t{worker_id(key)};
+      job.key = 1 + std::uint64_t{endpoint_id(key)};
   }
   job.repeat = head.find("X-Second-Try") == "1";
   double hint = decimal(head.find("X-Size-Hint"));  // microseconds
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -105,7 +105,7 @@
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
         destinations_(
             loop_, config_.discovery, config_.names,
-            [this](reedlb::WorkerList list) { take_list(std::move(list)); }, counters_,
+            [this](reedlb::EndpointList list) { take_list(std::move(list)); }, counters_,
             config_.seed),
         pool_(loop_, config_.idle_limit * 6 / 10, budget_.idle_outbound, counters_),
         outbound_(loop_, engine_, destinations_, pool_,
@@ -355,14 +355,14 @@
     learned_.clear();
     for (const auto& told : word.at("knowledge"))
       learned_.push_back(from_json(told, config_.names));
-    engine_.learn(learned_);  // of the executors on the list that the platform keeps; of the others
+    engine_.learn(learned_);  // of the endpoints on the list that the platform keeps; of the others
                               // when they are listed
     succession_->answered();
     log::info(Subsystem::node, "taken-over", {{"out", word.at("out").size()}});
     serve_if_ready();
   }
 
-  void take_list(reedlb::WorkerList list) {
+  void take_list(reedlb::EndpointList list) {
     traffic_.list(by_hand_.laid_over(std::move(list)));
     if (!serving_ && !learned_.empty())
       engine_.learn(learned_);
@@ -443,15 +443,15 @@
 
   Gauges gauges() const {
     std::size_t away =
-        by_hand_.unavailable([this](WorkerId worker) { return engine_.avoids(worker); });
+        by_hand_.unavailable([this](EndpointId endpoint) { return engine_.avoids(endpoint); });
     return {
         .pending = engine_.pending(), .members = by_hand_.listed(), .members_unavailable = away};
   }
 
   std::string by_hand(const std::string& host, bool out) {
-    WorkerId worker = worker_id(host);
-    const Destination* known = destinations_.find(worker);
-    if (!(known && known->host == host) && !by_hand_.is_out(worker))
+    EndpointId endpoint = endpoint_id(host);
+    const Destination* known = destinations_.find(endpoint);
+    if (!(known && known->host == host) && !by_hand_.is_out(endpoint))
       return "no executor '" + host + "' was ever listed";
     lay_over(host, out);
     if (handover_)
@@ -460,9 +460,9 @@
   }
 
   void lay_over(const std::string& host, bool out) {
-    WorkerId worker = worker_id(host);
-    destinations_.disable(worker, out);
-    auto told = out ? by_hand_.out(worker, host) : by_hand_.back(worker);
+    EndpointId endpoint = endpoint_id(host);
+    destinations_.disable(endpoint, out);
+    auto told = out ? by_hand_.out(endpoint, host) : by_hand_.back(endpoint);
     if (told)
       traffic_.list(std::move(*told));
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
@@ -510,14 +510,14 @@
     nlohmann::json at = nlohmann::json::array();
     double now = clock_.unix_ms(loop_.now());
     engine_.each_turn([&](int pool, const fleet::Turns::Turn& turn, const reedlb::ColdRoom& room) {
-      const Destination* known = destinations_.find(turn.entry.worker);
+      const Destination* known = destinations_.find(turn.entry.endpoint);
       double granted = 0;
       for (const auto& [node, given] : turn.given)
         granted += given.until > now && !given.back ? given.work : 0;
       at.push_back(
           {{"pool", pool},
            {"executor", known ? known->host : ""},
-           {"age_s", (now - turn.entry.born) / 1000},
+           {"age_s", (now - turn.entry.started_at) / 1000},
            {"share", turn.told_share},
            {"left_ms", room.own},
            {"held_ms", room.granted},
@@ -538,7 +538,7 @@
   nlohmann::json fleet() {
     nlohmann::json homes = nlohmann::json::array();
     engine_.each_home([&](int pool, const reedlb::Homes::At& at) {
-      const Destination* known = destinations_.find(at.worker);
+      const Destination* known = destinations_.find(at.endpoint);
       homes.push_back({{"pool", pool},
                        {"executor", known ? known->host : ""},
                        {"own", at.own},
--- a/node/outbound/outbound.cpp
+++ b/node/outbound/outbound.cpp
@@ -11,15 +11,15 @@
 // One probe: a GET beside the jobs.
 class ProbeCall final : ClientConnection::User {
  public:
-  ProbeCall(Outbound& owner, WorkerId worker)
-      : owner_(owner), worker_(worker), sent_(owner.loop_.now()) {}
+  ProbeCall(Outbound& owner, EndpointId endpoint)
+      : owner_(owner), endpoint_(endpoint), sent_(owner.loop_.now()) {}
   ~ProbeCall() override { owner_.loop_.cancel(timer_); }
 
   void begin(const Destination& to) {
     host_ = to.host;
-    connection_ = owner_.pool_.take(worker_, to.dial);
+    connection_ = owner_.pool_.take(endpoint_, to.dial);
     timer_ = owner_.loop_.at(sent_ + (connection_ ? kProbePatience : Duration::zero()), [this] {
-      owner_.pool_.forget(worker_);
+      owner_.pool_.forget(endpoint_);
       on_broken();
     });
     if (!connection_)
@@ -37,7 +37,7 @@
   void on_body(std::string_view bytes) override { body_ += bytes; }
   void on_complete(bool reusable) override {
     if (reusable)
-      owner_.pool_.give_back(worker_, std::move(connection_));
+      owner_.pool_.give_back(endpoint_, std::move(connection_));
     end(ok_);
   }
   void on_broken() override { end(false); }
@@ -48,12 +48,12 @@
     auto it = owner.probes_.find(this);
     owner.loop_.dispose(std::move(it->second));
     owner.probes_.erase(it);
-    owner.engine_.probed(worker_, ok, owner.loop_.now() - sent_,
+    owner.engine_.probed(endpoint_, ok, owner.loop_.now() - sent_,
                          read_load_report(body_, owner.settings_.report_names));
   }
 
   Outbound& owner_;
-  WorkerId worker_;
+  EndpointId endpoint_;
   TimePoint sent_;
   TimerId timer_ = 0;
   std::string host_, body_;
@@ -72,12 +72,12 @@
 
 Outbound::~Outbound() = default;
 
-void Outbound::start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) {
-  const Destination* to = destinations_.find(worker);
+void Outbound::start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) {
+  const Destination* to = destinations_.find(endpoint);
   if (!to)
     return engine_.attempt_ended(ref, {.ending = Ending::broken, .reach = Reach::never_written});
   auto& call = calls_[{ref.request, ref.attempt}];
-  call = std::make_unique<OutboundCall>(*this, ref, worker, *to, job, terms);
+  call = std::make_unique<OutboundCall>(*this, ref, endpoint, *to, job, terms);
   by_name_[call->id()] = ref.request;
   call->begin();
 }
@@ -94,11 +94,11 @@
     it->second->give_up();
 }
 
-void Outbound::probe(WorkerId worker) {
-  const Destination* to = destinations_.find(worker);
+void Outbound::probe(EndpointId endpoint) {
+  const Destination* to = destinations_.find(endpoint);
   if (!to)
-    return engine_.probed(worker, false, {}, {});
-  auto call = std::make_unique<ProbeCall>(*this, worker);
+    return engine_.probed(endpoint, false, {}, {});
+  auto call = std::make_unique<ProbeCall>(*this, endpoint);
   ProbeCall* raw = call.get();
   probes_.emplace(raw, std::move(call));
   raw->begin(*to);
--- a/node/outbound/outbound.h
+++ b/node/outbound/outbound.h
@@ -38,10 +38,10 @@
            Settings settings, Counters& counters);
   ~Outbound() override;
 
-  void start(AttemptRef ref, WorkerId worker, const Job& job, const Terms& terms) override;
+  void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) override;
   void give_up(AttemptRef ref) override;
   void give_up_unsent(AttemptRef ref) override;
-  void probe(WorkerId worker) override;
+  void probe(EndpointId endpoint) override;
 
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
   void retune(Settings settings) { settings_ = std::move(settings); }
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-OutboundCall::OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to,
-                           const Job& job, const EndpointPort::Terms& terms)
+OutboundCall::OutboundCall(Outbound& owner, AttemptRef ref, EndpointId endpoint,
+                           const Destination& to, const Job& job, const EndpointPort::Terms& terms)
     : owner_(owner),
       ref_(ref),
-      worker_(worker),
+      endpoint_(endpoint),
       host_(to.host),
       dial_(to.dial),
       payload_(job.payload),
@@ -43,7 +43,7 @@
 }
 
 void OutboundCall::begin() {
-  connection_ = owner_.pool_.take(worker_, dial_, once_);
+  connection_ = owner_.pool_.take(endpoint_, dial_, once_);
   if (!connection_)
     return end(Ending::broken);
   connection_->attach(this);
@@ -69,7 +69,7 @@
 // What holds at this moment: the connection may have come up late.
 operation_guard::SendVerdict OutboundCall::may_send() const {
   TimePoint now = owner_.loop_.now();
-  const Destination* endpoint = owner_.destinations_.find(worker_);
+  const Destination* endpoint = owner_.destinations_.find(endpoint_);
   return operation_guard::may_send({.list_lease_valid = owner_.destinations_.may_send_by_list(),
                                     .endpoint_ready = endpoint && endpoint->accepts_new_work(),
                                     .same_address = endpoint && endpoint->dial == dial_,
@@ -134,7 +134,7 @@
   // of them may have run and can often not be repeated; on a new connection, which never comes up,
   // it has not.
   timer_ = owner_.loop_.at(owner_.loop_.now() + owner_.settings_.connect_timeout,
-                           [this] { owner_.pool_.forget(worker_); });
+                           [this] { owner_.pool_.forget(endpoint_); });
 }
 
 void OutboundCall::on_flushed() {
@@ -194,7 +194,7 @@
   owner_.loop_.cancel(timer_);
   auto connection = std::move(connection_);
   if (reusable)
-    owner_.pool_.give_back(worker_, std::move(connection));
+    owner_.pool_.give_back(endpoint_, std::move(connection));
   else
     owner_.pool_.discard(std::move(connection));
   if (state_ == State::giving_up)
@@ -226,7 +226,7 @@
   owner_.pool_.discard(std::move(connection_));
   owner_.loop_.cancel(timer_);
   if (state_ == State::giving_up) {
-    owner_.pool_.forget(worker_);
+    owner_.pool_.forget(endpoint_);
     if (deletes_ >= most_deletes_) {
       if (accepted_)
         ++owner_.counters_.give_ups_unheard;
@@ -259,7 +259,7 @@
 void OutboundCall::send_delete() {
   owner_.loop_.cancel(timer_);
   if (!connection_) {
-    connection_ = owner_.pool_.take(worker_, dial_);
+    connection_ = owner_.pool_.take(endpoint_, dial_);
     if (!connection_ || connection_->stood() == Duration::zero())
       ++deletes_;  // an old one proves nothing
     if (!connection_)
--- a/node/outbound/outbound_call.h
+++ b/node/outbound/outbound_call.h
@@ -10,7 +10,7 @@
 
 class OutboundCall final : ClientConnection::User {
  public:
-  OutboundCall(Outbound& owner, AttemptRef ref, WorkerId worker, const Destination& to,
+  OutboundCall(Outbound& owner, AttemptRef ref, EndpointId endpoint, const Destination& to,
                const Job& job, const EndpointPort::Terms& terms);
   ~OutboundCall() override;
 
@@ -49,7 +49,7 @@
 
   Outbound& owner_;
   AttemptRef ref_;
-  WorkerId worker_;
+  EndpointId endpoint_;
   std::string host_;
   net::Address dial_;
   std::shared_ptr<const Payload> payload_;
--- a/node/outbound/pool.cpp
+++ b/node/outbound/pool.cpp
@@ -17,9 +17,9 @@
   loop_.cancel(timer_);
 }
 
-std::unique_ptr<ClientConnection> Pool::take(WorkerId worker, const net::Address& dial,
+std::unique_ptr<ClientConnection> Pool::take(EndpointId endpoint, const net::Address& dial,
                                              bool fresh_only) {
-  auto& list = idle_[worker];
+  auto& list = idle_[endpoint];
   while (!fresh_only && !list.empty()) {  // the one used last is the least likely to be closing
     Idle last = std::move(list.back());
     list.pop_back();
@@ -43,13 +43,13 @@
   return connection;
 }
 
-void Pool::give_back(WorkerId worker, std::unique_ptr<ClientConnection> connection) {
+void Pool::give_back(EndpointId endpoint, std::unique_ptr<ClientConnection> connection) {
   connection->attach(nullptr);
   if (!connection->open())
     return discard(std::move(connection));
   if (idle_count_ >= most_idle_)
     free_one();
-  idle_[worker].push_back({std::move(connection), loop_.now()});
+  idle_[endpoint].push_back({std::move(connection), loop_.now()});
   ++idle_count_;
 }
 
@@ -60,8 +60,8 @@
   loop_.dispose(std::move(connection));  // it may be in the middle of a callback
 }
 
-void Pool::forget(WorkerId worker) {
-  auto it = idle_.find(worker);
+void Pool::forget(EndpointId endpoint) {
+  auto it = idle_.find(endpoint);
   if (it == idle_.end())
     return;
   idle_count_ -= it->second.size();
@@ -78,7 +78,7 @@
 
 bool Pool::free_one() {
   std::vector<Idle>* oldest = nullptr;
-  for (auto& [worker, list] : idle_)
+  for (auto& [endpoint, list] : idle_)
     if (!list.empty() && (!oldest || list.front().since < oldest->front().since))
       oldest = &list;
   if (!oldest)
@@ -98,7 +98,7 @@
 // would count as one that may have run. So idle connections are closed well before, from this side.
 void Pool::retire() {
   TimePoint now = loop_.now();
-  for (auto& [worker, list] : idle_) {
+  for (auto& [endpoint, list] : idle_) {
     auto over = [&](const Idle& idle) {
       return now >= idle.since + keep_ || !idle.connection->open();
     };
--- a/node/outbound/pool.h
+++ b/node/outbound/pool.h
@@ -25,15 +25,16 @@
   // An idle connection to that address, connected; or else a new one, still connecting; or null
   // where the kernel refused. A connection to an address that the endpoint has left is never handed
   // out. `fresh`: a new one in any case.
-  std::unique_ptr<ClientConnection> take(WorkerId worker, const net::Address& dial,
+  std::unique_ptr<ClientConnection> take(EndpointId endpoint, const net::Address& dial,
                                          bool fresh = false);
   // A connection that had stood idle for so long broke under its next exchange. Something on the
   // way drops them earlier than it says, so they are kept for less from now on; little by little
   // that is forgotten.
   void worn(Duration stood);
-  void give_back(WorkerId worker, std::unique_ptr<ClientConnection> connection);
+  void give_back(EndpointId endpoint, std::unique_ptr<ClientConnection> connection);
   void discard(std::unique_ptr<ClientConnection> connection);
-  void forget(WorkerId worker);  // closes its idle connections: it does not answer on one of them
+  void forget(
+      EndpointId endpoint);  // closes its idle connections: it does not answer on one of them
   bool free_one();  // closes the idle connection that has stood longest; false: there is none
   void close_idle();
   std::size_t idle() const { return idle_count_; }
@@ -49,7 +50,7 @@
   Duration most_keep_, keep_;
   std::size_t most_idle_;
   Counters& counters_;
-  std::unordered_map<WorkerId, std::vector<Idle>> idle_;
+  std::unordered_map<EndpointId, std::vector<Idle>> idle_;
   std::size_t idle_count_ = 0;
   TimerId timer_ = 0;
 };
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -86,12 +86,12 @@
     router_ = std::make_unique<routes::Router>(
         late ? one_pool() : spec, routes::NameLists{n.classes, n.tenants, n.zones, n.kinds},
         settings_.module.classes, timing);
-    reedlb::WorkerList list{.scope = reedlb::ListScope::full, .entries = {}};
-    for (const auto& [worker, entry] : known_)
+    reedlb::EndpointList list{.scope = reedlb::ListScope::full, .entries = {}};
+    for (const auto& [endpoint, entry] : known_)
       list.entries.push_back(entry);
     if (late)
       router_->split(
-          list, [this](WorkerId w) { return host(w); }, now);
+          list, [this](EndpointId w) { return host(w); }, now);
     known_.clear();
   }
   auto lists = router_->replace(spec.on() ? spec : one_pool(), now);
@@ -134,28 +134,28 @@
   tick();
 }
 
-std::string_view Traffic::host(WorkerId worker) const {
-  const Destination* to = destinations_->find(worker);
+std::string_view Traffic::host(EndpointId endpoint) const {
+  const Destination* to = destinations_->find(endpoint);
   return to ? std::string_view(to->host) : std::string_view();
 }
 
-void Traffic::list(reedlb::WorkerList list) {
+void Traffic::list(reedlb::EndpointList list) {
   if (!router_) {
     if (list.scope != reedlb::ListScope::failed) {  // kept for the day on which pools are turned on
       if (list.scope != reedlb::ListScope::delta)
         known_.clear();
       for (const auto& e : list.entries) {
-        if (e.state != reedlb::WorkerState::gone)
-          known_[e.worker] = e;
+        if (e.state != reedlb::EndpointState::gone)
+          known_[e.endpoint] = e;
         else
-          known_.erase(e.worker);
+          known_.erase(e.endpoint);
       }
     }
     return engine_.destinations(std::move(list));
   }
   listed_ = true;
   tell(router_->split(
-      list, [this](WorkerId w) { return host(w); }, now_ms()));
+      list, [this](EndpointId w) { return host(w); }, now_ms()));
   wait_for_due();
   double now = now_ms();
   for (auto& moving : moves_)
--- a/node/routes/traffic.h
+++ b/node/routes/traffic.h
@@ -40,7 +40,7 @@
   void retune(Settings settings);  // of the platform; to be followed by `configure`, which must not
                                    // throw then
 
-  void list(reedlb::WorkerList list);
+  void list(reedlb::EndpointList list);
 
   int choose(const Job& job) override;
   void ended(const Job& job, int pool, TimePoint taken, End how) override;
@@ -65,7 +65,7 @@
     double asked = 0, in_time = 0;
   };
 
-  std::string_view host(WorkerId worker) const;  // empty where discovery has not named it
+  std::string_view host(EndpointId endpoint) const;  // empty where discovery has not named it
   double now_ms() const { return clock_.unix_ms(timers_.now()); }
   void tell(routes::Router::Lists lists);
   void wait_for_due();
@@ -81,7 +81,8 @@
   Settings settings_;
   Counters& counters_;
   const DestinationSet* destinations_ = nullptr;
-  std::map<WorkerId, reedlb::WorkerEntry> known_;  // while there is no Router: the list in force
+  std::map<EndpointId, reedlb::EndpointEntry>
+      known_;  // while there is no Router: the list in force
   std::unique_ptr<routes::Router> router_;
   std::vector<std::unique_ptr<Moving>> moves_;
   std::vector<PoolCount> counts_;
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -14,11 +14,11 @@
   Time now = 0;
   Actions* out = nullptr;
 
-  std::unordered_map<RequestId, Request> requests;  // looked up only, never iterated
-  std::unordered_map<WorkerId, Worker> workers;     // looked up only, never iterated
-  std::set<WorkerId> listed;                        // the list in force
-  std::map<int, std::set<WorkerId>> cells;
-  double at_home = 1;  // share of the workers that are at home here
+  std::unordered_map<RequestId, Request> requests;     // looked up only, never iterated
+  std::unordered_map<EndpointId, Endpoint> endpoints;  // looked up only, never iterated
+  std::set<EndpointId> listed;                         // the list in force
+  std::map<int, std::set<EndpointId>> cells;
+  double at_home = 1;  // share of the endpoints that are at home here
   int dead = 0;        // dispatchers that do not live
   bool talks = false;  // to those who are at home where this one is
   std::vector<ClassState> classes;
@@ -29,8 +29,8 @@
 
   Alarms<Wake> alarms;
   std::uint64_t next_seq = 0;
-  std::set<WorkerId> tried;  // while a job is picked for: who had it before
-  Time next_dispatch = 0;    // when a sample that missed is tried again
+  std::set<EndpointId> tried;  // while a job is picked for: who had it before
+  Time next_dispatch = 0;      // when a sample that missed is tried again
 
   bool subscribed = false, asking = false, twin = false, may_release = true;
   double ask_backoff = 0;
@@ -68,7 +68,7 @@
     return r.job.hint * classes[at(r.job.cls)].learned.factor;
   }
 
-  double learn(const Request& r, const Attempt& a, Worker& w) {
+  double learn(const Request& r, const Attempt& a, Endpoint& w) {
     double run = now - (a.started >= 0 ? a.started : a.sent);
     double slow = run / budget(r) * warmth(w);
     learn_pace(w, slow);
@@ -78,42 +78,42 @@
     return slow;
   }
 
-  void learn_pace(Worker& w, double slow) {
+  void learn_pace(Endpoint& w, double slow) {
     slow = std::clamp(slow, 0.25, 4.0);
     w.slow += kSlowAlpha * (slow - w.slow);
     if (!cold(w))
       kinds[at(w.entry.kind)].slow += kAlpha * (slow - kinds[at(w.entry.kind)].slow);
   }
 
-  // ---- worker view: own slots, learned cap, health, cold allowance ----
+  // ---- endpoint view: own slots, learned cap, health, cold allowance ----
 
-  Worker* find(WorkerId id) { return find_in(workers, id); }
+  Endpoint* find(EndpointId id) { return find_in(endpoints, id); }
   Request* find_request(RequestId id) { return find_in(requests, id); }
 
-  double slots(const Worker& w) const {
+  double slots(const Endpoint& w) const {
     return w.load + w.told.sum(now);
   }  // in flight there, if known
-  bool has_room(const Request& r, const Worker& w) const {
+  bool has_room(const Request& r, const Endpoint& w) const {
     return slots(w) <= 0 || slots(w) + r.load <= w.cap;
   }
 
-  const Homes::At& here(const Worker& w) const { return cold(w) ? w.turn.home : w.home; }
+  const Homes::At& here(const Endpoint& w) const { return cold(w) ? w.turn.home : w.home; }
 
-  // Keeps the pools an exact index of the workers that are ready, not left alone, and below their
+  // Keeps the pools an exact index of the endpoints that are ready, not left alone, and below their
   // cap.
-  void index(Worker& w) {
-    bool ready = w.entry.state == WorkerState::ready;
+  void index(Endpoint& w) {
+    bool ready = w.entry.state == EndpointState::ready;
     auto& ring = kinds[at(w.entry.kind)].ring;
     if (!ready)
-      ring.erase(mix(w.entry.worker));
+      ring.erase(mix(w.entry.endpoint));
     if (ready)
-      ring.emplace(mix(w.entry.worker), w.entry.worker);
+      ring.emplace(mix(w.entry.endpoint), w.entry.endpoint);
     bool open = ready && now >= w.shut_until && (slots(w) <= 0 || slots(w) < w.cap);
-    kinds[at(w.entry.kind)].pools[kOpen].set(w.entry.worker, open);
-    kinds[at(w.entry.kind)].pools[kHome].set(w.entry.worker, open && here(w).own);
+    kinds[at(w.entry.kind)].pools[kOpen].set(w.entry.endpoint, open);
+    kinds[at(w.entry.kind)].pools[kHome].set(w.entry.endpoint, open && here(w).own);
   }
 
-  void good_sign(Worker& w) {
+  void good_sign(Endpoint& w) {
     w.strikes = 0;
     if (slots(w) + 1 >= w.cap)
       w.cap += 1 / w.cap;
@@ -122,22 +122,22 @@
 
   void crowd() { crowding += kAlpha * (1 - crowding); }
 
-  // A worker that refused as full or started a job late is left alone a while: others fill it. If
+  // A endpoint that refused as full or started a job late is left alone a while: others fill it. If
   // it looks ill (failed, or started very late) the rest doubles while no good sign comes, and one
   // job tries it again.
-  void bad_sign(Worker& w, bool ill) {
+  void bad_sign(Endpoint& w, bool ill) {
     w.cap = ill ? 1 : std::max(1.0, w.cap * kCapDown);
     double rest = std::max(4 * s.tick_ms, kRest * mean_run);
     if (ill)
       rest *= std::exp2(std::max(w.strikes = std::min(w.strikes + 1, kMaxStrikes), w.faults));
     w.shut_until = std::max(w.shut_until, now + rest * (0.75 + 0.5 * random()));
-    alarms.add(w.shut_until, Wake::reindex, w.entry.worker);
+    alarms.add(w.shut_until, Wake::reindex, w.entry.endpoint);
     index(w);
   }
 
-  // Exception: of many none knows a worker. Those at home there tell each other what they see.
-  void tell(const Worker& w, Sign sign, double slow = 1, double work = 0) {
-    auto note = write_note({w.entry.worker, mark_of(w.entry), w.load, sign, slow, work});
+  // Exception: of many none knows a endpoint. Those at home there tell each other what they see.
+  void tell(const Endpoint& w, Sign sign, double slow = 1, double work = 0) {
+    auto note = write_note({w.entry.endpoint, mark_of(w.entry), w.load, sign, slow, work});
     if (twin)
       out->emplace_back(Tell{s.rank, note});
     if (talks)
@@ -145,7 +145,7 @@
         out->emplace_back(Tell{other, note});
   }
 
-  void take_sign(Worker& w, Sign sign) {
+  void take_sign(Endpoint& w, Sign sign) {
     if (sign == Sign::served)
       w.faults = 0, good_sign(w);
     if (sign == Sign::full || sign == Sign::late)
@@ -158,7 +158,7 @@
 
   void on(const PeerMessage& e) {
     auto note = read_note(e.bytes);
-    Worker* w = note ? find(note->worker) : nullptr;
+    Endpoint* w = note ? find(note->endpoint) : nullptr;
     if (!w || note->life != mark_of(w->entry))
       return;
     bool was_full = slots(*w) >= w->cap;
@@ -171,30 +171,33 @@
     // All who wait for a slot hear of it at once: each gives the others a moment to fill it first.
     if (was_full)
       w->shut_until = std::max(w->shut_until, now + kGiveWay * random());
-    alarms.add(was_full ? w->shut_until : now + kToldLife, Wake::reindex, note->worker);
+    alarms.add(was_full ? w->shut_until : now + kToldLife, Wake::reindex, note->endpoint);
     index(*w);
   }
 
-  bool cold(const Worker& w) const { return w.entry.born > 0 && now < w.entry.born + s.cold_ms; }
+  bool cold(const Endpoint& w) const {
+    return w.entry.started_at > 0 && now < w.entry.started_at + s.cold_ms;
+  }
   // The least share of its capacity that it can have by now.
-  double warmth(const Worker& w) const {
-    return cold(w) ? s.cold_from + (1 - s.cold_from) * std::max(0.0, now - w.entry.born) / s.cold_ms
+  double warmth(const Endpoint& w) const {
+    return cold(w) ? s.cold_from +
+                         (1 - s.cold_from) * std::max(0.0, now - w.entry.started_at) / s.cold_ms
                    : 1;
   }
-  double pace(const Worker& w) const {
+  double pace(const Endpoint& w) const {
     return w.slow / warmth(w);
   }  // run time here now, over corrected hint
 
   double cold_work(const Request& r,
-                   const Worker& w) const {  // as if its kind were as fast as its size says
+                   const Endpoint& w) const {  // as if its kind were as fast as its size says
     double slow = std::clamp(kinds[at(w.entry.kind)].slow, 0.5, 4.0);
     return std::max(kColdPace * r.job.hint, std::max(r.job.hint, budget(r)) * slow);
   }
 
-  // Rule 4: what may still go to a cold worker, of the own part of what all may send within a
+  // Rule 4: what may still go to a cold endpoint, of the own part of what all may send within a
   // window and of others' that they granted. Of many hardly one sees two jobs at work: up to twice
   // the cores are believed.
-  ColdRoom cold_room(const Worker& w) const {
+  ColdRoom cold_room(const Endpoint& w) const {
     double seen = kinds[at(w.entry.kind)].cores,
            cores = std::clamp(w.entry.nominal, seen, 2 * seen);
     double total = kColdMargin * s.fall_multiple * warmth(w) * cores * s.fall_ms;
@@ -202,17 +205,17 @@
     return {own, w.granted.until > now ? w.granted.work : 0, mean_run};
   }
 
-  void sent_cold(Worker& w, Time when, double work) {
+  void sent_cold(Endpoint& w, Time when, double work) {
     w.cold_sent.add(when, work, now - s.fall_ms);
   }
 
   // ---- the guards: every send passes may_send, every final answer passes may_bounce ----
 
-  bool may_send(const Request& r, Worker& w) {
+  bool may_send(const Request& r, Endpoint& w) {
     const ClassSettings& c = cls(r);
     if (r.ended || r.streaming || now >= r.deadline || r.attempts.size() >= at(s.try_limit))
       return false;
-    if (w.entry.state != WorkerState::ready)
+    if (w.entry.state != EndpointState::ready)
       return false;  // rule 3
     if (c.kind >= 0 && w.entry.kind != c.kind)
       return false;
@@ -304,13 +307,13 @@
     int looked = 0;
     for (auto it = q.begin(); it != q.end() && looked < 3; ++it, ++looked) {
       Request& r = requests.at(std::get<2>(*it));
-      if (Worker* w = pick(r))
+      if (Endpoint* w = pick(r))
         return send(r, *w), true;
     }
     return false;
   }
 
-  void send(Request& r, Worker& w) {
+  void send(Request& r, Endpoint& w) {
     unhold(r);
     double of_grant =
         cold(w) ? std::min(cold_work(r, w), cold_room(w).granted) : 0;  // it ends sooner
@@ -322,8 +325,8 @@
     index(w);
     if (!cold(w) || twin)
       tell(w, Sign::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
-    r.attempts.push_back({w.entry.worker, w.entry.zone, w.entry.cell, now});
-    out->push_back(Send{r.job.request, w.entry.worker, 0});
+    r.attempts.push_back({w.entry.endpoint, w.entry.zone, w.entry.cell, now});
+    out->push_back(Send{r.job.request, w.entry.endpoint, 0});
     int attempt = static_cast<int>(r.attempts.size()) - 1;
     if (s.tells_start)
       alarms.add(now + patience(w.entry.zone), Wake::late_start, r.job.request, attempt);
@@ -331,48 +334,48 @@
 
   double patience(int zone) const { return 3 * start_delay[at(zone)] + 4 * s.tick_ms + 10; }
 
-  // ---- pick: of a few sampled workers with room, the one that holds fewest of this dispatcher's
+  // ---- pick: of a few sampled endpoints with room, the one that holds fewest of this dispatcher's
   // slots ----
 
-  bool usable(const Request& r, Worker* w) {
-    // Work that must not run twice is not what a failing worker is tried again with.
+  bool usable(const Request& r, Endpoint* w) {
+    // Work that must not run twice is not what a failing endpoint is tried again with.
     if (w && w->faults > 1 && cls(r).effect == Effect::unsafe)
       return false;
-    // On a cold worker a job may run too long to be in time.
+    // On a cold endpoint a job may run too long to be in time.
     if (w && cold(*w) && budget(r) * pace(*w) > cls(r).target_ms + cls(r).stretch * r.job.hint)
       return false;
-    return w && !tried.count(w->entry.worker) && has_room(r, *w) && may_send(r, *w) &&
-           kinds[at(w->entry.kind)].pools[kOpen].has(w->entry.worker);
+    return w && !tried.count(w->entry.endpoint) && has_room(r, *w) && may_send(r, *w) &&
+           kinds[at(w->entry.kind)].pools[kOpen].has(w->entry.endpoint);
   }
 
-  // Exception: a worker that runs jobs slower than their corrected hints counts its slots so much
+  // Exception: a endpoint that runs jobs slower than their corrected hints counts its slots so much
   // dearer. Not for jobs with keys (run times tell of fetches too), nor for a cold one's first: it
   // has to be tried.
-  void keep_best(const Request& r, Worker*& best, Worker* w) const {
-    auto cost = [&](const Worker& x) {
+  void keep_best(const Request& r, Endpoint*& best, Endpoint* w) const {
+    auto cost = [&](const Endpoint& x) {
       return r.job.key || (cold(x) && !x.used) ? slots(x) : (slots(x) + 1) * std::max(1.0, pace(x));
     };
     if (!best || cost(*w) < cost(*best))
       best = w;
   }
 
-  // Exception: a worker that had this job before is asked again only where no other has room.
-  Worker* pick(const Request& r) {
+  // Exception: a endpoint that had this job before is asked again only where no other has room.
+  Endpoint* pick(const Request& r) {
     for (const Attempt& a : r.attempts)
-      tried.insert(a.worker);
-    Worker* w = tried.empty() ? nullptr : pick_any(r);
+      tried.insert(a.endpoint);
+    Endpoint* w = tried.empty() ? nullptr : pick_any(r);
     tried.clear();
     return w ? w : pick_any(r);
   }
 
-  Worker* pick_any(const Request& r) {
+  Endpoint* pick_any(const Request& r) {
     const ClassSettings& c = cls(r);
     if (c.effect == Effect::keyed && c.scope == Scope::cell)
       for (const Attempt& a : r.attempts)
         if (a.fate != Fate::never_ran)
           return pick_in_cell(r, a.cell);
     for (bool spare : {true, false})
-      if (Worker* w = r.job.key != 0 ? pick_by_key(r, spare) : pick_near_home(r, spare))
+      if (Endpoint* w = r.job.key != 0 ? pick_by_key(r, spare) : pick_near_home(r, spare))
         return w;
     return nullptr;
   }
@@ -384,19 +387,19 @@
     return need < 0 ? !spare || !kinds[at(kind)].reserved : need == kind;
   }
 
-  Worker* pick_in_cell(const Request& r, int cell) {
-    Worker* best = nullptr;
-    for (WorkerId id : cells[cell])
-      if (Worker* w = find(id); usable(r, w))
+  Endpoint* pick_in_cell(const Request& r, int cell) {
+    Endpoint* best = nullptr;
+    for (EndpointId id : cells[cell])
+      if (Endpoint* w = find(id); usable(r, w))
         keep_best(r, best, w);
     return best;
   }
 
-  // Exception: where dispatchers are many, own slots say little about a worker that all use. Each
+  // Exception: where dispatchers are many, own slots say little about a endpoint that all use. Each
   // is at home with a few, which sample theirs first. A job that has waited a while for them goes
   // anywhere.
-  Worker* pick_near_home(const Request& r, bool spare) {
-    if (Worker* w = sample(kHome, r, spare))
+  Endpoint* pick_near_home(const Request& r, bool spare) {
+    if (Endpoint* w = sample(kHome, r, spare))
       return w;
     double wait = kOverflow * mean_run * (1 + kCrowdWait * crowding * (1 - at_home));
     if (r.held && now - r.held_since < wait)
@@ -404,32 +407,32 @@
     return sample(kOpen, r, spare);
   }
 
-  Worker* sample(PoolName name, const Request& r, bool spare) {
+  Endpoint* sample(PoolName name, const Request& r, bool spare) {
     std::size_t total = 0;
     auto size = [&](int k) {
       return runs_on(r, k, spare) ? kinds[at(k)].pools[name].size() : 0;
     };
     for (int k = 0; k < s.kinds; ++k)
       total += size(k);
-    Worker* best = nullptr;
+    Endpoint* best = nullptr;
     for (int hits = 0, draws = 0; total > 0 && hits < kCandidates && draws < kDraws; ++draws) {
       auto n = static_cast<std::size_t>(random() * static_cast<double>(total));
       int k = 0;
       while (n >= size(k))
         n -= size(k++);
-      Worker* w = find(kinds[at(k)].pools[name][n]);
+      Endpoint* w = find(kinds[at(k)].pools[name][n]);
       if (usable(r, w))
         ++hits, keep_best(r, best, w);
     }
     return best;
   }
 
-  // Exception: a job with a key is sampled among its key's own workers, the same at every
+  // Exception: a job with a key is sampled among its key's own endpoints, the same at every
   // dispatcher: the hash's ring neighbours, as many as its share of the traffic needs. Others would
   // have to fetch what it needs from a shared store while slots stand idle. A job that has waited
   // about as long as a fetch takes looks one further.
-  Worker* pick_by_key(const Request& r, bool spare) {
-    std::vector<std::pair<std::uint64_t, WorkerId>> near;
+  Endpoint* pick_by_key(const Request& r, bool spare) {
+    std::vector<std::pair<std::uint64_t, EndpointId>> near;
     double fleet = 0;
     for (int k = 0; k < s.kinds; ++k) {
       const auto& ring = kinds[at(k)].ring;
@@ -447,13 +450,13 @@
     std::sort(near.begin(), near.end());
     double waited = r.held ? (now - r.held_since) / (kFetchRuns * mean_run + s.tick_ms) : 0;
     double wide = std::ceil(key_counts.share(r.job.key) * fleet * kKeySpread) + waited;
-    WorkerId last = 0;
-    Worker* best = nullptr;
+    EndpointId last = 0;
+    Endpoint* best = nullptr;
     for (const auto& [distance, id] : near) {
       if (id != last && --wide < 0)
         break;
       last = id;
-      if (Worker* w = find(id); usable(r, w))
+      if (Endpoint* w = find(id); usable(r, w))
         keep_best(r, best, w);
     }
     return best;
@@ -485,7 +488,7 @@
     end(r);
   }
 
-  // A refusal goes out at once and says when to try again: about when one of a worker's slots is
+  // A refusal goes out at once and says when to try again: about when one of a endpoint's slots is
   // free.
   double come_back() const {
     if (!s.retry_after)
@@ -561,7 +564,7 @@
     if (!a || a->started >= 0)
       return;
     a->started = now;
-    Worker* w = find(a->worker);
+    Endpoint* w = find(a->endpoint);
     if (!w)
       return;
     ++w->started;
@@ -601,7 +604,7 @@
     bool never =
         e.result == Result::full || e.result == Result::connect_failed || e.result == Result::moot;
     a->fate = never ? Fate::never_ran : Fate::may_have_run;
-    if (Worker* w = find(a->worker))
+    if (Endpoint* w = find(a->endpoint))
       settle(*w, r, *a, e.result);
     if (e.final && !r.ended)
       end(r);
@@ -612,11 +615,11 @@
     forget_if_done(e.request);
   }
 
-  void settle(Worker& w, const Request& r, const Attempt& a, Result result) {
+  void settle(Endpoint& w, const Request& r, const Attempt& a, Result result) {
     w.load = --w.out <= 0 ? 0 : w.load - r.load;
     if (a.started >= 0)
       --w.started;
-    // A worker that fails at once looks empty: starting a job proves nothing of it, only serving
+    // A endpoint that fails at once looks empty: starting a job proves nothing of it, only serving
     // one does.
     bool none = result == Result::cancelled || result == Result::moot, ok = result == Result::ok;
     Sign sign = none                     ? Sign::none
@@ -630,8 +633,8 @@
     tell(w, sign, ok ? learn(r, a, w) : 1);
     take_sign(w, sign);
     index(w);
-    if (w.out <= 0 && w.entry.state == WorkerState::gone)
-      workers.erase(a.worker);
+    if (w.out <= 0 && w.entry.state == EndpointState::gone)
+      endpoints.erase(a.endpoint);
   }
 
   // Another attempt if the class allows one anywhere, else the end.
@@ -644,7 +647,7 @@
     can ? hold(r) : finish(r);
   }
 
-  // Exception: a job that waits at a worker is called back when another has room; not with a key:
+  // Exception: a job that waits at a endpoint is called back when another has room; not with a key:
   // it fetches. Where one attempt at a time is allowed it first loses its place, so only after a
   // long silence.
   void late_start(RequestId id, int attempt) {
@@ -653,7 +656,7 @@
       return;
     Request& r = requests.at(id);
     double waited = now - a->sent;
-    if (Worker* w = find(a->worker))
+    if (Endpoint* w = find(a->endpoint))
       crowd(), bad_sign(*w, waited > 2 * mean_run), tell(*w, Sign::late);
     alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run), Wake::late_start, id,
                attempt);
@@ -670,16 +673,16 @@
       recall(r, attempt);
   }
 
-  void on(const WorkerList& e) {
+  void on(const EndpointList& e) {
     if (e.scope == ListScope::failed)
       return subscribed = asking = false, ask_again();
     if (e.scope != ListScope::cached)
       subscribed = true, asking = false, ask_backoff = 0;
     if (e.scope != ListScope::delta) {  // a complete list: whoever is missing is gone
-      std::set<WorkerId> missing = listed;
+      std::set<EndpointId> missing = listed;
       for (const auto& n : e.entries)
-        missing.erase(n.worker);
-      for (WorkerId id : missing)
+        missing.erase(n.endpoint);
+      for (EndpointId id : missing)
         drop(id);
     }
     for (const auto& n : e.entries)
@@ -688,44 +691,45 @@
       ask_again();
   }
 
-  void apply(const WorkerEntry& n) {
-    if (n.state == WorkerState::gone)
-      return drop(n.worker);
+  void apply(const EndpointEntry& n) {
+    if (n.state == EndpointState::gone)
+      return drop(n.endpoint);
     if (n.zone < 0 || n.zone >= s.zones || n.kind < 0 || n.kind >= s.kinds)
-      return drop(n.worker);
-    Worker* w = find(n.worker);
-    bool same = w && listed.count(n.worker) && w->entry.born == n.born && w->entry.zone == n.zone &&
-                w->entry.kind == n.kind && w->entry.cell == n.cell;
+      return drop(n.endpoint);
+    Endpoint* w = find(n.endpoint);
+    bool same = w && listed.count(n.endpoint) && w->entry.started_at == n.started_at &&
+                w->entry.zone == n.zone && w->entry.kind == n.kind && w->entry.cell == n.cell;
     if (!same) {
-      Worker fresh;  // attempts at its former life still count
+      Endpoint fresh;  // attempts at its former life still count
       if (w)
         fresh.load = w->load, fresh.out = w->out, fresh.started = w->started;
-      drop(n.worker);
-      w = &(workers[n.worker] = fresh);
+      drop(n.endpoint);
+      w = &(endpoints[n.endpoint] = fresh);
       w->entry = n;
       w->slow = kinds[at(n.kind)].slow;  // until it has shown its own
       w->turn.share = 1.0 / s.dispatchers;
       if (cold(*w))
-        alarms.add(n.born + s.cold_ms, Wake::reindex, n.worker);  // at home there are others then
-      listed.insert(n.worker);
-      cells[n.cell].insert(n.worker);
+        alarms.add(n.started_at + s.cold_ms, Wake::reindex,
+                   n.endpoint);  // at home there are others then
+      listed.insert(n.endpoint);
+      cells[n.cell].insert(n.endpoint);
     }
     w->entry.state = n.state;
     index(*w);
   }
 
-  void drop(WorkerId id) {
+  void drop(EndpointId id) {
     if (!listed.erase(id))
       return;
-    Worker& w = workers[id];
-    w.entry.state = WorkerState::gone;
+    Endpoint& w = endpoints[id];
+    w.entry.state = EndpointState::gone;
     index(w);
     auto cell = cells.find(w.entry.cell);
     cell->second.erase(id);
     if (cell->second.empty())
       cells.erase(cell);
     if (w.out <= 0)
-      workers.erase(id);
+      endpoints.erase(id);
   }
 
   // Spread by the number of dispatchers, slower after failures, yet never slower than ask_within_ms
@@ -762,24 +766,24 @@
 
   void on(const Homes& e) {
     double own = 0;
-    for (const Homes::At& at : e.workers) {
+    for (const Homes::At& at : e.endpoints) {
       own += at.own;
-      if (Worker* w = find(at.worker))
+      if (Endpoint* w = find(at.endpoint))
         w->home = at, index(*w);
     }
-    at_home = own / std::max(1.0, static_cast<double>(e.workers.size()));
+    at_home = own / std::max(1.0, static_cast<double>(e.endpoints.size()));
     talks = e.talk;
   }
 
   void on(const Turns& e) {
-    for (const Turns::At& at : e.workers)
-      if (Worker* w = find(at.home.worker); w && w->entry.born == at.born)
+    for (const Turns::At& at : e.endpoints)
+      if (Endpoint* w = find(at.home.endpoint); w && w->entry.started_at == at.started_at)
         w->turn = at, index(*w);
   }
 
   void on(const Grant& e) {
-    Worker* w = find(e.worker);
-    if (!w || w->entry.born != e.born)
+    Endpoint* w = find(e.endpoint);
+    if (!w || w->entry.started_at != e.started_at)
       return;
     e.ours ? void(w->granted = e) : sent_cold(*w, e.until, e.work);
   }
@@ -790,15 +794,15 @@
     for (int i = 0; i < s.kinds; ++i)
       static_cast<Knowledge::OfKind&>(kinds[at(i)]) = k.kinds.at(at(i));
     static_cast<OfFleet&>(*this) = k.fleet;
-    for (const Knowledge::Seen& seen : k.workers) {
-      Worker* w = find(seen.worker);
-      if (!w || w->entry.born != seen.born)
+    for (const Knowledge::Seen& seen : k.endpoints) {
+      Endpoint* w = find(seen.endpoint);
+      if (!w || w->entry.started_at != seen.started_at)
         continue;
       static_cast<Knowledge::OfWorker&>(*w) = seen.of;
       w->told.set(s.rank, seen.load, now + kToldLife);
       sent_cold(*w, now, seen.cold_work);
       for (Time when : {w->shut_until, now + kToldLife})
-        alarms.add(when, Wake::reindex, seen.worker);
+        alarms.add(when, Wake::reindex, seen.endpoint);
       index(*w);
     }
   }
@@ -807,9 +811,9 @@
     Knowledge k{{}, {}, {kinds.begin(), kinds.end()}, *this};
     for (const ClassState& c : classes)
       k.classes.push_back(c.learned);
-    for (WorkerId id : listed) {
-      Worker& w = workers[id];
-      k.workers.push_back({id, w.entry.born, w, w.load, w.cold_sent.sum(t - s.fall_ms)});
+    for (EndpointId id : listed) {
+      Endpoint& w = endpoints[id];
+      k.endpoints.push_back({id, w.entry.started_at, w, w.load, w.cold_sent.sum(t - s.fall_ms)});
     }
     return k;
   }
@@ -825,7 +829,7 @@
       finish(*r), forget_if_done(a.id);
     if (a.wake == Wake::late_start)
       late_start(a.id, a.attempt);
-    if (Worker* w = a.wake == Wake::reindex ? find(a.id) : nullptr)
+    if (Endpoint* w = a.wake == Wake::reindex ? find(a.id) : nullptr)
       index(*w);
     if (a.wake == Wake::subscribe && !subscribed && !asking)
       asking = true, out->push_back(Subscribe{});
@@ -864,14 +868,14 @@
 Knowledge Dispatcher::knowledge(Time now) const {
   return impl_->knowledge(now);
 }
-ColdRoom Dispatcher::cold_room(WorkerId worker, Time now) const {
+ColdRoom Dispatcher::cold_room(EndpointId endpoint, Time now) const {
   impl_->now = std::max(impl_->now, now);
-  const Worker* w = impl_->find(worker);
+  const Endpoint* w = impl_->find(endpoint);
   return w && impl_->cold(*w) ? impl_->cold_room(*w) : ColdRoom{};
 }
-bool Dispatcher::avoids(WorkerId worker, Time now) const {
-  const Worker* w = impl_->find(worker);
-  return w && w->entry.state == WorkerState::ready && now < w->shut_until &&
+bool Dispatcher::avoids(EndpointId endpoint, Time now) const {
+  const Endpoint* w = impl_->find(endpoint);
+  return w && w->entry.state == EndpointState::ready && now < w->shut_until &&
          w->strikes + w->faults > 0;
 }
 
--- a/src/peers.h
+++ b/src/peers.h
@@ -1,5 +1,5 @@
-// What dispatchers tell one another of a worker that they share, and what each keeps of it. Nothing
-// here decides.
+// What dispatchers tell one another of a endpoint that they share, and what each keeps of it.
+// Nothing here decides.
 #pragma once
 
 #include <algorithm>
@@ -19,13 +19,13 @@
 
 enum class Sign : std::uint8_t { none, sent, served, full, late, unreached, failed };
 
-// A note is 8 bytes, big-endian: worker (4), a mark of the worker's life (1), own slots in flight
-// there (1, at most 255), sign (1), and with `served` the relative slowness x 32 of the run that
-// ended, with `sent` the work that went out in units of 64 ms, rounded up (1). Messages are priced
-// by size.
+// A note is 8 bytes, big-endian: endpoint (4), a mark of the endpoint's life (1), own slots in
+// flight there (1, at most 255), sign (1), and with `served` the relative slowness x 32 of the run
+// that ended, with `sent` the work that went out in units of 64 ms, rounded up (1). Messages are
+// priced by size.
 struct Note {
-  WorkerId worker = 0;
-  std::uint8_t life = 0;  // notes on a former life of a worker tell nothing of the present one
+  EndpointId endpoint = 0;
+  std::uint8_t life = 0;  // notes on a former life of a endpoint tell nothing of the present one
   double load = 0;
   Sign sign = Sign::none;
   double slow = 1;
@@ -40,7 +40,7 @@
   };
   std::string out;
   for (int shift : {24, 16, 8, 0})
-    out += static_cast<char>(n.worker >> shift & 0xff);
+    out += static_cast<char>(n.endpoint >> shift & 0xff);
   return out + static_cast<char>(n.life) + byte(std::ceil(n.load)) + static_cast<char>(n.sign) +
          byte(n.sign == Sign::sent ? std::ceil(n.work / kWorkUnit) : n.slow * 32);
 }
@@ -56,7 +56,7 @@
     return std::nullopt;
   Note n;
   for (std::size_t i = 0; i < 4; ++i)
-    n.worker = n.worker << 8 | byte(i);
+    n.endpoint = n.endpoint << 8 | byte(i);
   n.life = byte(4);
   n.load = byte(5);
   n.sign = static_cast<Sign>(byte(6));
@@ -67,7 +67,7 @@
   return n;
 }
 
-// The slots that others hold at one worker, by what each told last. A peer that has died tells no
+// The slots that others hold at one endpoint, by what each told last. A peer that has died tells no
 // more, and a note may be lost: what is not told anew counts for a while only.
 class Told {
  public:
@@ -92,12 +92,12 @@
   std::vector<Held> held_;
 };
 
-// A number for one life of a worker, the same at every dispatcher.
-inline std::uint64_t life_of(const WorkerEntry& e) {
-  return mix(e.worker ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.born) * 1000)));
+// A number for one life of a endpoint, the same at every dispatcher.
+inline std::uint64_t life_of(const EndpointEntry& e) {
+  return mix(e.endpoint ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.started_at) * 1000)));
 }
 
-inline std::uint8_t mark_of(const WorkerEntry& e) {
+inline std::uint8_t mark_of(const EndpointEntry& e) {
   return static_cast<std::uint8_t>(life_of(e));
 }
 
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,4 @@
-// What the decisions keep of workers, requests, classes and kinds. Nothing here decides.
+// What the decisions keep of endpoints, requests, classes and kinds. Nothing here decides.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 
 namespace reedlb {
 
-enum PoolName { kOpen, kHome, kPools };  // workers with room, and those of them at home here
+enum PoolName { kOpen, kHome, kPools };  // endpoints with room, and those of them at home here
 
-struct Worker : Knowledge::OfWorker {
-  WorkerEntry entry;
+struct Endpoint : Knowledge::OfWorker {
+  EndpointEntry entry;
   double load = 0;              // own slots in flight
   int out = 0;                  // own attempts out
   int started = 0;              // of these, in work
@@ -31,7 +31,7 @@
 
 enum class Fate : std::uint8_t { out, never_ran, may_have_run };
 struct Attempt {
-  WorkerId worker;
+  EndpointId endpoint;
   int zone, cell;
   Time sent;
   Time started = -1;
@@ -59,8 +59,8 @@
 
 struct KindState : Knowledge::OfKind {
   SampledSet pools[kPools];
-  std::map<std::uint64_t, WorkerId> ring;  // ready workers by hash
-  bool reserved = false;                   // some class cannot do without it
+  std::map<std::uint64_t, EndpointId> ring;  // ready endpoints by hash
+  bool reserved = false;                     // some class cannot do without it
 };
 
 }  // namespace reedlb
--- a/src/tuning.h
+++ b/src/tuning.h
@@ -4,15 +4,15 @@
 namespace reedlb {
 
 constexpr double kAlpha = 0.1;      // EMA step of the calibration factor and of the other averages
-constexpr double kSlowAlpha = 0.2;  // EMA step of a worker's relative slowness
+constexpr double kSlowAlpha = 0.2;  // EMA step of a endpoint's relative slowness
 constexpr double kRatioLimit =
     8;  // one sample counts at most this much, or its inverse: tails are heavy
-constexpr int kCandidates = 4;    // sampled workers with room that a pick compares
+constexpr int kCandidates = 4;    // sampled endpoints with room that a pick compares
 constexpr int kDraws = 16;        // draws at most to find them
 constexpr double kCapDown = 0.7;  // multiplicative decrease
-constexpr double kRest = 0.1;     // how long a busy worker is left alone, in usual runs
+constexpr double kRest = 0.1;     // how long a busy endpoint is left alone, in usual runs
 constexpr double kCrowdWait =
-    4;  // in crowding a job waits up to so many times longer for home workers
+    4;  // in crowding a job waits up to so many times longer for home endpoints
 constexpr double kCrowded = 0.5;  // above this crowding overdue jobs wait
 constexpr int kMaxStrikes = 3;    // doublings of that while it looks ill
 constexpr int kMaxFaults = 6;     // and while its attempts fail, one after another
@@ -26,12 +26,12 @@
 constexpr double kGiveWay =
     40;  // ms within which a slot that a peer has given back may be filled again
 constexpr double kOverflow =
-    0.1;                        // usual runs a job waits for a home worker before it goes elsewhere
-constexpr int kKeyProbes = 16;  // ring look-ups that order a key's workers
+    0.1;  // usual runs a job waits for a home endpoint before it goes elsewhere
+constexpr int kKeyProbes = 16;  // ring look-ups that order a key's endpoints
 constexpr double kKeySpread =
-    2.5;  // workers a key is given, for each its share of traffic would fill
+    2.5;  // endpoints a key is given, for each its share of traffic would fill
 constexpr double kFetchRuns =
-    1.5;  // a job waits so many usual runs before it leaves its key's workers
+    1.5;  // a job waits so many usual runs before it leaves its key's endpoints
 constexpr double kColdMargin =
     0.62;  // share of rule 4's budget used: hints err, and refused work counts too
 constexpr double kColdPace = 0.9;  // and a kind counts as faster than its size by so much at most
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -70,14 +70,14 @@
                      hex("03124a07 00 00 0000 01 3f800000 0000000000000000"
                          "2c9011f2 01 00 0007 02 3fc00000 40b7d40000000000");
   auto all = read_body(header_for(body, 3), body);
-  auto list = event_of<WorkerList>(all[0]);
+  auto list = event_of<EndpointList>(all[0]);
   EXPECT_EQ(list.scope, ListScope::cached);
   ASSERT_EQ(list.entries.size(), 2u);
-  EXPECT_EQ(list.entries[1].worker, 0x2c9011f2u);
+  EXPECT_EQ(list.entries[1].endpoint, 0x2c9011f2u);
   EXPECT_EQ(list.entries[1].cell, 7);
-  EXPECT_EQ(list.entries[1].state, WorkerState::draining);
+  EXPECT_EQ(list.entries[1].state, EndpointState::draining);
   EXPECT_DOUBLE_EQ(list.entries[1].nominal, 1.5);
-  EXPECT_DOUBLE_EQ(list.entries[1].born, 6100);
+  EXPECT_DOUBLE_EQ(list.entries[1].started_at, 6100);
   auto o = event_of<Outcome>(all[1]);
   EXPECT_EQ(o.attempt, 2);
   EXPECT_EQ(o.result, Result::reset);
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -10,8 +10,8 @@
   reedlb::Dispatcher dispatcher(settings, /*seed=*/42);
 
   reedlb::Actions actions;
-  reedlb::WorkerList list;
-  list.entries.push_back({.worker = 7});
+  reedlb::EndpointList list;
+  list.entries.push_back({.endpoint = 7});
   dispatcher.handle(0.0, list, actions);
 
   reedlb::Arrival job;
@@ -23,7 +23,7 @@
   int sends = 0;
   for (const reedlb::Action& action : actions)
     if (const auto* send = std::get_if<reedlb::Send>(&action)) {
-      std::cout << "send request " << send->request << " to worker " << send->worker << "\n";
+      std::cout << "send request " << send->request << " to worker " << send->endpoint << "\n";
       ++sends;
     }
   return sends == 1 ? 0 : 1;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -76,11 +76,11 @@
     now = to;
   }
 
-  void workers(int n, int zones = 1, int kinds = 1) {
-    WorkerList list;
+  void endpoints(int n, int zones = 1, int kinds = 1) {
+    EndpointList list;
     for (int i = 0; i < n; ++i)
-      list.entries.push_back(
-          {static_cast<WorkerId>(100 + i), i % zones, i % kinds, i / 4, WorkerState::ready, 1, 0});
+      list.entries.push_back({static_cast<EndpointId>(100 + i), i % zones, i % kinds, i / 4,
+                              EndpointState::ready, 1, 0});
     play(list);
   }
 
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -1,4 +1,4 @@
-// Executors out by hand, and who is ready in a handover.
+// Endpoints out by hand, and who is ready in a handover.
 #include <gtest/gtest.h>
 
 #include "handover/succession.h"
@@ -8,49 +8,50 @@
 namespace {
 
 using overlay::ByHand;
+using reedlb::EndpointEntry;
+using reedlb::EndpointList;
+using reedlb::EndpointState;
 using reedlb::ListScope;
-using reedlb::WorkerEntry;
-using reedlb::WorkerList;
-using reedlb::WorkerState;
 
 constexpr double kLater = 12345;
 
-WorkerList list(ListScope scope, std::vector<std::pair<reedlb::WorkerId, WorkerState>> workers,
-                double born = 0) {
-  WorkerList out{.scope = scope, .entries = {}};
-  for (auto [worker, state] : workers) {
-    WorkerEntry entry;
-    entry.worker = worker, entry.state = state, entry.born = born;
+EndpointList list(ListScope scope,
+                  std::vector<std::pair<reedlb::EndpointId, EndpointState>> endpoints,
+                  double started_at = 0) {
+  EndpointList out{.scope = scope, .entries = {}};
+  for (auto [endpoint, state] : endpoints) {
+    EndpointEntry entry;
+    entry.endpoint = endpoint, entry.state = state, entry.started_at = started_at;
     out.entries.push_back(entry);
   }
   return out;
 }
 
-WorkerState told(const WorkerList& all, reedlb::WorkerId worker) {
-  for (const WorkerEntry& entry : all.entries)
-    if (entry.worker == worker)
+EndpointState told(const EndpointList& all, reedlb::EndpointId endpoint) {
+  for (const EndpointEntry& entry : all.entries)
+    if (entry.endpoint == endpoint)
       return entry.state;
-  return WorkerState::gone;
+  return EndpointState::gone;
 }
 
 TEST(ByHand, WhatDiscoverySaysInBetweenBringsNobodyBack) {
   ByHand hand;
-  hand.laid_over(list(ListScope::full, {{1, WorkerState::ready}, {2, WorkerState::ready}}));
+  hand.laid_over(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto out = hand.out(1, "one");
   ASSERT_TRUE(out);
-  EXPECT_EQ(told(*out, 1), WorkerState::draining);
+  EXPECT_EQ(told(*out, 1), EndpointState::draining);
   EXPECT_FALSE(hand.out(1, "one"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::gone}})), 1),
-            WorkerState::gone);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, EndpointState::gone}})), 1),
+            EndpointState::gone);
   EXPECT_EQ(hand.listed(), 1u);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, WorkerState::ready}}, kLater)), 1),
-            WorkerState::draining);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{1, WorkerState::ready}}, kLater)), 1),
-            WorkerState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, EndpointState::ready}}, kLater)), 1),
+            EndpointState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{1, EndpointState::ready}}, kLater)), 1),
+            EndpointState::draining);
   auto back = hand.back(1);
   ASSERT_TRUE(back);
-  EXPECT_EQ(told(*back, 1), WorkerState::ready);
-  EXPECT_EQ(back->entries.front().born, kLater);  // rule 4 counts from there
+  EXPECT_EQ(told(*back, 1), EndpointState::ready);
+  EXPECT_EQ(back->entries.front().started_at, kLater);  // rule 4 counts from there
   EXPECT_FALSE(hand.back(1));
 }
 
@@ -58,7 +59,7 @@
 // asking.
 TEST(ByHand, IsNoWordOfDiscoverys) {
   ByHand hand;
-  hand.laid_over(list(ListScope::cached, {{1, WorkerState::ready}, {2, WorkerState::ready}}));
+  hand.laid_over(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto out = hand.out(1, "one");
   ASSERT_TRUE(out);
   EXPECT_EQ(out->scope, ListScope::cached);
@@ -70,21 +71,21 @@
 TEST(ByHand, OneThatIsNotListedYetIsOutWhenItComes) {
   ByHand hand;
   EXPECT_FALSE(hand.out(7, "seven"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{7, WorkerState::ready}})), 7),
-            WorkerState::draining);
+  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{7, EndpointState::ready}})), 7),
+            EndpointState::draining);
   EXPECT_EQ(hand.hosts(), std::vector<std::string>{"seven"});
 }
 
 TEST(ByHand, EachUnavailableOneCountsOnce) {
   ByHand hand;
-  hand.laid_over(list(ListScope::full, {{1, WorkerState::ready},
-                                        {2, WorkerState::draining},
-                                        {3, WorkerState::ready},
-                                        {4, WorkerState::ready}}));
+  hand.laid_over(list(ListScope::full, {{1, EndpointState::ready},
+                                        {2, EndpointState::draining},
+                                        {3, EndpointState::ready},
+                                        {4, EndpointState::ready}}));
   hand.out(1, "one");
   hand.out(2, "two");
   hand.out(9, "not listed");
-  EXPECT_EQ(hand.unavailable([](auto worker) { return worker == 1 || worker == 3; }), 3u);
+  EXPECT_EQ(hand.unavailable([](auto endpoint) { return endpoint == 1 || endpoint == 3; }), 3u);
 }
 
 TEST(Succession, WaitsForTheElderAndForDiscoveryAndForNobodyForever) {
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -10,10 +10,10 @@
 namespace keelflow::routes {
 namespace {
 
+using reedlb::EndpointEntry;
+using reedlb::EndpointList;
+using reedlb::EndpointState;
 using reedlb::ListScope;
-using reedlb::WorkerEntry;
-using reedlb::WorkerList;
-using reedlb::WorkerState;
 
 constexpr double kCold = 20'000, kRest = 2'000;
 const NameLists kNames{
@@ -35,17 +35,17 @@
 }
 
 struct Fleet {
-  std::map<reedlb::WorkerId, std::string> names;
-  WorkerList list;
-  Fleet& add(reedlb::WorkerId id, std::string name, double born = 0,
-             WorkerState state = WorkerState::ready) {
+  std::map<reedlb::EndpointId, std::string> names;
+  EndpointList list;
+  Fleet& add(reedlb::EndpointId id, std::string name, double started_at = 0,
+             EndpointState state = EndpointState::ready) {
     names[id] = std::move(name);
-    list.entries.push_back({id, 0, 0, 0, state, 1, born});
+    list.entries.push_back({id, 0, 0, 0, state, 1, started_at});
     return *this;
   }
   Router::Lists tell(Router& router, double now) {
     return router.split(
-        list, [this](reedlb::WorkerId id) { return std::string_view(names[id]); }, now);
+        list, [this](reedlb::EndpointId id) { return std::string_view(names[id]); }, now);
   }
 };
 
@@ -61,11 +61,11 @@
   return q;
 }
 
-const WorkerEntry* find(const Router::Lists& lists, int pool, reedlb::WorkerId worker) {
+const EndpointEntry* find(const Router::Lists& lists, int pool, reedlb::EndpointId endpoint) {
   for (const auto& [told, list] : lists)
     if (told == pool)
       for (const auto& entry : list.entries)
-        if (entry.worker == worker)
+        if (entry.endpoint == endpoint)
           return &entry;
   return nullptr;
 }
@@ -77,24 +77,24 @@
                 {"hosts", {}, {}, {"n-", "m-"}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"both", 1}}, false}};
   Router router = make(spec);
-  std::map<reedlb::WorkerId, std::string> names{{1, "a"}, {2, "a"}, {3, "m-1"}, {4, "a"}};
-  WorkerList list;
-  list.entries = {{1, 0, 0, 3, WorkerState::ready, 1, 0},
-                  {2, 0, 1, 3, WorkerState::ready, 1, 0},
-                  {3, 1, 1, 9, WorkerState::ready, 1, 0},
-                  {4, 1, 0, 9, WorkerState::ready, 1, 0}};
+  std::map<reedlb::EndpointId, std::string> names{{1, "a"}, {2, "a"}, {3, "m-1"}, {4, "a"}};
+  EndpointList list;
+  list.entries = {{1, 0, 0, 3, EndpointState::ready, 1, 0},
+                  {2, 0, 1, 3, EndpointState::ready, 1, 0},
+                  {3, 1, 1, 9, EndpointState::ready, 1, 0},
+                  {4, 1, 0, 9, EndpointState::ready, 1, 0}};
   auto told = router.split(
-      list, [&](reedlb::WorkerId id) { return std::string_view(names[id]); }, 1000);
+      list, [&](reedlb::EndpointId id) { return std::string_view(names[id]); }, 1000);
   EXPECT_TRUE(find(told, 0, 1));
   EXPECT_TRUE(find(told, 1, 2));
   EXPECT_TRUE(find(told, 2, 3));
   EXPECT_EQ(router.unassigned(), 1);
-  std::map<reedlb::WorkerId, int> count;
+  std::map<reedlb::EndpointId, int> count;
   for (const auto& [pool, part] : told)
     for (const auto& entry : part.entries)
-      ++count[entry.worker];
-  for (const auto& [worker, times] : count)
-    EXPECT_EQ(times, 1) << worker;
+      ++count[entry.endpoint];
+  for (const auto& [endpoint, times] : count)
+    EXPECT_EQ(times, 1) << endpoint;
 }
 
 TEST(Router, AStepMovesTheAddedShareAndNothingBack) {
@@ -222,7 +222,7 @@
   fleet.list.scope = ListScope::delta;
   told = fleet.tell(router, 3000);
   ASSERT_TRUE(find(told, 1, 1)) << "the old pool hears that it is gone";
-  EXPECT_EQ(find(told, 1, 1)->state, WorkerState::gone);
+  EXPECT_EQ(find(told, 1, 1)->state, EndpointState::gone);
   EXPECT_FALSE(find(told, 0, 1)) << "rule 4's window is not over";
   EXPECT_TRUE(find(told, 0, 2)) << "a warm one joins at once";
   ASSERT_TRUE(router.next_due());
@@ -230,7 +230,7 @@
   EXPECT_TRUE(router.due(3000 + kRest - 1).empty());
   told = router.due(3000 + kRest);
   ASSERT_TRUE(find(told, 0, 1));
-  EXPECT_EQ(find(told, 0, 1)->state, WorkerState::ready);
+  EXPECT_EQ(find(told, 0, 1)->state, EndpointState::ready);
   EXPECT_FALSE(router.next_due());
 }
 
@@ -263,9 +263,9 @@
   std::mt19937 random(3);
   for (int i = 0; i < 200; ++i) {
     Fleet fleet;
-    for (reedlb::WorkerId w = 1; w <= 20; ++w)
+    for (reedlb::EndpointId w = 1; w <= 20; ++w)
       if (random() % 3)
-        fleet.add(w, "h", 0, random() % 4 ? WorkerState::ready : WorkerState::draining);
+        fleet.add(w, "h", 0, random() % 4 ? EndpointState::ready : EndpointState::draining);
     fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta,
                                   ListScope::failed}[random() % 4];
     auto told = fleet.tell(router, i);
@@ -274,7 +274,7 @@
     std::size_t count = fleet.list.scope == ListScope::failed ? 0 : fleet.list.entries.size();
     ASSERT_EQ(told[0].second.entries.size(), count);
     for (std::size_t k = 0; k < count; ++k)
-      EXPECT_EQ(told[0].second.entries[k].worker, fleet.list.entries[k].worker);
+      EXPECT_EQ(told[0].second.entries[k].endpoint, fleet.list.entries[k].endpoint);
   }
 }
 
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -13,18 +13,18 @@
 namespace keelflow::fleet {
 namespace {
 
-using reedlb::WorkerId;
+using reedlb::EndpointId;
 
 struct Size {
-  int dispatchers, workers;
+  int dispatchers, endpoints;
 };
 const Size kSizes[] = {{16, 20}, {100, 60}, {300, 200}, {40, 400}};
 
-std::vector<WorkerId> draw(int count, unsigned seed) {
+std::vector<EndpointId> draw(int count, unsigned seed) {
   std::mt19937 random(seed);
-  std::set<WorkerId> ids;
+  std::set<EndpointId> ids;
   while (static_cast<int>(ids.size()) < count)
-    ids.insert(static_cast<WorkerId>(random()));
+    ids.insert(static_cast<EndpointId>(random()));
   return {ids.begin(), ids.end()};
 }
 
@@ -34,15 +34,15 @@
   return all;
 }
 
-using Pairs = std::set<std::pair<int, WorkerId>>;
-Pairs pairs_of(const std::vector<WorkerId>& workers, const std::vector<int>& dispatchers,
+using Pairs = std::set<std::pair<int, EndpointId>>;
+Pairs pairs_of(const std::vector<EndpointId>& endpoints, const std::vector<int>& dispatchers,
                int of) {  // of so many, all told
   Pairs out;
   auto homes =
-      subsets(workers, dispatchers, homes_for_each(6, of, static_cast<int>(workers.size())));
-  for (std::size_t w = 0; w < workers.size(); ++w)
+      subsets(endpoints, dispatchers, homes_for_each(6, of, static_cast<int>(endpoints.size())));
+  for (std::size_t w = 0; w < endpoints.size(); ++w)
     for (int d : homes[w])
-      out.emplace(d, workers[w]);
+      out.emplace(d, endpoints[w]);
   return out;
 }
 
@@ -52,30 +52,30 @@
 }
 
 TEST(Subsets, EveryDispatcherHasAsManyAndEveryExecutorTwoMoreOrLessAtMost) {
-  for (auto [dispatchers, workers] : kSizes)
+  for (auto [dispatchers, endpoints] : kSizes)
     for (unsigned seed = 1; seed <= 50; ++seed) {
-      auto ids = draw(workers, seed);
-      int each = homes_for_each(6, dispatchers, workers);
+      auto ids = draw(endpoints, seed);
+      int each = homes_for_each(6, dispatchers, endpoints);
       auto homes = subsets(ids, first(dispatchers), each);
       std::map<int, int> has;
-      double part = 1.0 * each * dispatchers / workers;
+      double part = 1.0 * each * dispatchers / endpoints;
       for (const auto& of : homes) {
         EXPECT_GE(of.size(), 1u);
         EXPECT_LE(std::abs(static_cast<double>(of.size()) - part), 2)
-            << dispatchers << "/" << workers << " seed " << seed;
+            << dispatchers << "/" << endpoints << " seed " << seed;
         for (int d : of)
           ++has[d];
       }
       for (int d : first(dispatchers))
-        EXPECT_EQ(has[d], each) << dispatchers << "/" << workers << " seed " << seed;
+        EXPECT_EQ(has[d], each) << dispatchers << "/" << endpoints << " seed " << seed;
     }
 }
 
 TEST(Subsets, OneMoreOrLessMovesLittle) {
-  for (auto [dispatchers, workers] : kSizes) {
+  for (auto [dispatchers, endpoints] : kSizes) {
     double by_dispatcher = 0, by_worker = 0, own_d = 0, own_w = 0;
     for (unsigned seed = 1; seed <= 12; ++seed) {
-      auto ids = draw(workers, seed);
+      auto ids = draw(endpoints, seed);
       Pairs before = pairs_of(ids, first(dispatchers), dispatchers);
       auto fewer = first(dispatchers);
       int gone = static_cast<int>(seed) % dispatchers;
@@ -83,7 +83,7 @@
       by_dispatcher += static_cast<double>(added(before, pairs_of(ids, fewer, dispatchers)));
       own_d += static_cast<double>(std::count_if(before.begin(), before.end(),
                                                  [&](const auto& p) { return p.first == gone; }));
-      WorkerId lost = ids[seed];
+      EndpointId lost = ids[seed];
       auto rest = ids;
       std::erase(rest, lost);
       by_worker +=
@@ -92,7 +92,7 @@
                                                  [&](const auto& p) { return p.second == lost; }));
     }
     std::printf("%3d/%3d: moved %.2f times its own homes by a dispatcher, %.2f by an executor\n",
-                dispatchers, workers, by_dispatcher / own_d, by_worker / own_w);
+                dispatchers, endpoints, by_dispatcher / own_d, by_worker / own_w);
     EXPECT_LT(by_dispatcher / own_d, 2);
     EXPECT_LT(by_worker / own_w, 2);
   }
@@ -101,14 +101,14 @@
 // A third sees the fleet without the dispatchers of one zone, a third a stale list: the sum stays
 // near what it was.
 TEST(Subsets, ThoseWhoSeeDifferentMembersStillAddUp) {
-  for (auto [dispatchers, workers] : kSizes) {
-    auto ids = draw(workers, 1);
+  for (auto [dispatchers, endpoints] : kSizes) {
+    auto ids = draw(endpoints, 1);
     auto stale = ids;
     stale.resize(ids.size() * 9 / 10);
     auto fewer = first(dispatchers);
     std::erase_if(fewer, [](int d) { return d % 3 == 0; });
-    int each = homes_for_each(6, dispatchers, workers);
-    std::map<WorkerId, int> sum;
+    int each = homes_for_each(6, dispatchers, endpoints);
+    std::map<EndpointId, int> sum;
     for (int d : first(dispatchers)) {
       const auto& list = d % 3 == 1 ? stale : ids;
       const auto& members = d % 3 == 2 ? fewer : first(dispatchers);
@@ -121,7 +121,7 @@
       EXPECT_LE(has, each + 2);
       EXPECT_GE(has, each - 2);
     }
-    double part = 1.0 * each * dispatchers / workers;
+    double part = 1.0 * each * dispatchers / endpoints;
     for (auto& [w, count] : sum)
       EXPECT_LE(count, 2 * part + 2)
           << "an executor is home to " << count << " instead of " << part;
@@ -133,25 +133,25 @@
   s.dispatchers = 40;
   s.rank = 7;
   Homes homes(s);
-  reedlb::WorkerList list;
-  for (WorkerId w : draw(30, 3))
-    list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
+  reedlb::EndpointList list;
+  for (EndpointId w : draw(30, 3))
+    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
   auto told = homes.after(list);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->workers.size(), 30u);
+  EXPECT_EQ(told->endpoints.size(), 30u);
   EXPECT_FALSE(homes.after(list));
   list.scope = reedlb::ListScope::delta;
   list.entries.resize(1);
-  list.entries[0].state = reedlb::WorkerState::draining;
+  list.entries[0].state = reedlb::EndpointState::draining;
   EXPECT_FALSE(homes.after(list));  // it is still there
-  list.entries[0].state = reedlb::WorkerState::gone;
-  EXPECT_EQ(homes.after(list)->workers.size(), 29u);
+  list.entries[0].state = reedlb::EndpointState::gone;
+  EXPECT_EQ(homes.after(list)->endpoints.size(), 29u);
   std::vector<bool> lives(40, true);
   EXPECT_FALSE(homes.after(reedlb::Members{lives}));
   lives[3] = false;
   auto without = homes.after(reedlb::Members{lives});
   ASSERT_TRUE(without);
-  for (const auto& at : without->workers)
+  for (const auto& at : without->endpoints)
     EXPECT_EQ(std::count(at.others.begin(), at.others.end(), 3), 0);
   EXPECT_FALSE(homes.after(reedlb::Timer{}));
 }
--- a/tests/logic/turns_replay.cpp
+++ b/tests/logic/turns_replay.cpp
@@ -46,7 +46,7 @@
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
     s_.fall_multiple =
         400.0 * 8 / (0.62 * s_.fall_ms) + 1e-9;  // so that the first owner's part is 400 ms of work
-    auto order = order_at({kCold, 0, 0, 0, WorkerState::ready, 1, kBorn}, kNodes);
+    auto order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, kNodes);
     ranks_ = {order[8], order[9], order[0]};  // two that have no part, and the owner
     for (int rank : ranks_)
       lives_[static_cast<std::size_t>(rank)] = true;
--- a/tests/logic/turns_test.cpp
+++ b/tests/logic/turns_test.cpp
@@ -1,4 +1,4 @@
-// Turns: whatever the network and the nodes do, all together send a cold executor no more than its
+// Turns: whatever the network and the nodes do, all together send a cold endpoint no more than its
 // budget.
 #include "fleet/turns.h"
 
@@ -156,7 +156,7 @@
 struct Pair {
   Pair() {
     lives.assign(20, false);
-    order = order_at({kCold, 0, 0, 0, WorkerState::ready, 1, kBorn}, 20);
+    order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, 20);
     lives[at(0)] = lives[at(10)] = true;
     owner.emplace(s, order[0], kBorn - 1, lives);
     asker.emplace(s, order[10], kBorn - 1, lives);
@@ -250,7 +250,7 @@
   p.to(kBorn + 3000 + waits + 1);
   p.owner->job();  // with it comes the news
   EXPECT_TRUE(p.owner->job());
-  // Nobody can have sent anything to an executor that started later.
+  // Nobody can have sent anything to an endpoint that started later.
   Settings s = many(1);
   EXPECT_TRUE(Node(s, 0, kBorn - 1).job());
   EXPECT_FALSE(Node(s, 0, kBorn).job());
@@ -277,9 +277,9 @@
 TEST(Turns, AnExecutorThatBecomesReadyIsAskedForAndOneThatDrainsIsNot) {
   Pair p;
   for (auto [state, asks] :
-       {std::pair(WorkerState::draining, false), std::pair(WorkerState::ready, true)}) {
+       {std::pair(EndpointState::draining, false), std::pair(EndpointState::ready, true)}) {
     p.to(kBorn + (asks ? 300 : 100));
-    WorkerList list;
+    EndpointList list;
     list.entries = {{kCold, 0, 0, 0, state, 1, kBorn}};
     p.asker->bench.play(list);
     EXPECT_EQ(!p.ask().empty(), asks);
@@ -293,7 +293,7 @@
   double before = p.owner->room().own;
   for (std::size_t size = 0; size < ask.size(); ++size)
     EXPECT_TRUE(p.grant(ask.substr(0, size)).empty());
-  for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // mark, version, kind, executor, its life
+  for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // mark, version, kind, endpoint, its life
     std::string other = ask;
     other[i] = static_cast<char>(other[i] ^ 0x55);
     EXPECT_TRUE(p.grant(other).empty()) << "byte " << i;
@@ -318,7 +318,7 @@
 
 TEST(Turns, OwnersThatAreDeadOrSilentAreNotAskedAgainAtOnce) {
   Settings s = many(20);
-  auto order = order_at({kCold, 0, 0, 0, WorkerState::ready, 1, kBorn}, 20);
+  auto order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, 20);
   std::vector<bool> lives(20, true);
   lives[static_cast<std::size_t>(order[0])] = false;
   Node asker(s, order[10], kBorn - 1, lives);
--- a/tests/logic/turns_world.h
+++ b/tests/logic/turns_world.h
@@ -1,4 +1,4 @@
-// Nodes that share a cold executor: each a Dispatcher with its Turns; nothing but what they send
+// Nodes that share a cold endpoint: each a Dispatcher with its Turns; nothing but what they send
 // there is played.
 #pragma once
 
@@ -7,10 +7,10 @@
 
 namespace keelflow::fleet {
 
-constexpr reedlb::WorkerId kCold = 7, kWarm = 8;
+constexpr reedlb::EndpointId kCold = 7, kWarm = 8;
 constexpr reedlb::Time kBorn = 10000, kJob = 100;
 
-// The budget does not change beneath the sums: the executor counts as cold and is as fast as if it
+// The budget does not change beneath the sums: the endpoint counts as cold and is as fast as if it
 // were warm.
 inline reedlb::Settings many(int nodes) {
   reedlb::Settings s = reedlb::basic_settings();
@@ -28,8 +28,8 @@
       : bench((s.rank = rank, s), static_cast<std::uint64_t>(rank) + 1) {
     bench.turns = Turns(s, now);
     bench.now = now - kJob;
-    reedlb::WorkerList list;
-    list.entries = {{kWarm, 0, 0, 0, reedlb::WorkerState::ready, 1, 0}};
+    reedlb::EndpointList list;
+    list.entries = {{kWarm, 0, 0, 0, reedlb::EndpointState::ready, 1, 0}};
     bench.play(list);
     if (!lives.empty())
       bench.play(reedlb::Members{lives});
@@ -38,11 +38,11 @@
     bench.now = now;
     bench.outcome(1, 0, reedlb::Result::ok, true);
     bench.sends.clear();
-    list.entries[0] = {kCold, 0, 0, 0, reedlb::WorkerState::ready, 1, kBorn};
+    list.entries[0] = {kCold, 0, 0, 0, reedlb::EndpointState::ready, 1, kBorn};
     bench.play(list);
   }
 
-  // A job comes, and ends as if it took no time. True: the cold executor was sent it.
+  // A job comes, and ends as if it took no time. True: the cold endpoint was sent it.
   bool job() {
     reedlb::RequestId id = ++last;
     bench.arrive(id, kJob);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -9,7 +9,7 @@
 namespace reedlb {
 namespace {
 
-// Runs one job to its end on whatever worker it is sent to.
+// Runs one job to its end on whatever endpoint it is sent to.
 void serve(Bench& b, RequestId id, double hint, double run, int cls = 0) {
   b.arrive(id, hint, cls);
   b.play(Started{id, 0});
@@ -19,7 +19,7 @@
 
 TEST(Calibration, StartsAtOneAndConvergesToTheMeasuredRatio) {
   Bench b(basic_settings());
-  b.workers(4);
+  b.endpoints(4);
   EXPECT_DOUBLE_EQ(b.d.calibration(0), 1.0);
   serve(b, 1, 100, 300);
   double after_one = b.d.calibration(0);
@@ -32,7 +32,7 @@
 
 TEST(Calibration, OnlyServedAttemptsTeach) {
   Bench b(basic_settings());
-  b.workers(4);
+  b.endpoints(4);
   for (Result r : {Result::error, Result::reset, Result::full}) {
     RequestId id = 10 + static_cast<RequestId>(r);
     b.arrive(id, 100);
@@ -50,7 +50,7 @@
     s.tenant_quota = {1, 1};  // a job a second each
     s.over_share_worth = worth;
     Bench b(s);
-    b.workers(1);
+    b.endpoints(1);
     auto arrive = [&](RequestId id, int tenant, double hint) {
       Arrival a;
       a.request = id;
@@ -79,13 +79,13 @@
   s.over_share_worth = 0.05;
   for (int living : {4, 1}) {
     Bench b(s);
-    b.workers(1);
+    b.endpoints(1);
     std::vector<bool> lives(4, false);
     for (int d = 0; d < living; ++d)
       lives[static_cast<std::size_t>(d)] = true;
     b.play(Members{lives});
     b.arrive(100, 500);
-    b.arrive(101, 500);  // they fill the one worker
+    b.arrive(101, 500);  // they fill the one endpoint
     for (RequestId id : {100u, 101u})
       b.play(Started{id, 0});
     b.now += 4000;  // as much as may be saved up
@@ -122,37 +122,37 @@
   }
 }
 
-// Warm workers are preferred where the dispatcher is told that they are home to it; a cold one
+// Warm endpoints are preferred where the dispatcher is told that they are home to it; a cold one
 // where it may send to it.
 TEST(Fleet, HomesAreAsToldAndThoseOfAColdWorkerItsOwn) {
   Settings s = basic_settings();
   s.dispatchers = 100;
   s.rank = 3;
   Bench b(s);
-  b.workers(20);
+  b.endpoints(20);
   Homes homes;
-  for (WorkerId w = 100; w < 120; ++w)
-    homes.workers.push_back({w, w == 107, {}});
+  for (EndpointId w = 100; w < 120; ++w)
+    homes.endpoints.push_back({w, w == 107, {}});
   b.play(homes);
   b.arrive(1, 10);
   ASSERT_EQ(b.sends.size(), 1u);
-  EXPECT_EQ(b.sends[0].worker, 107u);
+  EXPECT_EQ(b.sends[0].endpoint, 107u);
   int cold_home = 0;
   for (int rank = 0; rank < 100;
        ++rank) {  // the first few of its own order alone, whatever they are told
     s.rank = rank;
     Bench one(s);
-    WorkerList list;
-    list.entries.push_back({7, 0, 0, 0, WorkerState::ready, 1, one.now - 100});
+    EndpointList list;
+    list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
     Homes none{{{7, true, {}}}};
-    for (WorkerId w = 8; w < 107; ++w) {
-      list.entries.push_back({w, 0, 0, 0, WorkerState::ready, 1, 0});
-      none.workers.push_back({w, false, {}});
+    for (EndpointId w = 8; w < 107; ++w) {
+      list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 1, 0});
+      none.endpoints.push_back({w, false, {}});
     }
     one.play(list);
     one.play(none);
     one.arrive(1, 4);
-    cold_home += !one.sends.empty() && one.sends[0].worker == 7;
+    cold_home += !one.sends.empty() && one.sends[0].endpoint == 7;
   }
   EXPECT_EQ(cold_home, 5);
 }
@@ -163,7 +163,7 @@
     b.arrive(id, hint);
   EXPECT_EQ(b.d.held(), 4u);
   EXPECT_TRUE(b.sends.empty());
-  b.workers(8);
+  b.endpoints(8);
   ASSERT_EQ(b.sends.size(), 4u);
   EXPECT_EQ(b.sends[0].request, 2u);
   EXPECT_EQ(b.sends[1].request, 4u);  // the same hint: the earlier arrival first
@@ -175,14 +175,14 @@
   Settings s = basic_settings();
   s.classes.resize(2, s.classes[0]);
   Bench b(s);
-  b.workers(2);
+  b.endpoints(2);
   for (RequestId id = 1; id < 60; ++id)
     serve(b, id, 100, 400, 1);  // class 1 runs four times its hint
-  b.play(WorkerList{ListScope::full, {}});
+  b.play(EndpointList{ListScope::full, {}});
   b.arrive(901, 100, 1);
   b.arrive(902, 200, 0);
   b.sends.clear();
-  b.workers(8);
+  b.endpoints(8);
   ASSERT_EQ(b.sends.size(), 2u);
   EXPECT_EQ(b.sends[0].request, 902u);
 }
@@ -192,7 +192,7 @@
   b.arrive(1, 100);
   b.advance(b.now + 600);
   b.arrive(2, 300);
-  b.workers(8);
+  b.endpoints(8);
   ASSERT_EQ(b.sends.size(), 2u);
   EXPECT_EQ(b.sends[0].request, 2u);
   EXPECT_EQ(b.sends[1].request, 1u);
@@ -200,19 +200,19 @@
 
 TEST(HeldQueue, AnOverdueJobIsNotSentWhileSendsMeetCrowding) {
   Bench b(basic_settings());
-  b.workers(40);
+  b.endpoints(40);
   for (RequestId id = 1; id <= 30; ++id) {  // one refusal after another
     b.arrive(id, 100);
     if (b.sends.back().request == id)
       b.outcome(id, 0, Result::full, false);
     b.play(ClientGone{id});
   }
-  b.play(WorkerList{ListScope::full, {}});
+  b.play(EndpointList{ListScope::full, {}});
   b.arrive(100, 100);
   b.advance(b.now + 600);  // overdue now
   b.arrive(101, 300);
   b.sends.clear();
-  b.workers(40);
+  b.endpoints(40);
   ASSERT_EQ(b.sends.size(), 1u);
   EXPECT_EQ(b.sends[0].request, 101u);
   b.advance(b.now + 8000);  // crowding fades with nothing more refused
@@ -225,14 +225,14 @@
   b.arrive(1, 100);
   b.arrive(2, 300);
   b.arrive(3, 0);
-  b.workers(8);
+  b.endpoints(8);
   ASSERT_EQ(b.sends.size(), 3u);
   EXPECT_EQ(b.sends[1].request, 3u);
 }
 
 TEST(Cap, RefusalsLowerItAndTimelyServiceRaisesIt) {
   Bench b(basic_settings());
-  b.workers(1);
+  b.endpoints(1);
   for (RequestId id = 1; id <= 6; ++id)
     b.arrive(id, 100);
   std::size_t at_first = b.sends.size();
@@ -262,12 +262,12 @@
 
 TEST(Pick, FewestOwnSlotsAmongWorkersWithRoom) {
   Bench b(basic_settings());
-  b.workers(4);
+  b.endpoints(4);
   for (RequestId id = 1; id <= 4; ++id)
     b.arrive(id, 100);
-  std::set<WorkerId> used;
+  std::set<EndpointId> used;
   for (const auto& x : b.sends)
-    used.insert(x.worker);
+    used.insert(x.endpoint);
   EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
 }
 
@@ -275,25 +275,25 @@
   Settings s = basic_settings();
   s.classes[0].effect = Effect::unsafe;
   Bench b(s);
-  b.workers(4);
+  b.endpoints(4);
   b.arrive(1, 100);
   ASSERT_EQ(b.sends.size(), 1u);
   b.outcome(1, 0, Result::full, false);
   EXPECT_TRUE(b.answers.empty());
   ASSERT_EQ(b.sends.size(), 2u);
-  EXPECT_NE(b.sends[1].worker, b.sends[0].worker);
+  EXPECT_NE(b.sends[1].endpoint, b.sends[0].endpoint);
 }
 
 TEST(Retry, GoesToAWorkerThatHasNotHadTheJobWhereOneHasRoom) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Bench b(basic_settings(), seed);
-    b.workers(3);
+    b.endpoints(3);
     b.arrive(1, 100);
     b.now += 1000;  // whoever was left alone is open again
     b.outcome(1, 0, Result::cancelled, false);
     b.outcome(1, 1, Result::cancelled, false);
     ASSERT_EQ(b.sends.size(), 3u);
-    std::set<WorkerId> met{b.sends[0].worker, b.sends[1].worker, b.sends[2].worker};
+    std::set<EndpointId> met{b.sends[0].endpoint, b.sends[1].endpoint, b.sends[2].endpoint};
     EXPECT_EQ(met.size(), 3u);
   }
 }
@@ -303,7 +303,7 @@
   s.parallel_tries = false;
   s.tick_ms = 4;
   Bench b(s);
-  b.workers(2);
+  b.endpoints(2);
   serve(b, 1, 100, 100);  // the usual run
   b.sends.clear();
   b.arrive(2, 100);
@@ -314,7 +314,7 @@
   EXPECT_EQ(b.sends.size(), 1u);  // not while the first is out
   b.outcome(2, 0, Result::cancelled, false);
   ASSERT_EQ(b.sends.size(), 2u);
-  EXPECT_NE(b.sends[1].worker, b.sends[0].worker);
+  EXPECT_NE(b.sends[1].endpoint, b.sends[0].endpoint);
 }
 
 TEST(Faults, AWorkerThatFailsAtOnceIsTriedLessAndLessAndNotWithWorkThatMustNotRunTwice) {
@@ -322,7 +322,7 @@
   s.classes.resize(2);
   s.classes[1].effect = Effect::unsafe;
   Bench b(s);
-  b.workers(1);
+  b.endpoints(1);
   serve(b, 1, 100, 100);  // the usual run
   std::vector<Time> tried;
   for (RequestId id = 2; b.now < 20000; ++id) {
@@ -353,7 +353,7 @@
 
 TEST(Full, AHeldJobIsTriedAgainWhenTheWorkerRested) {
   Bench b(basic_settings());
-  b.workers(1);
+  b.endpoints(1);
   b.arrive(1, 100);
   b.outcome(1, 0, Result::full, false);
   EXPECT_EQ(b.sends.size(), 1u);
@@ -363,11 +363,11 @@
 
 TEST(Restart, AWorkerWithAFreshStartTimeLosesWhatWasLearnedButNotItsOldAttempts) {
   Bench b(basic_settings());
-  b.workers(1);
+  b.endpoints(1);
   b.arrive(1, 100);
   ASSERT_EQ(b.sends.size(), 1u);
-  b.advance(b.now + 1000);  // a late start: the worker rests, its cap falls
-  b.play(WorkerList{ListScope::delta, {{100, 0, 0, 0, WorkerState::ready, 1, b.now - 20000}}});
+  b.advance(b.now + 1000);  // a late start: the endpoint rests, its cap falls
+  b.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, b.now - 20000}}});
   b.arrive(2, 100);
   ASSERT_EQ(b.sends.size(),
             2u);  // the fresh one is used at once, beside the attempt at its former life
@@ -384,22 +384,22 @@
   s.classes.resize(2, s.classes[0]);
   s.classes[1].kind = 1;
   Bench b(s);
-  b.workers(2, 1, 2);
+  b.endpoints(2, 1, 2);
   b.arrive(1, 100, 1);
   ASSERT_EQ(b.sends.size(), 1u);
-  EXPECT_EQ(b.sends[0].worker, 101u);
-  b.play(WorkerList{
+  EXPECT_EQ(b.sends[0].endpoint, 101u);
+  b.play(EndpointList{
       ListScope::delta,
-      {{100, 0, 0, 0, WorkerState::gone, 1, 0}, {101, 0, 1, 0, WorkerState::gone, 1, 0}}});
+      {{100, 0, 0, 0, EndpointState::gone, 1, 0}, {101, 0, 1, 0, EndpointState::gone, 1, 0}}});
   b.arrive(2, 100, 1);
-  b.play(WorkerList{ListScope::delta, {{100, 0, 0, 0, WorkerState::ready, 1, 0}}});
+  b.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, 0}}});
   EXPECT_EQ(b.sends.size(), 1u);  // the wrong kind never gets it
 }
 
 TEST(Keys, AJobThatStartsLateStaysUnlessItHasNoKey) {
   for (std::uint64_t key : {0, 7}) {
     Bench b(basic_settings());
-    b.workers(8);
+    b.endpoints(8);
     b.arrive(1, 100, 0, 10000, key);
     ASSERT_EQ(b.sends.size(), 1u);
     bool recalled = false;
@@ -415,28 +415,28 @@
 TEST(Homes, WithManyDispatchersEachSamplesItsOwnFewWorkersFirst) {
   Settings s = basic_settings();
   s.dispatchers = 100;
-  std::map<WorkerId, int> fleet;
+  std::map<EndpointId, int> fleet;
   int at_large = 0;  // those whom the hash gave no home
   for (s.rank = 0; s.rank < 100; ++s.rank) {
     Bench b(s, 11 + static_cast<std::uint64_t>(s.rank));
-    b.workers(100);
-    std::set<WorkerId> mine;
+    b.endpoints(100);
+    std::set<EndpointId> mine;
     for (RequestId id = 1; id <= 40; ++id) {
       b.arrive(id, 100);
       b.play(Started{id, 0});
       b.advance(b.now + 20);
       b.outcome(id, 0, Result::ok, true);
-      mine.insert(b.sends.back().worker);
+      mine.insert(b.sends.back().endpoint);
     }
     at_large += mine.size() > 15;
-    for (WorkerId w : mine)
+    for (EndpointId w : mine)
       ++fleet[w];
   }
   EXPECT_LE(at_large, 3);
   EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
 }
 
-// Two workers that this dispatcher shares with 19 others, and what those tell of the first.
+// Two endpoints that this dispatcher shares with 19 others, and what those tell of the first.
 struct Shared : Bench {
   static Settings settings(Effect effect) {
     Settings s = basic_settings();
@@ -445,10 +445,12 @@
     s.classes[0].effect = effect;
     return s;
   }
-  explicit Shared(Effect effect = Effect::safe) : Bench(settings(effect)) { workers(2); }
-  void hears(int peer, WorkerId worker, double load, Sign sign = Sign::none, Time born = 0) {
-    play(PeerMessage{peer,
-                     write_note({worker, mark_of({.worker = worker, .born = born}), load, sign})});
+  explicit Shared(Effect effect = Effect::safe) : Bench(settings(effect)) { endpoints(2); }
+  void hears(int peer, EndpointId endpoint, double load, Sign sign = Sign::none,
+             Time started_at = 0) {
+    play(PeerMessage{
+        peer, write_note({endpoint, mark_of({.endpoint = endpoint, .started_at = started_at}), load,
+                          sign})});
   }
   int sent_to_first(int jobs) {  // of so many jobs that are served at once
     int count = 0;
@@ -456,7 +458,7 @@
       sends.clear();
       arrive(++last_job, 100);
       for (const Send& x : std::vector<Send>(sends))
-        count += x.worker == 100, outcome(x.request, 0, Result::ok, true);
+        count += x.endpoint == 100, outcome(x.request, 0, Result::ok, true);
     }
     return count;
   }
@@ -492,7 +494,7 @@
 }
 
 TEST(Peers, AWorkerThatOthersCouldNotReachHasNoFaultsHere) {
-  Shared b(Effect::unsafe);  // which a worker with faults is not tried with, however long it was
+  Shared b(Effect::unsafe);  // which a endpoint with faults is not tried with, however long it was
                              // left alone
   for (int peer : {3, 4, 5})
     b.hears(peer, 100, 0, Sign::unreached);
@@ -508,7 +510,7 @@
   for (std::string bytes : {"", "1234567", "123456789"})
     b.play(PeerMessage{3, bytes});
   b.play(PeerMessage{3, std::string(8, '\xff')});
-  b.hears(3, 999, 200, Sign::failed);  // a worker that is not listed
+  b.hears(3, 999, 200, Sign::failed);  // a endpoint that is not listed
   EXPECT_GT(b.sent_to_first(40), 0);
 }
 
@@ -516,8 +518,8 @@
   Shared b;
   b.arrive(1, 100);
   ASSERT_EQ(b.sends.size(), 1u);
-  ASSERT_EQ(b.tells.size(), 19u);  // with two workers all twenty are at home
-  EXPECT_EQ(read_note(b.tells[0].bytes)->worker, b.sends[0].worker);
+  ASSERT_EQ(b.tells.size(), 19u);  // with two endpoints all twenty are at home
+  EXPECT_EQ(read_note(b.tells[0].bytes)->endpoint, b.sends[0].endpoint);
   EXPECT_EQ(read_note(b.tells[0].bytes)->load, 1);
   b.now += 100;
   b.outcome(1, 0, Result::ok, true);
@@ -530,11 +532,11 @@
 
 TEST(Slow, AWorkerThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
   Bench b(basic_settings());
-  b.workers(2);
+  b.endpoints(2);
   int slow = 0, all = 0;
   for (RequestId id = 1; id <= 200; ++id) {
     b.arrive(id, 100);
-    WorkerId w = b.sends.back().worker;
+    EndpointId w = b.sends.back().endpoint;
     b.play(Started{id, 0});
     b.advance(b.now + (w == 100 ? 600 : 100));
     b.outcome(id, 0, Result::ok, true);
@@ -547,11 +549,11 @@
 TEST(Keys, EveryDispatcherFindsTheSameWorkerForAKey) {
   Settings s = basic_settings();
   s.dispatchers = 2;
-  std::map<std::uint64_t, std::set<WorkerId>> used;
+  std::map<std::uint64_t, std::set<EndpointId>> used;
   for (int rank = 0; rank < 2; ++rank) {
     s.rank = rank;
     Bench b(s, 77 + static_cast<std::uint64_t>(rank));
-    b.workers(20);
+    b.endpoints(20);
     RequestId id = 0;
     for (int round = 0; round < 3; ++round)
       for (std::uint64_t key = 1; key <= 60; ++key) {
@@ -559,24 +561,24 @@
         b.play(Started{id, 0});
         b.advance(b.now + 20);
         b.outcome(id, 0, Result::ok, true);
-        used[key].insert(b.sends.back().worker);
+        used[key].insert(b.sends.back().endpoint);
       }
   }
   std::size_t pairs = 0;
-  for (const auto& [key, workers] : used)
-    pairs += workers.size();
-  EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five workers a key
+  for (const auto& [key, endpoints] : used)
+    pairs += endpoints.size();
+  EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five endpoints a key
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
   auto run = [](Bench& b) {
-    b.workers(12, 3, 1);
+    b.endpoints(12, 3, 1);
     for (RequestId id = 1; id < 60; ++id)
       b.arrive(id, 50 + id % 7);
     b.advance(b.now + 500);
-    std::vector<std::pair<RequestId, WorkerId>> all;
+    std::vector<std::pair<RequestId, EndpointId>> all;
     for (const auto& x : b.sends)
-      all.emplace_back(x.request, x.worker);
+      all.emplace_back(x.request, x.endpoint);
     return all;
   };
   Settings s = basic_settings();
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -391,7 +391,7 @@
         options);
 }
 
-// Also where the settings bar calling attempts off: nothing has been asked of the executor yet.
+// Also where the settings bar calling attempts off: nothing has been asked of the endpoint yet.
 TEST(Crossing, WhoLeavesWhileAConnectionComesUpIsNotSentOn) {
   for (const char* cancel : {"true", "false"})
     play(R"(
@@ -429,7 +429,7 @@
        with(R"({"limits":{"cancel":false}})"));
 }
 
-// The loop is held up; then the executor's return and the clients' going are in one turn, whichever
+// The loop is held up; then the endpoint's return and the clients' going are in one turn, whichever
 // came first.
 TEST(Crossing, AHundredWhoLeaveInOneTurnAreNotSentOn) {
   for (const char* how : {"close", "reset"})
@@ -472,7 +472,7 @@
     )");
 }
 
-// ---- what executors answer ----
+// ---- what endpoints answer ----
 
 TEST(Crossing, AnAnswerThatDoesNotEndEndsItsAttempt) {
   play(R"(
--- a/tests/node/drains_test.cpp
+++ b/tests/node/drains_test.cpp
@@ -1,4 +1,4 @@
-// Draining executors get nothing new, whatever happens to the calls that bring the list. Faults
+// Draining endpoints get nothing new, whatever happens to the calls that bring the list. Faults
 // between one process and discovery; lab/experiments/ci-drains.sexp has those of several processes.
 // See docs/design/drains.md.
 #include "config/config.h"
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -167,7 +167,7 @@
   k.classes = {{9, 9, 9}, {2, 20, 10}, {3, 30, 10}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
   k.fleet = {{11, 22}, 150, 0.25};
-  k.workers = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400}};
+  k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400}};
   reedlb::Knowledge back = from_json(nlohmann::json::parse(to_json(k, elder).dump()), younger);
   ASSERT_EQ(back.classes.size(), 3u);
   EXPECT_EQ(back.classes[0].factor, 2);
@@ -178,10 +178,10 @@
   EXPECT_EQ(back.kinds[1].cores, 4);
   EXPECT_EQ(back.fleet.start_delay, std::vector<double>{22});
   EXPECT_EQ(back.fleet.mean_run, 150);
-  ASSERT_EQ(back.workers.size(), 1u);
-  EXPECT_EQ(back.workers[0].of.cap, 5);
-  EXPECT_EQ(back.workers[0].of.faults, 2);
-  EXPECT_EQ(back.workers[0].cold_work, 400);
+  ASSERT_EQ(back.endpoints.size(), 1u);
+  EXPECT_EQ(back.endpoints[0].of.cap, 5);
+  EXPECT_EQ(back.endpoints[0].of.faults, 2);
+  EXPECT_EQ(back.endpoints[0].cold_work, 400);
   EXPECT_THROW(from_json(nlohmann::json::parse(R"({"mean_run":1})"), younger),
                nlohmann::json::exception);
 }
--- a/tests/node/operation_test.cpp
+++ b/tests/node/operation_test.cpp
@@ -1,4 +1,4 @@
-// Daily operation: the operators' address, the figures, executors out by hand, retuning.
+// Daily operation: the operators' address, the figures, endpoints out by hand, retuning.
 #include "scenario.h"
 #include "start.h"
 
--- a/tests/node/parts_test.cpp
+++ b/tests/node/parts_test.cpp
@@ -197,10 +197,10 @@
 
 // The Engine with a clock of the test's own; no endpoint is ever there.
 struct Idle final : EndpointPort, TimerPort, Asker {
-  void start(AttemptRef, WorkerId, const Job&, const Terms&) override {}
+  void start(AttemptRef, EndpointId, const Job&, const Terms&) override {}
   void give_up(AttemptRef) override {}
   void give_up_unsent(AttemptRef) override {}
-  void probe(WorkerId) override {}
+  void probe(EndpointId) override {}
   TimePoint now() const override { return time; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers.add(when, std::move(task));
--- a/tests/node/scenario.cpp
+++ b/tests/node/scenario.cpp
@@ -391,7 +391,7 @@
     std::string host = parts.at(0), state = parts.at(1), place = parts.size() > 2 ? parts[2] : host;
     auto unix_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
-    std::int64_t born = parts.size() > 3 ? unix_ms.count() - std::stoll(parts[3]) : 0;
+    std::int64_t started_at = parts.size() > 3 ? unix_ms.count() - std::stoll(parts[3]) : 0;
     hosts.push_back({{"host", host},
                      {"dial", "127.0.0.1:" + std::to_string(port(place))},
                      {"site", "east"},
@@ -399,7 +399,7 @@
                      {"block", 1},
                      {"health", state},
                      {"share", 1.0},
-                     {"born_ms", born}});
+                     {"born_ms", started_at}});
   }
   nlohmann::json told = {{"seq", ++version_}, {"whole", whole}, {"hosts", hosts}};
   send(line("disco"), message("chunk " + told.dump() + "\\n"));
--- a/tests/node/traffic_test.cpp
+++ b/tests/node/traffic_test.cpp
@@ -24,7 +24,7 @@
                  {Names{{"price", "hold", "sale"}, {"a", "b"}, {"east"}, {"fast"}}, settings()},
                  counters_),
         destinations_(
-            loop_, {}, {}, [](reedlb::WorkerList) {}, counters_, 1) {
+            loop_, {}, {}, [](reedlb::EndpointList) {}, counters_, 1) {
     engine_.connect(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
@@ -94,19 +94,19 @@
   }
 
   void list(reedlb::ListScope scope) {
-    reedlb::WorkerList told;
+    reedlb::EndpointList told;
     told.scope = scope;
-    for (reedlb::WorkerId w = 1; w <= 12; ++w)
+    for (reedlb::EndpointId w = 1; w <= 12; ++w)
       if (scope == reedlb::ListScope::full ? random_() % 8 > 0 : random_() % 4 == 0) {
         auto state =
-            random_() % 6 == 0 ? reedlb::WorkerState::draining : reedlb::WorkerState::ready;
+            random_() % 6 == 0 ? reedlb::EndpointState::draining : reedlb::EndpointState::ready;
         told.entries.push_back({w, 0, 0, static_cast<int>(w / 4), state, 1, 0});
       }
     traffic_.list(std::move(told));
   }
 
-  void start(AttemptRef ref, WorkerId worker, const Job& job, const Terms&) override {
-    note("send " + job.id + " to " + std::to_string(worker));
+  void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms&) override {
+    note("send " + job.id + " to " + std::to_string(endpoint));
     Duration wait = std::chrono::microseconds(random_() % 20'000),
              run = std::chrono::microseconds(random_() % 200'000);
     unsigned what = random_() % 12;
@@ -125,7 +125,7 @@
     note("give up " + std::to_string(ref.request));
     at(now_ + 1ms, [this, ref] { engine_.attempt_ended(ref, {.ending = Ending::cancelled}); });
   }
-  void probe(WorkerId) override {}
+  void probe(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers_.add(when, std::move(task));
@@ -172,12 +172,12 @@
   int chosen = 0;
 
  private:
-  void start(AttemptRef, WorkerId, const Job& job, const Terms&) override {
+  void start(AttemptRef, EndpointId, const Job& job, const Terms&) override {
     sent.push_back(job.id);
   }
   void give_up(AttemptRef) override {}
   void give_up_unsent(AttemptRef) override {}
-  void probe(WorkerId) override {}
+  void probe(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint, std::function<void()>) override { return 0; }
   void cancel(TimerId) override {}
@@ -231,9 +231,9 @@
   EXPECT_EQ(screen.forgotten, std::vector<RequestId>{gone});
   engine.screened(gone, {});  // too late: nothing comes of it
   EXPECT_EQ(engine.held(0), 2u);
-  reedlb::WorkerList list;
-  for (reedlb::WorkerId w = 1; w <= 10; ++w)
-    list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
+  reedlb::EndpointList list;
+  for (reedlb::EndpointId w = 1; w <= 10; ++w)
+    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
   engine.destinations(list);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"b", "a"}));
   engine.screened(late, {});
@@ -271,9 +271,9 @@
   engine.rehome(0);
   EXPECT_EQ(counters.requests_rehomed, 4u);
   take("large", -1, 300ms);  // behind what is within the share, before what is beyond it
-  reedlb::WorkerList list;
-  for (reedlb::WorkerId w = 1; w <= 10; ++w)
-    list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
+  reedlb::EndpointList list;
+  for (reedlb::EndpointId w = 1; w <= 10; ++w)
+    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
   engine.destinations(list, 1);
   ASSERT_EQ(order.sent.size(), 5u);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"a", "b", "c", "d", "large"}));
@@ -300,9 +300,9 @@
       d.handle(1e6, reedlb::Arrival{.request = 100, .tenant = -1, .ttl_ms = 60'000, .hint = 300},
                out);
       out.clear();
-      reedlb::WorkerList list;
-      for (reedlb::WorkerId w = 1; w <= 10; ++w)
-        list.entries.push_back({w, 0, 0, 0, reedlb::WorkerState::ready, 1, 0});
+      reedlb::EndpointList list;
+      for (reedlb::EndpointId w = 1; w <= 10; ++w)
+        list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
       d.handle(1e6, list, out);
       for (const auto& action : out) {
         const auto* send = std::get_if<reedlb::Send>(&action);
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 using reedlb::Actions;
+using reedlb::EndpointEntry;
+using reedlb::EndpointId;
+using reedlb::EndpointState;
 using reedlb::Event;
 using reedlb::RequestId;
-using reedlb::WorkerEntry;
-using reedlb::WorkerId;
-using reedlb::WorkerState;
 
 constexpr int kZones = 3;
 constexpr int kKinds = 2;
@@ -28,7 +28,7 @@
 constexpr double kStart = 50000;  // the clock's time when the day begins
 
 struct EndpointModel {
-  WorkerEntry entry;
+  EndpointEntry entry;
   double slowness = 1;
   double fail = 0, reject = 0, hang = 0;  // probabilities for each attempt
   int running = 0;
@@ -135,11 +135,11 @@
   void draw_endpoints() {
     for (int i = 0; i < plan_.endpoints; ++i) {
       EndpointModel e;
-      e.entry = {static_cast<WorkerId>(1000 + 37 * i),
+      e.entry = {static_cast<EndpointId>(1000 + 37 * i),
                  i % kZones,
                  draw_.chance(0.7) ? 0 : 1,
                  i / 4,
-                 WorkerState::ready,
+                 EndpointState::ready,
                  1.0 + draw_.below(4),
                  0};
       e.slowness = draw_.between(0.7, 1.6);
@@ -154,11 +154,11 @@
     }
   }
 
-  reedlb::WorkerList whole_list(reedlb::ListScope scope) const {
-    reedlb::WorkerList list;
+  reedlb::EndpointList whole_list(reedlb::ListScope scope) const {
+    reedlb::EndpointList list;
     list.scope = scope;
     for (const EndpointModel& e : endpoints_)
-      if (e.entry.state != WorkerState::gone)
+      if (e.entry.state != EndpointState::gone)
         list.entries.push_back(e.entry);
     return list;
   }
@@ -270,7 +270,7 @@
   void carry_out(int index, const reedlb::Send& send) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[send.request];
-    auto place = static_cast<std::size_t>((send.worker - 1000) / 37);
+    auto place = static_cast<std::size_t>((send.endpoint - 1000) / 37);
     EndpointModel& e = endpoints_[place];
     attempts.push_back({place, false});
     int attempt = static_cast<int>(attempts.size()) - 1;
@@ -281,7 +281,7 @@
     double run = node.work[send.request] * e.slowness * draw_.between(0.8, 1.3);
     double queued = e.running < e.cores ? 0 : run * (1 + e.running - e.cores) / e.cores;
     ++e.running;
-    bool present = e.entry.state != WorkerState::gone;
+    bool present = e.entry.state != EndpointState::gone;
     double ended = now_ + travel;
     if (!present || draw_.chance(0.01)) {
       outcome.result = reedlb::Result::connect_failed;
@@ -357,18 +357,18 @@
   void change_endpoint() {
     schedule(now_ + draw_.between(300, 1500), 0, Happening::Kind::endpoint_change);
     EndpointModel& e = endpoints_[static_cast<std::size_t>(draw_.below(plan_.endpoints))];
-    if (e.entry.state == WorkerState::ready) {
-      e.entry.state = draw_.chance(0.5) ? WorkerState::draining : WorkerState::gone;
+    if (e.entry.state == EndpointState::ready) {
+      e.entry.state = draw_.chance(0.5) ? EndpointState::draining : EndpointState::gone;
       if (plan_.cold_starts && draw_.chance(0.5)) {
-        e.entry.state = WorkerState::ready;
-        e.entry.born = now_;
+        e.entry.state = EndpointState::ready;
+        e.entry.started_at = now_;
       }
     } else {
-      e.entry.state = WorkerState::ready;
+      e.entry.state = EndpointState::ready;
       if (plan_.cold_starts)
-        e.entry.born = now_;
+        e.entry.started_at = now_;
     }
-    reedlb::WorkerList list;
+    reedlb::EndpointList list;
     list.scope = draw_.chance(0.3) ? reedlb::ListScope::full : reedlb::ListScope::delta;
     if (list.scope == reedlb::ListScope::full)
       list = whole_list(list.scope);
@@ -399,7 +399,7 @@
       change_settings();
     if (draw_.chance(0.2)) {
       auto& endpoint = endpoints_[static_cast<std::size_t>(draw_.below(plan_.endpoints))];
-      give(index, reedlb::ProbeResult{endpoint.entry.worker, draw_.chance(0.5), 3, {}});
+      give(index, reedlb::ProbeResult{endpoint.entry.endpoint, draw_.chance(0.5), 3, {}});
     }
   }
 
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -157,9 +157,9 @@
   Recording recording("subsets");
   Draw draw(31);
   for (int i = 0; i < 60; ++i) {
-    std::vector<reedlb::WorkerId> endpoints;
+    std::vector<reedlb::EndpointId> endpoints;
     for (int e = 1 + draw.below(120); e > 0; --e)
-      endpoints.push_back(static_cast<reedlb::WorkerId>(draw.bits()));
+      endpoints.push_back(static_cast<reedlb::EndpointId>(draw.bits()));
     std::vector<int> dispatchers;
     for (int d = 0, all = 1 + draw.below(60); d < all; ++d)
       if (draw.chance(0.9))
@@ -233,18 +233,18 @@
   }
 
   void split() {
-    reedlb::WorkerList list;
+    reedlb::EndpointList list;
     list.scope = draw_.chance(0.3) ? reedlb::ListScope::full : reedlb::ListScope::delta;
     for (int i = 0; i < 20; ++i)
       if (draw_.chance(list.scope == reedlb::ListScope::full ? 0.8 : 0.1))
-        list.entries.push_back({static_cast<reedlb::WorkerId>(i), i % 2, i % 3 == 0, i / 4,
-                                static_cast<reedlb::WorkerState>(draw_.below(3)), 1.0 + i % 3,
+        list.entries.push_back({static_cast<reedlb::EndpointId>(i), i % 2, i % 3 == 0, i / 4,
+                                static_cast<reedlb::EndpointState>(draw_.below(3)), 1.0 + i % 3,
                                 draw_.chance(0.3) ? now_ - draw_.between(0, 8000) : 0});
     hosts_.clear();
     for (int i = 0; i < 20; ++i)
       hosts_.push_back("host" + std::to_string(i));
     write(router_.split(
-        list, [this](reedlb::WorkerId id) { return std::string_view(hosts_[id]); }, now_));
+        list, [this](reedlb::EndpointId id) { return std::string_view(hosts_[id]); }, now_));
   }
 
   void replace() {
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -66,7 +66,7 @@
   for (int sign = 0; sign <= 6; ++sign) {
     for (int i = 0; i < 3; ++i) {
       reedlb::Note note;
-      note.worker = static_cast<reedlb::WorkerId>(draw.bits());
+      note.endpoint = static_cast<reedlb::EndpointId>(draw.bits());
       note.life = static_cast<std::uint8_t>(draw.bits());
       note.load = i == 2 ? 1000 : draw.between(0, 12);
       note.sign = static_cast<reedlb::Sign>(sign);
@@ -91,9 +91,9 @@
 TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
   Draw draw(62);
   for (int i = 0; i < 6; ++i) {
-    reedlb::WorkerEntry entry;
-    entry.worker = static_cast<reedlb::WorkerId>(draw.bits());
-    entry.born = i == 0 ? 0 : draw.between(0, 2e12);
+    reedlb::EndpointEntry entry;
+    entry.endpoint = static_cast<reedlb::EndpointId>(draw.bits());
+    entry.started_at = i == 0 ? 0 : draw.between(0, 2e12);
     expect_message(
         "incarnation-" + std::to_string(i),
         std::to_string(reedlb::life_of(entry)) + " " + std::to_string(reedlb::mark_of(entry)));
@@ -163,8 +163,8 @@
   k.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
   k.fleet = {{11, 22.125}, 150, 0.25};
-  k.workers = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
-               {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
+  k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
+                 {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
   return k;
 }
 
--- a/tests/replay/recording.cpp
+++ b/tests/replay/recording.cpp
@@ -20,20 +20,21 @@
   return out;
 }
 
-std::string entry_text(const reedlb::WorkerEntry& e) {
-  return " [" + std::to_string(e.worker) + " " + std::to_string(e.zone) + " " +
+std::string entry_text(const reedlb::EndpointEntry& e) {
+  return " [" + std::to_string(e.endpoint) + " " + std::to_string(e.zone) + " " +
          std::to_string(e.kind) + " " + std::to_string(e.cell) + " " +
          std::to_string(static_cast<int>(e.state)) + " " + text_of(e.nominal) + " " +
-         text_of(e.born) + "]";
+         text_of(e.started_at) + "]";
 }
 
 std::string subset_text(const reedlb::Homes::At& at) {
-  return " [" + std::to_string(at.worker) + " " + std::to_string(at.own) + joined(at.others) + "]";
+  return " [" + std::to_string(at.endpoint) + " " + std::to_string(at.own) + joined(at.others) +
+         "]";
 }
 
 /// One overload for each type of event.
 struct EventText {
-  std::string operator()(const reedlb::WorkerList& e) const { return replay::text_of(e); }
+  std::string operator()(const reedlb::EndpointList& e) const { return replay::text_of(e); }
   std::string operator()(const reedlb::Arrival& e) const {
     return "arrival " + std::to_string(e.request) + " " + std::to_string(e.cls) + " " +
            std::to_string(e.tenant) + " " + std::to_string(e.key) + " " + text_of(e.ttl_ms) + " " +
@@ -54,7 +55,7 @@
     return "peer " + std::to_string(e.peer) + " " + hex_of(e.bytes);
   }
   std::string operator()(const reedlb::ProbeResult& e) const {
-    return "probe " + std::to_string(e.worker) + " " + std::to_string(e.ok) + " " +
+    return "probe " + std::to_string(e.endpoint) + " " + std::to_string(e.ok) + " " +
            text_of(e.elapsed_ms);
   }
   std::string operator()(const reedlb::Outcome& e) const {
@@ -71,11 +72,11 @@
       out += " c" + text_of(c.factor) + "/" + text_of(c.hint_sum) + "/" + text_of(c.hint_count);
     for (const auto& kind : k.kinds)
       out += " k" + text_of(kind.cores) + "/" + text_of(kind.slow);
-    for (const auto& w : k.workers)
-      out += " w" + std::to_string(w.worker) + "/" + text_of(w.born) + "/" + text_of(w.of.slow) +
-             "/" + text_of(w.of.cap) + "/" + std::to_string(w.of.strikes) + "/" +
-             std::to_string(w.of.faults) + "/" + text_of(w.of.shut_until) + "/" + text_of(w.load) +
-             "/" + text_of(w.cold_work);
+    for (const auto& w : k.endpoints)
+      out += " w" + std::to_string(w.endpoint) + "/" + text_of(w.started_at) + "/" +
+             text_of(w.of.slow) + "/" + text_of(w.of.cap) + "/" + std::to_string(w.of.strikes) +
+             "/" + std::to_string(w.of.faults) + "/" + text_of(w.of.shut_until) + "/" +
+             text_of(w.load) + "/" + text_of(w.cold_work);
     return out;
   }
   std::string operator()(const reedlb::Twin& e) const { return "twin " + std::to_string(e.here); }
@@ -87,19 +88,19 @@
   }
   std::string operator()(const reedlb::Homes& e) const {
     std::string out = "homes " + std::to_string(e.talk);
-    for (const auto& at : e.workers)
+    for (const auto& at : e.endpoints)
       out += subset_text(at);
     return out;
   }
   std::string operator()(const reedlb::Turns& e) const {
     std::string out = "turns";
-    for (const auto& at : e.workers)
-      out += subset_text(at.home) + "/" + text_of(at.born) + "/" + text_of(at.share);
+    for (const auto& at : e.endpoints)
+      out += subset_text(at.home) + "/" + text_of(at.started_at) + "/" + text_of(at.share);
     return out;
   }
   std::string operator()(const reedlb::Grant& e) const {
-    return "grant " + std::to_string(e.worker) + " " + text_of(e.born) + " " + text_of(e.work) +
-           " " + text_of(e.until) + " " + std::to_string(e.ours);
+    return "grant " + std::to_string(e.endpoint) + " " + text_of(e.started_at) + " " +
+           text_of(e.work) + " " + text_of(e.until) + " " + std::to_string(e.ours);
   }
   std::string operator()(const reedlb::SendPermission& e) const {
     return "permission " + std::to_string(e.allowed);
@@ -109,7 +110,7 @@
 /// One overload for each type of action.
 struct ActionText {
   std::string operator()(const reedlb::Send& a) const {
-    return "send " + std::to_string(a.request) + " " + std::to_string(a.worker) + " " +
+    return "send " + std::to_string(a.request) + " " + std::to_string(a.endpoint) + " " +
            text_of(a.timeout_ms);
   }
   std::string operator()(const reedlb::Refuse& a) const {
@@ -125,7 +126,7 @@
     return "set-timer " + std::to_string(a.name) + " " + text_of(a.when);
   }
   std::string operator()(const reedlb::Probe& a) const {
-    return "probe " + std::to_string(a.worker);
+    return "probe " + std::to_string(a.endpoint);
   }
   std::string operator()(const reedlb::Subscribe&) const { return "subscribe"; }
   std::string operator()(const reedlb::Tell& a) const {
@@ -185,7 +186,7 @@
   return out;
 }
 
-std::string text_of(const reedlb::WorkerList& list) {
+std::string text_of(const reedlb::EndpointList& list) {
   std::string out = "list " + std::to_string(static_cast<int>(list.scope));
   for (const auto& entry : list.entries)
     out += entry_text(entry);
--- a/tests/replay/recording.h
+++ b/tests/replay/recording.h
@@ -38,7 +38,7 @@
 std::string hex_of(std::string_view bytes);
 std::string text_of(const reedlb::Event& event);
 std::string text_of(const reedlb::Action& action);
-std::string text_of(const reedlb::WorkerList& list);
+std::string text_of(const reedlb::EndpointList& list);
 
 /// A generator of its own, so that the drawn days depend on no library and on no generator of the
 /// code under test.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(Rule1, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
   Bench b(with_effect(Effect::unsafe));
-  b.workers(2);
+  b.endpoints(2);
   b.arrive(1, 100, 0, 700);
   b.now += 700;
   b.outcome(1, 0, Result::timeout, false);
@@ -44,7 +44,7 @@
   Settings s = basic_settings();
   s.zones = 2;
   Bench b(s);
-  b.workers(2);
+  b.endpoints(2);
   b.arrive(1, 100, 0, 700);
   b.play(ClientGone{1});
   b.outcome(1, 0, Result::ok, true);
@@ -57,7 +57,7 @@
   b.play(ClientGone{99});
   b.play(ProbeResult{});
   b.play(PeerMessage{});
-  b.play(WorkerList{ListScope::delta, {{7, 200, 200, 0, WorkerState::ready, 1, 0}}});
+  b.play(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
   EXPECT_TRUE(b.answers.empty());
   b.arrive(2, 100, 55);  // a class that does not exist
   ASSERT_EQ(b.answers.size(), 1u);
@@ -68,7 +68,7 @@
 TEST(Rule2, AnUnsafeJobThatMayHaveRunIsNotSentAgainAndFails) {
   for (Result r : {Result::error, Result::reset}) {
     Bench b(with_effect(Effect::unsafe));
-    b.workers(4);
+    b.endpoints(4);
     b.arrive(1, 100);
     b.outcome(1, 0, r, false);
     EXPECT_EQ(b.sends.size(), 1u);
@@ -82,24 +82,24 @@
     Settings s = with_effect(Effect::keyed, scope);
     s.zones = 2;
     Bench b(s);
-    WorkerList list;
-    for (WorkerId id = 0; id < 16; ++id)
+    EndpointList list;
+    for (EndpointId id = 0; id < 16; ++id)
       list.entries.push_back(
-          {id, static_cast<int>(id % 2), 0, static_cast<int>(id % 4), WorkerState::ready, 1, 0});
+          {id, static_cast<int>(id % 2), 0, static_cast<int>(id % 4), EndpointState::ready, 1, 0});
     b.play(list);
     b.arrive(1, 100);
-    WorkerId first = b.sends.at(0).worker;
+    EndpointId first = b.sends.at(0).endpoint;
     b.outcome(1, 0, Result::reset, false);
     b.advance(b.now + 1000);
     ASSERT_EQ(b.sends.size(), 2u);
     unsigned groups = scope == Scope::zone ? 2 : 4;
-    EXPECT_EQ(b.sends[1].worker % groups, first % groups);
+    EXPECT_EQ(b.sends[1].endpoint % groups, first % groups);
   }
 }
 
 TEST(Rule2, AKeyedJobIsNotRepeatedAfterItsWindow) {
   Bench b(with_effect(Effect::keyed, Scope::zone, 300));
-  b.workers(4);
+  b.endpoints(4);
   b.arrive(1, 100);
   b.now += 300;
   b.outcome(1, 0, Result::reset, false);
@@ -110,17 +110,17 @@
 
 TEST(Rule3, NothingGoesToAWorkerThatDrainsOrIsMissingFromAFullList) {
   Bench b(basic_settings());
-  b.workers(2);
-  b.play(WorkerList{ListScope::delta, {{100, 0, 0, 0, WorkerState::draining, 1, 0}}});
+  b.endpoints(2);
+  b.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
   for (RequestId id = 1; id < 20; ++id)
     b.arrive(id, 100);
-  b.play(WorkerList{ListScope::full, {{102, 0, 0, 0, WorkerState::ready, 1, 0}}});
+  b.play(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
   std::size_t before = b.sends.size();
   for (const auto& x : b.sends)
-    EXPECT_NE(x.worker, 100u);
+    EXPECT_NE(x.endpoint, 100u);
   b.advance(b.now + 2000);
   for (std::size_t i = before; i < b.sends.size(); ++i)
-    EXPECT_EQ(b.sends[i].worker, 102u);
+    EXPECT_EQ(b.sends[i].endpoint, 102u);
 }
 
 TEST(Rule3, AskModeSubscribesAndAsksAgainOftenEnoughAfterFailures) {
@@ -135,13 +135,13 @@
       if (std::holds_alternative<Subscribe>(a))
         asked.push_back(b.now);
   };
-  b.play(WorkerList{ListScope::cached, {}});
+  b.play(EndpointList{ListScope::cached, {}});
   for (int i = 0; i < 60000; ++i) {
     std::size_t had = asked.size();
     collect();
     if (asked.size() > had) {
       b.now += 50;
-      b.play(WorkerList{ListScope::failed, {}});
+      b.play(EndpointList{ListScope::failed, {}});
     } else {
       b.advance(b.now + 1);
     }
@@ -152,9 +152,9 @@
     EXPECT_LE(asked[i] - asked[i - 1], s.ask_within_ms / 2);
 }
 
-// The most that was sent to a worker within any window, in shares of what makes it fall over by its
-// capacity then.
-using Sends = std::map<WorkerId, std::vector<std::pair<Time, double>>>;
+// The most that was sent to a endpoint within any window, in shares of what makes it fall over by
+// its capacity then.
+using Sends = std::map<EndpointId, std::vector<std::pair<Time, double>>>;
 template <typename Capacity>
 double fullest_window(const Settings& s, Sends sent, Capacity capacity) {
   double most = 0;
@@ -171,37 +171,38 @@
   return most;
 }
 
-// All dispatchers together, each with a flood of work and a cold worker among warm ones.
+// All dispatchers together, each with a flood of work and a cold endpoint among warm ones.
 double most_sent_to_cold(int dispatchers, double hint, bool whole_fleet_cold) {
   Settings s = basic_settings();
   s.dispatchers = dispatchers;
   Sends sent;
   int cold_workers = whole_fleet_cold ? 8 : 1;
-  const Time born = 5000;
+  const Time started_at = 5000;
   for (int rank = 0; rank < dispatchers; ++rank) {
     s.rank = rank;
     Bench b(s, static_cast<std::uint64_t>(rank) * 7 + 3);
-    b.now = born;
-    WorkerList list;
+    b.now = started_at;
+    EndpointList list;
     for (int i = 0; i < 8; ++i)
-      list.entries.push_back(
-          {static_cast<WorkerId>(i), 0, 0, 0, WorkerState::ready, 1, i < cold_workers ? born : 0});
+      list.entries.push_back({static_cast<EndpointId>(i), 0, 0, 0, EndpointState::ready, 1,
+                              i < cold_workers ? started_at : 0});
     b.play(list);
     RequestId id = 0;
-    for (Time t = born; t < born + s.cold_ms; t += 50) {
+    for (Time t = started_at; t < started_at + s.cold_ms; t += 50) {
       b.advance(t);
       b.sends.clear();
       b.arrive(++id, hint);
       for (const auto& x : std::vector<Send>(b.sends)) {
-        if (x.worker < static_cast<WorkerId>(cold_workers))
-          sent[x.worker].emplace_back(b.now, hint);
+        if (x.endpoint < static_cast<EndpointId>(cold_workers))
+          sent[x.endpoint].emplace_back(b.now, hint);
         b.play(Started{x.request, 0});
         b.outcome(x.request, 0, Result::ok, true);
       }
     }
   }
-  return fullest_window(
-      s, sent, [&](Time t) { return s.cold_from + (1 - s.cold_from) * (t - born) / s.cold_ms; });
+  return fullest_window(s, sent, [&](Time t) {
+    return s.cold_from + (1 - s.cold_from) * (t - started_at) / s.cold_ms;
+  });
 }
 
 TEST(Rule4, AllDispatchersTogetherStayUnderTheBudgetOfAOneCoreWorker) {
@@ -215,40 +216,41 @@
   EXPECT_GT(most_sent_to_cold(3, 60, true), 0.0);  // the newcomer is used at all
 }
 
-// Two processes of one node, each with a flood of work, and all workers cold. The younger begins
+// Two processes of one node, each with a flood of work, and all endpoints cold. The younger begins
 // half a window later, with what the elder knows if they talk.
 double most_sent_by_twins(bool both, bool talk) {
   Settings s = basic_settings();
   Bench elder(s, 3), younger(s, 4);
   Sends sent;
-  const Time born = 5000;
-  WorkerList list;
-  for (WorkerId i = 0; i < 4; ++i)
-    list.entries.push_back({i, 0, 0, 0, WorkerState::ready, 1, born});
-  elder.now = younger.now = born;
+  const Time started_at = 5000;
+  EndpointList list;
+  for (EndpointId i = 0; i < 4; ++i)
+    list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
+  elder.now = younger.now = started_at;
   elder.play(list), younger.play(list);
   RequestId id = 0;
   auto turn = [&](Bench& b, Bench& other, Time t) {
     b.advance(t);
     b.arrive(++id, 60);
     for (const Send& x : std::exchange(b.sends, {})) {
-      sent[x.worker].emplace_back(b.now, 60);
+      sent[x.endpoint].emplace_back(b.now, 60);
       b.play(Started{x.request, 0});
       b.outcome(x.request, 0, Result::ok, true);
     }
     for (const Tell& x : std::exchange(b.tells, {}))
       other.now = b.now, other.play(PeerMessage{x.peer, x.bytes});
   };
-  const Time joins = born + s.fall_ms / 2;
-  for (Time t = born; t < joins; t += 10)
+  const Time joins = started_at + s.fall_ms / 2;
+  for (Time t = started_at; t < joins; t += 10)
     turn(elder, younger, t);
   younger.advance(joins);
   if (talk)
     younger.play(elder.d.knowledge(joins)), younger.play(Twin{true}), elder.play(Twin{true});
-  for (Time t = joins; t < born + s.cold_ms; t += 10)
+  for (Time t = joins; t < started_at + s.cold_ms; t += 10)
     turn(elder, younger, t), turn(both ? younger : elder, elder, t);
-  return fullest_window(
-      s, sent, [&](Time t) { return s.cold_from + (1 - s.cold_from) * (t - born) / s.cold_ms; });
+  return fullest_window(s, sent, [&](Time t) {
+    return s.cold_from + (1 - s.cold_from) * (t - started_at) / s.cold_ms;
+  });
 }
 
 TEST(Rule4, TwoProcessesOfOneNodeHaveOneBudget) {
@@ -261,7 +263,7 @@
 TEST(Twin, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
   Settings s = basic_settings();
   Bench elder(s), younger(s);
-  elder.workers(2);
+  elder.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
     elder.arrive(id, 100);
     elder.play(Started{id, 0});
@@ -269,22 +271,22 @@
     elder.outcome(id, 0, Result::ok, true);
   }
   elder.arrive(41, 100);
-  WorkerId busy = elder.sends.back().worker;
+  EndpointId busy = elder.sends.back().endpoint;
   younger.now = elder.now;
-  younger.workers(2);
+  younger.endpoints(2);
   EXPECT_EQ(younger.d.calibration(0), 1);
   younger.play(elder.d.knowledge(elder.now));
   EXPECT_EQ(younger.d.calibration(0), elder.d.calibration(0));
   EXPECT_GT(younger.d.calibration(0), 2.5);
   younger.arrive(1, 100);
   ASSERT_EQ(younger.sends.size(), 1u);
-  EXPECT_NE(younger.sends[0].worker, busy);
+  EXPECT_NE(younger.sends[0].endpoint, busy);
 }
 
 TEST(Retune, KeepsWhatWasLearnedAndTheClassOfJobsUnderWay) {
   Settings s = basic_settings();
   Bench b(s);
-  b.workers(2);
+  b.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
     b.arrive(id, 100);
     b.play(Started{id, 0});
@@ -311,9 +313,9 @@
 TEST(Retune, AHeldJobThatHasUsedUpAStricterLimitEndsAtOnce) {
   Settings s = basic_settings();
   Bench b(s);
-  b.workers(1);
+  b.endpoints(1);
   b.arrive(1, 100);
-  b.outcome(1, 0, Result::connect_failed, false);  // the only worker is left alone now
+  b.outcome(1, 0, Result::connect_failed, false);  // the only endpoint is left alone now
   ASSERT_TRUE(b.answers.empty());
   ASSERT_EQ(b.d.held(), 1u);
   s.try_limit = 1;
@@ -324,7 +326,7 @@
 
 // One that was restarted while it was out by hand comes back cold: however slow it must be believed
 // to be, it is tried. The next job goes there whenever it is sampled, which is in two of three
-// cases among four workers.
+// cases among four endpoints.
 TEST(Cold, AWorkerCalledBackIsTriedBeforeItsPaceCounts) {
   Settings s = basic_settings();
   s.classes[0].stretch = 10;  // in time even there
@@ -332,27 +334,27 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Bench b(s, seed);
     b.now = 5000;
-    b.workers(4);
-    WorkerEntry back{103, 0, 0, 0, WorkerState::draining, 1, b.now - 1000};
-    b.play(WorkerList{ListScope::delta, {back}});
-    back.state = WorkerState::ready;
-    b.play(WorkerList{ListScope::delta, {back}});
+    b.endpoints(4);
+    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, b.now - 1000};
+    b.play(EndpointList{ListScope::delta, {back}});
+    back.state = EndpointState::ready;
+    b.play(EndpointList{ListScope::delta, {back}});
     b.arrive(1, 20);
     ASSERT_EQ(b.sends.size(), 1u);
-    tried += b.sends[0].worker == 103;
+    tried += b.sends[0].endpoint == 103;
   }
   EXPECT_GT(tried, 100);
 }
 
-// A fleet of 100 dispatchers with three jobs a second each, and 60 workers with two cores and a
+// A fleet of 100 dispatchers with three jobs a second each, and 60 endpoints with two cores and a
 // queue in order, 36 of them started at the same time. One job in ten is eight times the others.
 // Messages take 2 to 21 ms.
 struct LargeFleet {
-  static constexpr WorkerId kWorkers = 60, kCold = 36;
+  static constexpr EndpointId kWorkers = 60, kCold = 36;
   static constexpr Time kBorn = 5000;
   Settings s = basic_settings();
   Sends fresh, warm;
-  std::map<WorkerId, std::array<Time, 2>> cores;  // when each is free
+  std::map<EndpointId, std::array<Time, 2>> cores;  // when each is free
   std::multimap<Time, std::function<void()>> coming;
   int in_time = 0, all = 0;
 
@@ -366,9 +368,9 @@
     s.classes[0].stretch = 2.5;
     s.peers = peers;
     std::vector<std::unique_ptr<Bench>> nodes;
-    WorkerList list;
-    for (WorkerId w = 0; w < kWorkers; ++w)
-      list.entries.push_back({w, 0, 0, 0, WorkerState::ready, 2, w < kCold ? kBorn : 0});
+    EndpointList list;
+    for (EndpointId w = 0; w < kWorkers; ++w)
+      list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 2, w < kCold ? kBorn : 0});
     for (s.rank = 0; s.rank < s.dispatchers; ++s.rank) {
       nodes.push_back(std::make_unique<Bench>(s, rng()));
       nodes.back()->now = kBorn;
@@ -398,10 +400,10 @@
   }
 
   void run(Bench& node, const Send& x, Time t, std::pair<Time, double> job) {
-    (x.worker < kCold ? fresh : warm)[x.worker].emplace_back(t, job.second);
-    Time& free = *std::min_element(cores[x.worker].begin(), cores[x.worker].end());
+    (x.endpoint < kCold ? fresh : warm)[x.endpoint].emplace_back(t, job.second);
+    Time& free = *std::min_element(cores[x.endpoint].begin(), cores[x.endpoint].end());
     Time start = std::max(free, t);
-    free = start + job.second / (x.worker < kCold ? warmth(start) : 1);
+    free = start + job.second / (x.endpoint < kCold ? warmth(start) : 1);
     coming.emplace(start + 1, [&node, id = x.request] { node.play(Started{id, 0}); });
     coming.emplace(free + 1, [this, &node, id = x.request, job, end = free] {
       node.outcome(id, 0, Result::ok, true);
@@ -416,14 +418,14 @@
     return fullest_window(s, fresh, [&](Time t) { return 2 * warmth(t); });
   }
   double share_in_time() const { return 1.0 * in_time / all; }
-  static double mean(const Sends& sends, WorkerId workers) {
+  static double mean(const Sends& sends, EndpointId endpoints) {
     double sum = 0;
     for (const auto& [w, of_one] : sends)
       for (const auto& [when, work] : of_one)
         sum += work;
-    return sum / workers;
+    return sum / endpoints;
   }
-  // On average fresh workers can do 0.6 of what the others can.
+  // On average fresh endpoints can do 0.6 of what the others can.
   double use_of_fresh() const { return mean(fresh, kCold) / mean(warm, kWorkers - kCold); }
 };
 
@@ -457,7 +459,7 @@
   Time deadline = 0;
   int zone = 0, cell = 0, cls = 0;
   struct Try {
-    WorkerId worker;
+    EndpointId endpoint;
     Time sent = 0;
     int fate = 0;  // 0 out, 1 never ran, 2 may have run
     bool started = false;
@@ -483,7 +485,7 @@
   s.classes[3].window_ms = 400;
   s.classes[3].kind = pick(2);
   Dispatcher d(s, seed);
-  std::map<WorkerId, WorkerEntry> fleet;
+  std::map<EndpointId, EndpointEntry> fleet;
   std::map<RequestId, Checked> all;
   std::vector<SetTimer> timers;
   Time now = 1000;
@@ -499,8 +501,8 @@
         Checked& c = all.at(x->request);
         ASSERT_FALSE(c.ended) << "sent after its end";
         ASSERT_LT(static_cast<int>(c.tries.size()), s.try_limit);
-        const WorkerEntry& w = fleet.at(x->worker);
-        ASSERT_EQ(w.state, WorkerState::ready);
+        const EndpointEntry& w = fleet.at(x->endpoint);
+        ASSERT_EQ(w.state, EndpointState::ready);
         const ClassSettings& k = s.classes[static_cast<std::size_t>(c.cls)];
         if (k.kind >= 0) {
           ASSERT_EQ(w.kind, k.kind);
@@ -513,12 +515,12 @@
           }
           ASSERT_NE(k.effect, Effect::unsafe);
           if (k.effect == Effect::keyed) {
-            const WorkerEntry& before = fleet.at(t.worker);
+            const EndpointEntry& before = fleet.at(t.endpoint);
             ASSERT_TRUE(k.scope == Scope::zone ? before.zone == w.zone : before.cell == w.cell);
             ASSERT_LE(now, t.sent + k.window_ms);
           }
         }
-        c.tries.push_back({x->worker, now});
+        c.tries.push_back({x->endpoint, now});
       }
       const auto* refuse = std::get_if<Refuse>(&action);
       const auto* fail = std::get_if<Fail>(&action);
@@ -560,19 +562,19 @@
       c.cls = a.cls;
       act(a);
     } else if (what == 3) {
-      WorkerList list;
+      EndpointList list;
       list.scope = pick(4) ? ListScope::delta : ListScope::full;
-      for (WorkerId id = 0; id < 14; ++id) {
+      for (EndpointId id = 0; id < 14; ++id) {
         bool named = list.scope == ListScope::full ? pick(8) != 0 : pick(8) == 0;
         if (named) {
           int z = static_cast<int>(id % 2), k = static_cast<int>(id / 2 % 2),
               cell = static_cast<int>(id / 4);
-          auto state = static_cast<WorkerState>(list.scope == ListScope::full ? 1 + (pick(6) == 0)
-                                                                              : pick(3));
+          auto state = static_cast<EndpointState>(list.scope == ListScope::full ? 1 + (pick(6) == 0)
+                                                                                : pick(3));
           list.entries.push_back({id, z, k, cell, state, 1, pick(5) ? 0 : now - pick(3000)});
           fleet[id] = list.entries.back();
         } else if (list.scope == ListScope::full && fleet.count(id)) {
-          fleet[id].state = WorkerState::gone;
+          fleet[id].state = EndpointState::gone;
         }
       }
       act(list);
