--- a/bench/bench_dispatcher.cpp
+++ b/bench/bench_dispatcher.cpp
@@ -2,11 +2,11 @@
 // several sizes.
 #include <benchmark/benchmark.h>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace {
 
-using namespace reedlb;
+using namespace keelflow::scheduler;
 
 constexpr int kOutstanding = 64;  // requests under way at any time
 
@@ -15,12 +15,12 @@
   settings.dispatchers = 4;
   settings.classes.resize(3);
   for (ClassSettings& c : settings.classes)
-    c.target_ms = 500;
-  settings.classes[1].effect = Effect::keyed;
-  settings.classes[1].window_ms = 3000;
-  settings.classes[2].effect = Effect::unsafe;
-  settings.try_limit = 3;
-  settings.tells_start = true;
+    c.latency_objective_ms = 500;
+  settings.classes[1].idempotency = Idempotency::idempotent_with_key;
+  settings.classes[1].deduplication_window_ms = 3000;
+  settings.classes[2].idempotency = Idempotency::non_idempotent;
+  settings.max_attempts = 3;
+  settings.reports_start = true;
   Dispatcher dispatcher(settings, 7);
   Actions actions;
   EndpointList list;
@@ -34,20 +34,20 @@
   for (auto _ : state) {
     now += 0.5;
     actions.clear();
-    Arrival arrival;
+    RequestArrived arrival;
     arrival.request = ++last;
-    arrival.cls = static_cast<int>(last % 3);
+    arrival.class_index = static_cast<int>(last % 3);
     arrival.key = keyed ? 1 + last % 50 : 0;
-    arrival.ttl_ms = 2000;
+    arrival.client_timeout_ms = 2000;
     arrival.hint = 20 + last % 30;
     dispatcher.handle(now, arrival, actions);
-    dispatcher.handle(now, Started{last, 0}, actions);
+    dispatcher.handle(now, AttemptStarted{last, 0}, actions);
     if (last <= kOutstanding)
       continue;
-    Outcome outcome;
+    AttemptFinished outcome;
     outcome.request = last - kOutstanding;
-    outcome.result = Result::ok;
-    outcome.final = true;
+    outcome.result = AttemptResult::ok;
+    outcome.request_finished = true;
     dispatcher.handle(now, outcome, actions);
     benchmark::DoNotOptimize(actions.data());
   }
--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -12,15 +12,15 @@
 
 using namespace std::chrono_literals;
 
-reedlb::Settings settings() {
-  reedlb::Settings s;
+scheduler::Settings settings() {
+  scheduler::Settings s;
   s.classes.resize(2);
   for (auto& c : s.classes)
-    c.target_ms = 300, c.stretch = 2;
-  s.classes[1].effect = reedlb::Effect::keyed;
-  s.classes[1].window_ms = 7500;
+    c.latency_objective_ms = 300, c.objective_runtime_factor = 2;
+  s.classes[1].idempotency = scheduler::Idempotency::idempotent_with_key;
+  s.classes[1].deduplication_window_ms = 7500;
   s.tick_ms = 4;
-  s.try_limit = 3;
+  s.max_attempts = 3;
   return s;
 }
 
@@ -34,7 +34,7 @@
         traffic_(*this, clock_, engine_,
                  {Names{{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings()}, counters_),
         destinations_(
-            loop_, {}, {}, [](reedlb::EndpointList) {}, counters_, 1) {
+            loop_, {}, {}, [](scheduler::EndpointList) {}, counters_, 1) {
     engine_.connect(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
@@ -51,9 +51,9 @@
       moves[0].least_ms = 1e9, moves[0].most_ms = 2e9;
     }
     traffic_.configure(spec, moves);
-    reedlb::EndpointList list;
-    for (reedlb::EndpointId w = 1; w <= 12; ++w)
-      list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::EndpointState::ready, 1, 0});
+    scheduler::EndpointList list;
+    for (scheduler::EndpointId w = 1; w <= 12; ++w)
+      list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, scheduler::EndpointState::ready, 1, 0});
     traffic_.list(std::move(list));
     if (kind == Kind::moving)
       traffic_.command("m", "start");
@@ -62,7 +62,7 @@
   void request(std::uint64_t n) {
     Job job;
     job.id = "0123456789abcdef";
-    job.cls = static_cast<int>(n & 1);
+    job.class_index = static_cast<int>(n & 1);
     job.key = n % 5000;
     job.path = "/hold/x";
     job.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -117,17 +117,17 @@
   spec.routes = {{"all", {}, {}, {}, {{"old", 50}, {"new", 50}}, false}};
   routes::Router router(spec, {{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings().classes,
                         {20'000, 2'000});
-  reedlb::EndpointList list;
-  for (reedlb::EndpointId w = 1; w <= 12; ++w)
-    list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, reedlb::EndpointState::ready, 1, 0});
+  scheduler::EndpointList list;
+  for (scheduler::EndpointId w = 1; w <= 12; ++w)
+    list.entries.push_back({w, 0, 0, w <= 6 ? 1 : 2, scheduler::EndpointState::ready, 1, 0});
   router.split(
-      list, [](reedlb::EndpointId) { return std::string_view("s"); }, 0);
+      list, [](scheduler::EndpointId) { return std::string_view("s"); }, 0);
   double now = 0;
   std::uint64_t n = 0;
   std::string key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
   for (auto _ : state) {
     routes::Query query;
-    query.cls = static_cast<int>(state.range(0));
+    query.class_index = static_cast<int>(state.range(0));
     query.object = ++n;
     key[0] = static_cast<char>('a' + n % 26), key[1] = static_cast<char>('a' + n / 26 % 26),
     key[2] = static_cast<char>('a' + n / 676 % 26);
--- a/cli/plugin_commands.cpp
+++ b/cli/plugin_commands.cpp
@@ -46,7 +46,7 @@
 std::string shown(const Verdict& v) {
   char numbers[96];
   std::snprintf(numbers, sizeof numbers, "come-back %gs, hold %gs, weigh %g", v.come_back_ms / 1000,
-                v.hold_ms / 1000, v.weigh);
+                v.hold_ms / 1000, v.queue_weight);
   return (v.refuse ? "refuse, " : "pass, ") + std::string(numbers) +
          (v.label.empty() ? "" : ", label '" + v.label + "'");
 }
@@ -100,7 +100,7 @@
     r.call = 1;
     Duration patience = 2s, hint = 0ms;
     at(form, r.now);
-    form.text("id", r.id), form.text("class", r.cls), form.text("tenant", r.tenant),
+    form.text("id", r.id), form.text("class", r.class_index), form.text("tenant", r.tenant),
         form.text("path", r.path), form.text("object", r.object);
     form.flag("again", r.repeat);
     form.span("patience", patience, 0ms, 1h), form.span("hint", hint, 0ms, 1h);
@@ -111,7 +111,7 @@
       Duration come_back{}, hold{};
       inner.flag("refuse", wanted.refuse), inner.text("label", wanted.label);
       inner.span("come-back", come_back, 0ms, 24h), inner.span("hold", hold, 0ms, 24h);
-      inner.number("weigh", wanted.weigh, 0, 1e6, "a factor");
+      inner.number("weigh", wanted.queue_weight, 0, 1e6, "a factor");
       wanted.come_back_ms = to_ms(come_back), wanted.hold_ms = to_ms(hold);
       inner.end();
     }
@@ -122,7 +122,8 @@
         node, wanted, [&] { return machine_.on_request(r); },
         [](const Verdict& a, const Verdict& b) {
           return a.refuse == b.refuse && same(a.come_back_ms, b.come_back_ms) &&
-                 same(a.hold_ms, b.hold_ms) && same(a.weigh, b.weigh) && a.label == b.label;
+                 same(a.hold_ms, b.hold_ms) && same(a.queue_weight, b.queue_weight) &&
+                 a.label == b.label;
         });
   }
 
@@ -132,8 +133,8 @@
     std::string type = "progress";
     double attempt = 1;
     at(form, e.now);
-    form.text("request", e.request), form.text("class", e.cls), form.text("tenant", e.tenant),
-        form.text("label", e.label);
+    form.text("request", e.request), form.text("class", e.class_index),
+        form.text("tenant", e.tenant), form.text("label", e.label);
     form.choice("type", type, {"started", "progress"});
     form.number("share", e.share, 0, 1, "a share"),
         form.number("attempt", attempt, 1, 100, "a number");
@@ -187,7 +188,7 @@
           .hint_ms = 40,
           .repeat = false,
           .id = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-          .cls = "hold-copy",
+          .class_index = "hold-copy",
           .tenant = "t0",
           .path = "/hold-copy/x",
           .object = "1f"};
--- a/lab/boxes.cpp
+++ b/lab/boxes.cpp
@@ -180,7 +180,8 @@
   if (born_ == TimePoint{})
     return plan_.speed;
   double warm = std::clamp(to_ms(world_.loop.now() - born_) / to_ms(world_.cold), 0.0, 1.0);
-  return plan_.speed * (world_.cold_from + (1 - world_.cold_from) * warm);
+  return plan_.speed *
+         (world_.slow_start_initial_fraction + (1 - world_.slow_start_initial_fraction) * warm);
 }
 
 // Whatever reaches a cold box presses on it, also what it turns away.
@@ -194,7 +195,7 @@
   double sum = 0;
   for (const auto& [when, work] : sent_)
     sum += work;
-  double bears = world_.fall_multiple * speed() * plan_.cores * to_ms(world_.fall);
+  double bears = world_.overload_multiple * speed() * plan_.cores * to_ms(world_.fall);
   world_.cold_fullest = std::max(world_.cold_fullest, sum / bears);
   return sum > bears;
 }
@@ -262,8 +263,9 @@
     ++world_.resumed;
   }
   Duration lasts = from_ms((work.core_ms - job.before_ms) / job.speed);
-  if (work.effect ==
-      reedlb::Effect::keyed) {  // a repeat is dropped: it is answered with what the first one made
+  if (work.idempotency ==
+      scheduler::Idempotency::idempotent_with_key) {  // a repeat is dropped: it is answered with
+                                                      // what the first one made
     auto before = world_.served[group()].find(work.key);
     if (before != world_.served[group()].end() &&
         world_.loop.now() - before->second.second < work.window)
@@ -292,7 +294,8 @@
 // over.
 void Box::save(const Job& job) {
   const Work& work = world_.works.at(job.id);
-  if (!job.started || work.checkpoint <= Duration::zero() || work.effect != reedlb::Effect::safe)
+  if (!job.started || work.checkpoint <= Duration::zero() ||
+      work.idempotency != scheduler::Idempotency::idempotent)
     return;
   auto kept = (world_.loop.now() - job.began) / work.checkpoint * work.checkpoint;
   if (kept > Duration::zero())
@@ -306,9 +309,9 @@
   std::string result = id + " by " + host_;
   auto& served = world_.served[group()];
   auto before = served.find(work.key);
-  bool repeat = work.effect == reedlb::Effect::keyed && before != served.end() &&
-                now - before->second.second < work.window;
-  if (work.effect == reedlb::Effect::keyed && !repeat)
+  bool repeat = work.idempotency == scheduler::Idempotency::idempotent_with_key &&
+                before != served.end() && now - before->second.second < work.window;
+  if (work.idempotency == scheduler::Idempotency::idempotent_with_key && !repeat)
     served[work.key] = {result, now};
   ++runs_;
   world_.loop.cancel(job.report);
--- a/lab/boxes.h
+++ b/lab/boxes.h
@@ -22,7 +22,7 @@
 
 struct Work {  // what a box learns of a job beyond its request: the stand-ins' own knowledge
   std::string key;
-  reedlb::Effect effect = reedlb::Effect::safe;
+  scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   Duration window{};
   double core_ms = 10;    // on a standard core
   Duration checkpoint{};  // a safe job that is cut off goes on, at any box, from what it had at the
@@ -34,7 +34,7 @@
   Counters& counters;
   Rules& rules;
   Duration cold{};
-  double cold_from = 1, fall_multiple = 4;
+  double slow_start_initial_fraction = 1, overload_multiple = 4;
   Duration fall = std::chrono::seconds(2), drain_grace = std::chrono::milliseconds(500 + 50);
   std::unordered_map<std::string, Work> works;  // by request id
   // What groups have served of keyed work: key, then the result and when.
--- a/lab/crowd.h
+++ b/lab/crowd.h
@@ -25,7 +25,8 @@
   ~Crowd();
 
   void begin();
-  void load(double factor, const std::string& cls);  // of one class, or of all where it is empty
+  void load(double factor,
+            const std::string& class_index);  // of one class, or of all where it is empty
   void zone_load(const std::string& zone, double factor);
   void stop();  // nothing new; what is asked goes on
   bool waiting() const { return !calls_.empty() || retries_ > 0; }
@@ -46,7 +47,7 @@
 
  private:
   struct Job {
-    int cls = 0, tries = 0, tenant = 0;
+    int class_index = 0, tries = 0, tenant = 0;
     std::string key, object;
     double core_ms = 0, hint_ms = 0;
     bool rude = false;
--- a/lab/nodes.cpp
+++ b/lab/nodes.cpp
@@ -25,24 +25,24 @@
 using nlohmann::json;
 constexpr auto kStartLimit = 10s;
 
-const char* word(reedlb::Effect effect) {
-  return effect == reedlb::Effect::safe    ? "safe"
-         : effect == reedlb::Effect::keyed ? "keyed"
-                                           : "unsafe";
+const char* word(scheduler::Idempotency idempotency) {
+  return idempotency == scheduler::Idempotency::idempotent            ? "safe"
+         : idempotency == scheduler::Idempotency::idempotent_with_key ? "keyed"
+                                                                      : "unsafe";
 }
 
 // The platform's JSON for one node.
 json platform_settings(const Plan& plan, int number) {
-  json classes = json::array(), stretch = json::array(), tenants = json::array(),
+  json classes = json::array(), objective_runtime_factor = json::array(), tenants = json::array(),
        sites = json::array();
   for (const ClassPlan& c : plan.classes) {
     classes.push_back({{"name", c.name},
-                       {"effect", word(c.effect)},
+                       {"effect", word(c.idempotency)},
                        {"key_scope", "zone"},
                        {"dedup_window_ms", to_ms(c.window)},
                        {"target_ms", to_ms(c.target)},
                        {"value", c.value}});
-    stretch.push_back(c.stretch);
+    objective_runtime_factor.push_back(c.objective_runtime_factor);
   }
   for (int i = 0; i < static_cast<int>(plan.tenants); ++i)
     tenants.push_back({{"name", "t" + std::to_string(i)}, {"quota_per_s", 10 * plan.load}});
@@ -68,7 +68,9 @@
           {"granularity_ms", 4.0},
           {"registry_mode", plan.pushed ? "push" : "ask"},
           {"family_info",
-           {{"tells_start", true}, {"class_stretch", stretch}, {"report_x0", "free_slots"}}},
+           {{"tells_start", true},
+            {"class_stretch", objective_runtime_factor},
+            {"report_x0", "free_slots"}}},
           {"limits",
            {{"cancel", true},
             {"peer_messages", plan.peers},
@@ -83,7 +85,7 @@
           {"report", {{"names", json::array({"x0"})}, {"via", "probe"}}},
           {"safety",
            {{"ask_within_ms", to_ms(plan.ask_within)},
-            {"cold_from", plan.cold_from},
+            {"cold_from", plan.slow_start_initial_fraction},
             {"cold_ms", to_ms(plan.cold)},
             {"drain_grace_ms", 500.0},
             {"fall_ms", 2000.0},
--- a/lab/plan.cpp
+++ b/lab/plan.cpp
@@ -70,17 +70,17 @@
   Form form(node, 1, file, faults);
   ClassPlan c;
   c.name = name_of(node, form);
-  std::string effect = "safe";
-  form.choice("effect", effect, {"safe", "keyed", "unsafe"});
-  c.effect = effect == "keyed"    ? reedlb::Effect::keyed
-             : effect == "unsafe" ? reedlb::Effect::unsafe
-                                  : reedlb::Effect::safe;
+  std::string idempotency = "safe";
+  form.choice("effect", idempotency, {"safe", "keyed", "unsafe"});
+  c.idempotency = idempotency == "keyed"    ? scheduler::Idempotency::idempotent_with_key
+                  : idempotency == "unsafe" ? scheduler::Idempotency::non_idempotent
+                                            : scheduler::Idempotency::idempotent;
   form.span("window", c.window, 0ms, 1h);
   form.span("target", c.target, 0ms, 1h);
   form.span("patience", c.patience, 10ms, 1h);
   form.span("run", c.run, 1ms, 1h);
   form.span("checkpoint", c.checkpoint, 0ms, 1h);
-  form.number("stretch", c.stretch, 0, 100, "a factor");
+  form.number("stretch", c.objective_runtime_factor, 0, 100, "a factor");
   form.number("value", c.value, 0, 1e6, "a worth");
   form.number("share", c.share, 0, 1e6, "a share");
   form.number("spread", c.spread, 0, 2, "a spread");
@@ -290,7 +290,7 @@
   form.number("short-calls", plan.short_calls, 0, 1, "a share");
   form.span("lasts", plan.lasts, 1s, 24h);
   form.span("progress", plan.progress, 0ms, 1h);
-  form.number("cold-from", plan.cold_from, 0.01, 1, "a share");
+  form.number("cold-from", plan.slow_start_initial_fraction, 0.01, 1, "a share");
   form.span("cold", plan.cold, 100ms, 1h);
   plan.needs_shim = plan.failing_calls > 0 || plan.short_calls > 0;
   std::string lists = "ask";
--- a/lab/plan.h
+++ b/lab/plan.h
@@ -7,15 +7,15 @@
 
 #include "config/sexp.h"
 #include "core/time.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::lab {
 
 struct ClassPlan {
   std::string name;
-  reedlb::Effect effect = reedlb::Effect::safe;
+  scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   Duration window{}, target = from_ms(300), patience = from_ms(2000);
-  double stretch = 1.5, value = 1, share = 1;
+  double objective_runtime_factor = 1.5, value = 1, share = 1;
   Duration run = from_ms(40);  // usual running time on a standard core
   double spread = 0.4;         // sigma of its logarithm
   Duration checkpoint{};       // safe classes: see Work
@@ -54,7 +54,7 @@
          short_calls =
              0;  // share of the nodes' system calls that fail for a moment, or move one byte
   Duration lasts = std::chrono::seconds(15), progress = std::chrono::seconds(1);
-  double cold_from = 0.14;
+  double slow_start_initial_fraction = 0.14;
   Duration cold = std::chrono::seconds(20);
   bool pushed = false;  // lists; else nodes ask for them
   Duration ask_within = std::chrono::seconds(10);
--- a/lab/rules.cpp
+++ b/lab/rules.cpp
@@ -13,10 +13,11 @@
     examples_.push_back(std::string(rule) + ": " + what);
 }
 
-void Rules::asked(const std::string& id, std::string key, reedlb::Effect effect, Duration window) {
+void Rules::asked(const std::string& id, std::string key, scheduler::Idempotency idempotency,
+                  Duration window) {
   Request& r = requests_[id];
   r.key = std::move(key);
-  r.effect = effect;
+  r.idempotency = idempotency;
   r.window = window;
 }
 
@@ -47,10 +48,10 @@
   ++r.runs;
   r.result = result;
   Runs& runs = keys_[r.key];
-  if (r.effect == reedlb::Effect::unsafe && runs.count > 0)
+  if (r.idempotency == scheduler::Idempotency::non_idempotent && runs.count > 0)
     breach("unsafe", r.key + " ran again, as " + id + " at " + box);
-  if (r.effect == reedlb::Effect::keyed && runs.count > 0 && runs.group != group &&
-      now - runs.at < r.window)
+  if (r.idempotency == scheduler::Idempotency::idempotent_with_key && runs.count > 0 &&
+      runs.group != group && now - runs.at < r.window)
     breach("keyed", r.key + " ran in group " + runs.group + " and in " + group);
   ++runs.count;
   runs.group = group;
@@ -65,7 +66,8 @@
     breach("answer", id + " was answered after its client had given up");
   if (status == 200 && (r.runs == 0 || body != r.result))
     breach("made", id + " was served with something that no box made for it");
-  if ((status == 503 || status == 429) && r.effect == reedlb::Effect::unsafe && r.runs > 0)
+  if ((status == 503 || status == 429) && r.idempotency == scheduler::Idempotency::non_idempotent &&
+      r.runs > 0)
     breach("unsafe", id + " was refused, and has run");
 }
 
--- a/lab/rules.h
+++ b/lab/rules.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "core/time.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::lab {
 
@@ -28,14 +28,15 @@
  public:
   struct Request {    // one try of a client's job
     std::string key;  // the same for all tries of one job
-    reedlb::Effect effect = reedlb::Effect::safe;
+    scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
     Duration window{};
     TimePoint client_left = TimePoint::max();
     int attempts_out = 0, runs = 0, answers = 0;
     std::string result;  // made by a box
   };
 
-  void asked(const std::string& id, std::string key, reedlb::Effect effect, Duration window);
+  void asked(const std::string& id, std::string key, scheduler::Idempotency idempotency,
+             Duration window);
   void attempt_began(const std::string& id, const std::string& box,
                      TimePoint now = {});  // its last byte reached a box
   void client_left(const std::string& id, TimePoint now);
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -76,7 +76,7 @@
                .counters = counters_,
                .rules = rules_,
                .cold = plan.cold,
-               .cold_from = plan.cold_from,
+               .slow_start_initial_fraction = plan.slow_start_initial_fraction,
                .works = {},
                .served = {},
                .nodes = {},
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -31,7 +31,7 @@
 };
 
 // The best pairs, in order: they are enough, and sorting all would cost most of the time.
-std::vector<Pair> best_pairs(const std::vector<reedlb::EndpointId>& endpoints,
+std::vector<Pair> best_pairs(const std::vector<scheduler::EndpointId>& endpoints,
                              const std::vector<int>& dispatchers, int each) {
   double share = std::min(1.0, kLooked * (each + 2.0) / static_cast<double>(endpoints.size()));
   auto most = share >= 1 ? ~std::uint64_t{0} : static_cast<std::uint64_t>(share * 0x1p64);
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-std::vector<std::vector<int>> subsets(const std::vector<reedlb::EndpointId>& endpoints,
+std::vector<std::vector<int>> subsets(const std::vector<scheduler::EndpointId>& endpoints,
                                       const std::vector<int>& dispatchers, int each) {
   std::vector<std::vector<int>> homes(endpoints.size());
   if (endpoints.empty() || dispatchers.empty())
@@ -101,21 +101,21 @@
   return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, endpoints);
 }
 
-Homes::Homes(const reedlb::Settings& s)
+Homes::Homes(const scheduler::Settings& s)
     : dispatchers_(s.dispatchers),
       self_(s.rank),
       peers_(s.peers),
       lives_(static_cast<std::size_t>(std::max(1, s.dispatchers)), true) {}
 
-std::optional<reedlb::Homes> Homes::after(const reedlb::Event& event) {
-  if (const auto* list = std::get_if<reedlb::EndpointList>(&event)) {
+std::optional<scheduler::SubsetChanged> Homes::after(const scheduler::Event& event) {
+  if (const auto* list = std::get_if<scheduler::EndpointList>(&event)) {
     if (!take(*list))
       return std::nullopt;
-  } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
-    if (members->lives.size() != lives_.size() || members->lives == lives_)
+  } else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event)) {
+    if (members->is_alive.size() != lives_.size() || members->is_alive == lives_)
       return std::nullopt;
-    lives_ = members->lives;
-  } else if (const auto* retune = std::get_if<reedlb::Retune>(&event)) {
+    lives_ = members->is_alive;
+  } else if (const auto* retune = std::get_if<scheduler::SettingsChanged>(&event)) {
     if (retune->settings.dispatchers == dispatchers_ && retune->settings.peers == peers_)
       return std::nullopt;
     dispatchers_ = retune->settings.dispatchers, peers_ = retune->settings.peers;
@@ -126,14 +126,14 @@
   return told_ = divide();
 }
 
-bool Homes::take(const reedlb::EndpointList& list) {
-  if (list.scope == reedlb::ListScope::failed)
+bool Homes::take(const scheduler::EndpointList& list) {
+  if (list.scope == scheduler::ListScope::failed)
     return false;
-  std::set<reedlb::EndpointId> now;
-  if (list.scope == reedlb::ListScope::delta)
+  std::set<scheduler::EndpointId> now;
+  if (list.scope == scheduler::ListScope::delta)
     now = endpoints_;
-  for (const reedlb::EndpointEntry& e : list.entries)
-    if (e.state == reedlb::EndpointState::gone)
+  for (const scheduler::EndpointEntry& e : list.entries)
+    if (e.state == scheduler::EndpointState::gone)
       now.erase(e.endpoint);
     else
       now.insert(e.endpoint);
@@ -143,8 +143,8 @@
   return true;
 }
 
-reedlb::Homes Homes::divide() const {
-  std::vector<reedlb::EndpointId> endpoints(endpoints_.begin(), endpoints_.end());
+scheduler::SubsetChanged Homes::divide() const {
+  std::vector<scheduler::EndpointId> endpoints(endpoints_.begin(), endpoints_.end());
   std::vector<int> living;
   for (int d = 0; d < dispatchers_; ++d)
     if (lives_[static_cast<std::size_t>(d)] || d == self_)
@@ -153,8 +153,8 @@
   int each = homes_for_each(wanted_homes(peers_, dispatchers_), dispatchers_,
                             static_cast<int>(endpoints.size()));
   auto homes = subsets(endpoints, living, each);
-  reedlb::Homes out;
-  out.talk = talks_of_homes(peers_, dispatchers_);
+  scheduler::SubsetChanged out;
+  out.shares_load = talks_of_homes(peers_, dispatchers_);
   for (std::size_t w = 0; w < endpoints.size(); ++w) {
     auto self = std::find(homes[w].begin(), homes[w].end(), self_);
     bool home = self != homes[w].end();
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -12,13 +12,13 @@
 #include <set>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::fleet {
 
 // By place in `endpoints`: the numbers of the dispatchers that are at home there, in rising order.
 // `each`: endpoints for each dispatcher.
-std::vector<std::vector<int>> subsets(const std::vector<reedlb::EndpointId>& endpoints,
+std::vector<std::vector<int>> subsets(const std::vector<scheduler::EndpointId>& endpoints,
                                       const std::vector<int>& dispatchers, int each);
 
 // Whether those at home at an endpoint tell one another of it: where nodes may talk and are too
@@ -34,20 +34,20 @@
 // Tells one Dispatcher who is at home at the endpoints that it knows, whenever that changes.
 class Homes {
  public:
-  explicit Homes(const reedlb::Settings& settings);
+  explicit Homes(const scheduler::Settings& settings);
   // For each event that the Dispatcher was given, right after it: what it is to be told then.
-  std::optional<reedlb::Homes> after(const reedlb::Event& event);
-  const reedlb::Homes& told() const { return told_; }  // last
+  std::optional<scheduler::SubsetChanged> after(const scheduler::Event& event);
+  const scheduler::SubsetChanged& told() const { return told_; }  // last
 
  private:
-  bool take(const reedlb::EndpointList& list);
-  reedlb::Homes divide() const;
+  bool take(const scheduler::EndpointList& list);
+  scheduler::SubsetChanged divide() const;
 
   int dispatchers_, self_;
   bool peers_;
   std::vector<bool> lives_;  // by dispatcher
-  std::set<reedlb::EndpointId> endpoints_;
-  reedlb::Homes told_;
+  std::set<scheduler::EndpointId> endpoints_;
+  scheduler::SubsetChanged told_;
 };
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/turns.cpp
+++ b/logic/fleet/turns.cpp
@@ -9,10 +9,10 @@
 namespace keelflow::fleet {
 namespace {
 
-using reedlb::ColdRoom;
-using reedlb::Dispatcher;
-using reedlb::EndpointEntry;
-using reedlb::Event;
+using scheduler::Dispatcher;
+using scheduler::EndpointEntry;
+using scheduler::Event;
+using scheduler::SlowStartBudget;
 
 constexpr char kMark = '\xfd';
 constexpr char kVersion = 1;
@@ -94,39 +94,40 @@
   return *this;
 }
 
-Turns::Turns(const reedlb::Settings& s, reedlb::Time started)
+Turns::Turns(const scheduler::Settings& s, scheduler::Time started)
     : dispatchers_(std::max(1, s.dispatchers)),
       self_(s.rank),
       peers_(s.peers),
       started_(started),
-      cold_ms_(s.cold_ms),
-      window_(s.fall_ms),
-      length_(kLength * s.fall_ms),
+      cold_ms_(s.slow_start_ms),
+      window_(s.overload_window_ms),
+      length_(kLength * s.overload_window_ms),
       life_(static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, started)))),
       lives_(static_cast<std::size_t>(dispatchers_), true),
       silent_(lives_.size(), -1e18) {}
 
-void Turns::after(reedlb::Time now, const Event& event, const Dispatcher& dispatcher,
-                  std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::after(scheduler::Time now, const Event& event, const Dispatcher& dispatcher,
+                  std::vector<Event>& told, scheduler::Actions& out) {
   now_ = std::max(now_, now);
-  if (const auto* list = std::get_if<reedlb::EndpointList>(&event)) {
+  if (const auto* list = std::get_if<scheduler::EndpointList>(&event)) {
     if (take(*list))
       order();
     for (auto& [id, turn] : turns_)
       turn.entry = endpoints_.at(id);  // it may have begun to drain
-  } else if (const auto* members = std::get_if<reedlb::Members>(&event)) {
-    if (members->lives.size() == lives_.size())
-      lives_ = members->lives;
-  } else if (const auto* retune = std::get_if<reedlb::Retune>(&event)) {
-    const reedlb::Settings& s = retune->settings;
+  } else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event)) {
+    if (members->is_alive.size() == lives_.size())
+      lives_ = members->is_alive;
+  } else if (const auto* retune = std::get_if<scheduler::SettingsChanged>(&event)) {
+    const scheduler::Settings& s = retune->settings;
     dispatchers_ = std::max(1, s.dispatchers), self_ = s.rank, peers_ = s.peers;
-    cold_ms_ = s.cold_ms, window_ = s.fall_ms, length_ = kLength * s.fall_ms;
+    cold_ms_ = s.slow_start_ms, window_ = s.overload_window_ms,
+    length_ = kLength * s.overload_window_ms;
     lives_.assign(static_cast<std::size_t>(dispatchers_), true);
     silent_.assign(lives_.size(), -1e18);
     order();
-  } else if (const auto* twin = std::get_if<reedlb::Twin>(&event)) {
-    twin_ = twin->here;
-  } else if (std::holds_alternative<reedlb::Knowledge>(event)) {
+  } else if (const auto* twin = std::get_if<scheduler::SiblingProcess>(&event)) {
+    twin_ = twin->is_present;
+  } else if (std::holds_alternative<scheduler::LearnedState>(event)) {
     // It is told what its elder sent, but not what that granted, until now.
     started_ = peers_ ? now_ : -1e18;
   }
@@ -134,21 +135,21 @@
     return;
   age(dispatcher, told, out);
   tell_shares(told);
-  if (const auto* message = std::get_if<reedlb::PeerMessage>(&event))
+  if (const auto* message = std::get_if<scheduler::PeerMessage>(&event))
     hear(*message, dispatcher, told, out);
-  if (std::holds_alternative<reedlb::Arrival>(event) && grants())
+  if (std::holds_alternative<scheduler::RequestArrived>(event) && grants())
     ask_all(dispatcher, told, out);
 }
 
 // True: an endpoint came or went, or started again.
-bool Turns::take(const reedlb::EndpointList& list) {
-  if (list.scope == reedlb::ListScope::failed)
+bool Turns::take(const scheduler::EndpointList& list) {
+  if (list.scope == scheduler::ListScope::failed)
     return false;
-  std::map<reedlb::EndpointId, EndpointEntry> now;
-  if (list.scope == reedlb::ListScope::delta)
+  std::map<scheduler::EndpointId, EndpointEntry> now;
+  if (list.scope == scheduler::ListScope::delta)
     now = endpoints_;
   for (const EndpointEntry& e : list.entries) {
-    if (e.state == reedlb::EndpointState::gone)
+    if (e.state == scheduler::EndpointState::gone)
       now.erase(e.endpoint);
     else
       now[e.endpoint] = e;
@@ -196,7 +197,7 @@
 }
 
 void Turns::tell_shares(std::vector<Event>& told) {
-  reedlb::Turns turns;
+  scheduler::SlowStartShares turns;
   int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
                             static_cast<int>(endpoints_.size()));
   for (auto& [id, turn] : turns_) {
@@ -204,10 +205,10 @@
     if (now == turn.told_share)
       continue;
     turn.told_share = now;
-    reedlb::Turns::At at{{id, turn.own, {}}, turn.entry.started_at, now};
+    scheduler::SlowStartShare at{{id, turn.own, {}}, turn.entry.started_at, now};
     for (int place = 0; place < std::min(homes, dispatchers_); ++place)
       if (place != turn.place)
-        at.home.others.push_back(turn.order[static_cast<std::size_t>(place)]);
+        at.subset.peers.push_back(turn.order[static_cast<std::size_t>(place)]);
     turns.endpoints.push_back(std::move(at));
   }
   if (!turns.endpoints.empty())
@@ -215,7 +216,7 @@
 }
 
 // What has ended: grants held, owners that did not answer, endpoints that are warm by now.
-void Turns::age(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::age(const Dispatcher& dispatcher, std::vector<Event>& told, scheduler::Actions& out) {
   if (now_ < next_)
     return;
   next_ = now_ + length_;
@@ -227,33 +228,35 @@
     }
     // Given back a little early: an end that is past tells its giver nothing that it does not know.
     if (turn.until > now_ && turn.until - now_ < length_ / 4)
-      give_back(turn, dispatcher.cold_room(it->first, now_).granted, told, out);
+      give_back(turn, dispatcher.slow_start_budget(it->first, now_).granted, told, out);
     if (turn.until > now_)
       next_ = std::min(next_, turn.until - length_ / 4);
     ++it;
   }
 }
 
-void Turns::give_back(Turn& turn, double left, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::give_back(Turn& turn, double left, std::vector<Event>& told, scheduler::Actions& out) {
   turn.until = 0;
-  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at, 0, 0, true});
+  told.emplace_back(
+      scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at, 0, 0, true});
   if (whole(left) == 0)
     return;
-  out.emplace_back(reedlb::Tell{
+  out.emplace_back(scheduler::SendPeerMessage{
       turn.owner, write_turn({TurnWord::Kind::back, turn.entry.endpoint, life_of(turn.entry), life_,
                               turn.number, whole(left), 0})});
 }
 
-void Turns::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told,
+                    scheduler::Actions& out) {
   for (auto& [id, turn] : turns_) {
-    if (!turn.own || turn.entry.state != reedlb::EndpointState::ready)
+    if (!turn.own || turn.entry.state != scheduler::EndpointState::ready)
       continue;
     if (turn.waiting && now_ - turn.asked < kAnswer)
       continue;
-    ColdRoom room = dispatcher.cold_room(id, now_);
+    SlowStartBudget room = dispatcher.slow_start_budget(id, now_);
     if (turn.until <= now_)
       room.granted = 0;  // given back just now, of which the Dispatcher is yet to hear
-    if (room.all() >= room.usual)
+    if (room.total() >= room.typical)
       continue;
     if (turn.waiting)
       silent_[static_cast<std::size_t>(turn.owner)] = now_ + kSilent;
@@ -278,7 +281,7 @@
   return -1;
 }
 
-void Turns::ask(Turn& turn, const ColdRoom& room, reedlb::Actions& out) {
+void Turns::ask(Turn& turn, const SlowStartBudget& room, scheduler::Actions& out) {
   int owner = next_owner(turn);
   if (owner < 0)
     return;
@@ -287,15 +290,15 @@
   turn.asked = now_;
   turn.waiting = true;
   ++figures_.asked;
-  double lacks = std::max(1.0, room.usual - std::max(0.0, room.own));
-  out.emplace_back(reedlb::Tell{
+  double lacks = std::max(1.0, room.typical - std::max(0.0, room.own));
+  out.emplace_back(scheduler::SendPeerMessage{
       owner,
       write_turn({TurnWord::Kind::ask, turn.entry.endpoint, life_of(turn.entry), life_, turn.number,
-                  whole(std::max(lacks, kWanted * room.usual)), whole(std::ceil(lacks))})});
+                  whole(std::max(lacks, kWanted * room.typical)), whole(std::ceil(lacks))})});
 }
 
-void Turns::hear(const reedlb::PeerMessage& message, const Dispatcher& dispatcher,
-                 std::vector<Event>& told, reedlb::Actions& out) {
+void Turns::hear(const scheduler::PeerMessage& message, const Dispatcher& dispatcher,
+                 std::vector<Event>& told, scheduler::Actions& out) {
   auto word = read_turn(message.bytes);
   if (!word || message.peer < 0 || message.peer >= dispatchers_ || message.peer == self_)
     return;
@@ -313,8 +316,8 @@
     given->second.back = true;
     ++figures_.came_back;
     double work = std::min<double>(word->work, given->second.work);
-    told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at, -work,
-                                    given->second.until, false});
+    told.emplace_back(scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at, -work,
+                                                given->second.until, false});
     return;
   }
   // A grant ends by the clock of the one that asked, from its asking on: that is before the giver's
@@ -330,29 +333,30 @@
     return void(turn.until = 0);
   ++figures_.got;
   next_ = std::min(next_, turn.until - length_ / 4);
-  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at,
-                                  static_cast<double>(word->work), turn.until, true});
+  told.emplace_back(scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at,
+                                              static_cast<double>(word->work), turn.until, true});
 }
 
 void Turns::grant(int asker, const TurnWord& word, Turn& turn, const Dispatcher& dispatcher,
-                  std::vector<Event>& told, reedlb::Actions& out) {
+                  std::vector<Event>& told, scheduler::Actions& out) {
   Turn::Given& last = turn.given[asker];
   // Repeated, or overtaken by a later one. A new life of the asker numbers anew, and is a later
   // one.
   bool newer = word.asker > last.asker || (word.asker == last.asker && word.number > last.number);
   if (!newer || !grants() || share(turn) <= 0)
     return;
-  double room = dispatcher.cold_room(turn.entry.endpoint, now_).own * kGives;
+  double room = dispatcher.slow_start_budget(turn.entry.endpoint, now_).own * kGives;
   std::uint32_t work = std::min(word.work, whole(room));
   if (work < word.least || work == 0)
     return void(++figures_.denied);
   double until = now_ + (1 + kDrift) * length_;
   last = {word.asker, word.number, static_cast<double>(work), until, false};
   ++figures_.granted;
-  told.emplace_back(reedlb::Grant{turn.entry.endpoint, turn.entry.started_at,
-                                  static_cast<double>(work), until, false});
-  out.emplace_back(reedlb::Tell{asker, write_turn({TurnWord::Kind::grant, turn.entry.endpoint,
-                                                   word.life, word.asker, word.number, work, 0})});
+  told.emplace_back(scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at,
+                                              static_cast<double>(work), until, false});
+  out.emplace_back(
+      scheduler::SendPeerMessage{asker, write_turn({TurnWord::Kind::grant, turn.entry.endpoint,
+                                                    word.life, word.asker, word.number, work, 0})});
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/turns.h
+++ b/logic/fleet/turns.h
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::fleet {
 
@@ -27,7 +27,7 @@
 // size or kind it is none.
 struct TurnWord {
   enum class Kind : std::uint8_t { ask, grant, back } kind = Kind::ask;
-  reedlb::EndpointId endpoint = 0;
+  scheduler::EndpointId endpoint = 0;
   std::uint32_t life = 0;   // of the endpoint
   std::uint32_t asker = 0;  // life of the node that asked
   std::uint32_t number = 0;
@@ -38,7 +38,7 @@
 std::optional<TurnWord> read_turn(std::string_view bytes);
 
 // The order of all nodes at one life of an endpoint.
-std::vector<int> order_at(const reedlb::EndpointEntry& endpoint, int dispatchers);
+std::vector<int> order_at(const scheduler::EndpointEntry& endpoint, int dispatchers);
 // The part of the one at that place: all add up to 1.
 double share_at(int place, int dispatchers);
 
@@ -52,67 +52,69 @@
     Figures& operator+=(const Figures& o);
   };
   struct Turn {  // at one cold endpoint
-    reedlb::EndpointEntry entry;
+    scheduler::EndpointEntry entry;
     std::vector<int> order;
     int place = 0;  // of this node
     bool own = false;
     double told_share = -1;
     std::uint32_t number = 0;  // of what was asked last, at `owner`
     int owner = -1;
-    reedlb::Time asked = -1e18, until = 0;  // until: of the grant held
+    scheduler::Time asked = -1e18, until = 0;  // until: of the grant held
     bool waiting = false;
     struct Given {
       std::uint32_t asker = 0,
                     number = 0;  // the last one granted; numbers of an asker's life only rise
       double work = 0;
-      reedlb::Time until = 0;
+      scheduler::Time until = 0;
       bool back = true;
     };
     std::map<int, Given> given;  // by node: one at a time
   };
 
   // `started`: when this node did, on the Dispatcher's clock.
-  Turns(const reedlb::Settings& settings, reedlb::Time started);
+  Turns(const scheduler::Settings& settings, scheduler::Time started);
   // For each event that the Dispatcher was given, right after it. `told`: what it is to be told
   // then.
-  void after(reedlb::Time now, const reedlb::Event& event, const reedlb::Dispatcher& dispatcher,
-             std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  void after(scheduler::Time now, const scheduler::Event& event,
+             const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
+             scheduler::Actions& out);
 
   void grants(bool on) { grants_ = on; }  // off: it asks for nothing and grants nothing from now on
 
-  const std::map<reedlb::EndpointId, Turn>& turns() const { return turns_; }
+  const std::map<scheduler::EndpointId, Turn>& turns() const { return turns_; }
   const Figures& figures() const { return figures_; }
   double length() const { return length_; }  // of a grant, ms
 
  private:
-  bool take(const reedlb::EndpointList& list);
-  void begin(const reedlb::EndpointEntry& entry);
+  bool take(const scheduler::EndpointList& list);
+  void begin(const scheduler::EndpointEntry& entry);
   void order();
   double share(const Turn& turn) const;
   bool waits(const Turn& turn) const;
-  void tell_shares(std::vector<reedlb::Event>& told);
-  void age(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told,
-           reedlb::Actions& out);
-  void hear(const reedlb::PeerMessage& message, const reedlb::Dispatcher& dispatcher,
-            std::vector<reedlb::Event>& told, reedlb::Actions& out);
-  void grant(int asker, const TurnWord& word, Turn& turn, const reedlb::Dispatcher& dispatcher,
-             std::vector<reedlb::Event>& told, reedlb::Actions& out);
-  void ask(Turn& turn, const reedlb::ColdRoom& room, reedlb::Actions& out);
-  void ask_all(const reedlb::Dispatcher& dispatcher, std::vector<reedlb::Event>& told,
-               reedlb::Actions& out);
-  void give_back(Turn& turn, double left, std::vector<reedlb::Event>& told, reedlb::Actions& out);
+  void tell_shares(std::vector<scheduler::Event>& told);
+  void age(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
+           scheduler::Actions& out);
+  void hear(const scheduler::PeerMessage& message, const scheduler::Dispatcher& dispatcher,
+            std::vector<scheduler::Event>& told, scheduler::Actions& out);
+  void grant(int asker, const TurnWord& word, Turn& turn, const scheduler::Dispatcher& dispatcher,
+             std::vector<scheduler::Event>& told, scheduler::Actions& out);
+  void ask(Turn& turn, const scheduler::SlowStartBudget& room, scheduler::Actions& out);
+  void ask_all(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
+               scheduler::Actions& out);
+  void give_back(Turn& turn, double left, std::vector<scheduler::Event>& told,
+                 scheduler::Actions& out);
   int next_owner(const Turn& turn) const;
   bool grants() const { return grants_ && peers_ && dispatchers_ > 1 && !twin_; }
 
   int dispatchers_, self_;
   bool peers_, twin_ = false, grants_ = true;
-  reedlb::Time now_ = 0, started_, next_ = 0;
+  scheduler::Time now_ = 0, started_, next_ = 0;
   double cold_ms_, window_, length_;
   std::uint32_t life_, number_ = 0;
-  std::map<reedlb::EndpointId, reedlb::EndpointEntry> endpoints_;
-  std::map<reedlb::EndpointId, Turn> turns_;
+  std::map<scheduler::EndpointId, scheduler::EndpointEntry> endpoints_;
+  std::map<scheduler::EndpointId, Turn> turns_;
   std::vector<bool> lives_;
-  std::vector<reedlb::Time> silent_;  // by node: it did not answer; it is asked last until then
+  std::vector<scheduler::Time> silent_;  // by node: it did not answer; it is asked last until then
   Figures figures_;
 };
 
--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -54,9 +54,10 @@
   if (facts.earlier_out && !facts.parallel_allowed)
     return Verdict(Reason::attempt_out);
   bool may_have_run = facts.earlier_may_have_run || facts.earlier_out;
-  if (may_have_run && facts.effect == reedlb::Effect::unsafe)
+  if (may_have_run && facts.idempotency == scheduler::Idempotency::non_idempotent)
     return Verdict(Reason::may_have_run);
-  if (may_have_run && facts.effect == reedlb::Effect::keyed && !facts.in_window)
+  if (may_have_run && facts.idempotency == scheduler::Idempotency::idempotent_with_key &&
+      !facts.in_window)
     return Verdict(Reason::window_over);
   return Verdict(Reason::none);
 }
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::operation_guard {
 
@@ -47,7 +47,7 @@
 };
 
 struct RepeatFacts {  // a further attempt of a request
-  reedlb::Effect effect = reedlb::Effect::safe;
+  scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   bool parallel_allowed = false;
   bool earlier_out = false;        // some earlier attempt
   bool earlier_out_there = false;  // one at the same endpoint
--- a/logic/overlay/by_hand.cpp
+++ b/logic/overlay/by_hand.cpp
@@ -4,11 +4,11 @@
 
 namespace keelflow::overlay {
 
-using reedlb::EndpointList;
-using reedlb::EndpointState;
-using reedlb::ListScope;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::ListScope;
 
-void ByHand::lay_over(reedlb::EndpointEntry& entry) const {
+void ByHand::lay_over(scheduler::EndpointEntry& entry) const {
   if (entry.state == EndpointState::ready && is_out(entry.endpoint))
     entry.state = EndpointState::draining;
 }
@@ -18,7 +18,7 @@
     return list;
   if (list.scope != ListScope::delta)
     listed_.clear();  // a complete list: whoever is missing is gone
-  for (reedlb::EndpointEntry& entry : list.entries) {
+  for (scheduler::EndpointEntry& entry : list.entries) {
     if (entry.state == EndpointState::gone)
       listed_.erase(entry.endpoint);
     else
@@ -28,19 +28,19 @@
   return list;
 }
 
-std::optional<EndpointList> ByHand::out(reedlb::EndpointId endpoint, const std::string& host) {
+std::optional<EndpointList> ByHand::out(scheduler::EndpointId endpoint, const std::string& host) {
   if (!out_.emplace(endpoint, host).second)
     return std::nullopt;
   return told_anew(endpoint);
 }
 
-std::optional<EndpointList> ByHand::back(reedlb::EndpointId endpoint) {
+std::optional<EndpointList> ByHand::back(scheduler::EndpointId endpoint) {
   if (out_.erase(endpoint) == 0)
     return std::nullopt;
   return told_anew(endpoint);
 }
 
-std::optional<EndpointList> ByHand::told_anew(reedlb::EndpointId endpoint) const {
+std::optional<EndpointList> ByHand::told_anew(scheduler::EndpointId endpoint) const {
   auto it = listed_.find(endpoint);
   if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
@@ -59,7 +59,7 @@
   return all;
 }
 
-std::size_t ByHand::unavailable(const std::function<bool(reedlb::EndpointId)>& avoided) const {
+std::size_t ByHand::unavailable(const std::function<bool(scheduler::EndpointId)>& avoided) const {
   std::size_t count = 0;
   for (const auto& [endpoint, entry] : listed_)
     count += entry.state != EndpointState::ready || is_out(endpoint) || avoided(endpoint);
--- a/logic/overlay/by_hand.h
+++ b/logic/overlay/by_hand.h
@@ -10,34 +10,35 @@
 #include <string>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::overlay {
 
 class ByHand {
  public:
   // What is to be told instead of discovery's word. Keeps that word, to restore it later.
-  reedlb::EndpointList laid_over(reedlb::EndpointList list);
+  scheduler::EndpointList laid_over(scheduler::EndpointList list);
 
   // Out, or back. The list to be told for it, a complete one as if from memory: empty where nothing
   // changes for anyone, as for a second call of the same kind or an endpoint that is not listed.
-  std::optional<reedlb::EndpointList> out(reedlb::EndpointId endpoint, const std::string& host);
-  std::optional<reedlb::EndpointList> back(reedlb::EndpointId endpoint);
+  std::optional<scheduler::EndpointList> out(scheduler::EndpointId endpoint,
+                                             const std::string& host);
+  std::optional<scheduler::EndpointList> back(scheduler::EndpointId endpoint);
 
-  bool is_out(reedlb::EndpointId endpoint) const { return out_.contains(endpoint); }
+  bool is_out(scheduler::EndpointId endpoint) const { return out_.contains(endpoint); }
   std::vector<std::string> hosts() const;  // of all that are out, listed or not
 
   std::size_t listed() const { return listed_.size(); }
   // Listed ones that get no new work: out by hand, draining, or avoided by choice. Each counts
   // once.
-  std::size_t unavailable(const std::function<bool(reedlb::EndpointId)>& avoided) const;
+  std::size_t unavailable(const std::function<bool(scheduler::EndpointId)>& avoided) const;
 
  private:
-  void lay_over(reedlb::EndpointEntry& entry) const;
-  std::optional<reedlb::EndpointList> told_anew(reedlb::EndpointId endpoint) const;
+  void lay_over(scheduler::EndpointEntry& entry) const;
+  std::optional<scheduler::EndpointList> told_anew(scheduler::EndpointId endpoint) const;
 
-  std::map<reedlb::EndpointId, reedlb::EndpointEntry> listed_;  // by discovery's word
-  std::map<reedlb::EndpointId, std::string>
+  std::map<scheduler::EndpointId, scheduler::EndpointEntry> listed_;  // by discovery's word
+  std::map<scheduler::EndpointId, std::string>
       out_;  // with the host's name; as many as operators have called out
 };
 
--- a/logic/plugins/holds.h
+++ b/logic/plugins/holds.h
@@ -10,13 +10,13 @@
 #include <tuple>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::plugins {
 
 class Holds {
  public:
-  using Id = reedlb::RequestId;
+  using Id = scheduler::RequestId;
   Holds(std::size_t most, std::size_t most_bytes) : most_(most), most_bytes_(most_bytes) {}
 
   // Those that must go on now to make room, the oldest first; perhaps this one itself.
--- a/logic/plugins/verdict.cpp
+++ b/logic/plugins/verdict.cpp
@@ -29,16 +29,17 @@
           out.verdict.come_back_ms, std::min(sane(v.come_back_ms, 0), bounds.most_come_back_ms));
     if (double hold = sane(v.hold_ms, 0); hold > out.verdict.hold_ms)
       out.verdict.hold_ms = hold, out.held_by = place;
-    if (double weigh = sane(v.weigh, 1); weigh > 0)
-      out.verdict.weigh *= weigh;
+    if (double queue_weight = sane(v.queue_weight, 1); queue_weight > 0)
+      out.verdict.queue_weight *= queue_weight;
     if (!v.label.empty() && out.labelled_by < 0)
       out.verdict.label = v.label, out.labelled_by = place;
   }
   out.verdict.refuse = out.refused_by >= 0;
-  out.verdict.weigh = std::clamp(out.verdict.weigh, bounds.least_weigh, bounds.most_weigh);
+  out.verdict.queue_weight =
+      std::clamp(out.verdict.queue_weight, bounds.least_weigh, bounds.most_weigh);
   if (out.verdict.hold_ms <= 0)
     return out;
-  if (subject.effect == reedlb::Effect::keyed && subject.repeat) {
+  if (subject.idempotency == scheduler::Idempotency::idempotent_with_key && subject.repeat) {
     out.hold_forbidden = true;
     out.verdict.hold_ms = 0;
     return out;
--- a/logic/plugins/verdict.h
+++ b/logic/plugins/verdict.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::plugins {
 
@@ -16,7 +16,7 @@
   bool refuse = false;
   double come_back_ms = 0;  // of a refusal; zero: no advice
   double hold_ms = 0;       // before the module sees it
-  double weigh = 1;         // times the size by which the module queues it
+  double queue_weight = 1;  // times the size by which the module queues it
   std::string label = {};   // shown with its progress events
 };
 
@@ -33,7 +33,7 @@
 };
 
 struct Subject {
-  reedlb::Effect effect = reedlb::Effect::safe;
+  scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   bool repeat = false;     // its client marks it as a further try
   double patience_ms = 0;  // that is left
   double need_ms =
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -10,10 +10,10 @@
 namespace keelflow::routes {
 namespace {
 
-using reedlb::EndpointEntry;
-using reedlb::EndpointList;
-using reedlb::EndpointState;
-using reedlb::ListScope;
+using scheduler::EndpointEntry;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::ListScope;
 
 std::size_t at(int i) {
   return static_cast<std::size_t>(i);
@@ -125,10 +125,11 @@
 
 std::uint64_t key_of(const Query& query) {
   std::string_view text = query.idempotency_key.empty() ? query.id : query.idempotency_key;
-  return XXH3_64bits_withSeed(text.data(), text.size(), static_cast<std::uint64_t>(query.cls) + 1);
+  return XXH3_64bits_withSeed(text.data(), text.size(),
+                              static_cast<std::uint64_t>(query.class_index) + 1);
 }
 
-Router::Router(Spec spec, NameLists names, std::vector<reedlb::ClassSettings> classes,
+Router::Router(Spec spec, NameLists names, std::vector<scheduler::ClassSettings> classes,
                Timing timing, std::size_t key_entries)
     : spec_(std::move(spec)),
       names_(std::move(names)),
@@ -208,7 +209,8 @@
 }
 
 bool Router::cold(const Endpoint& endpoint, double now_ms) const {
-  return endpoint.entry.started_at > 0 && now_ms < endpoint.entry.started_at + timing_.cold_ms;
+  return endpoint.entry.started_at > 0 &&
+         now_ms < endpoint.entry.started_at + timing_.slow_start_ms;
 }
 
 void Router::settle(Endpoint& endpoint, double now_ms) {
@@ -249,7 +251,7 @@
 }
 
 Router::Lists Router::split(const EndpointList& list,
-                            const std::function<std::string_view(reedlb::EndpointId)>& host,
+                            const std::function<std::string_view(scheduler::EndpointId)>& host,
                             double now_ms) {
   Lists out;
   for (int i = 0; i < numbers(); ++i)
@@ -257,7 +259,7 @@
   if (list.scope == ListScope::failed)
     return out;
   if (list.scope != ListScope::delta) {  // complete: whoever is missing is gone
-    std::set<reedlb::EndpointId> named;
+    std::set<scheduler::EndpointId> named;
     for (const EndpointEntry& e : list.entries)
       named.insert(e.endpoint);
     std::erase_if(endpoints_, [&](const auto& known) { return !named.contains(known.first); });
@@ -325,11 +327,11 @@
       continue;
     ++h.ready;
     if (cold(e, now_ms)) {
-      warms_ = std::min(warms_, e.entry.started_at + timing_.cold_ms);
+      warms_ = std::min(warms_, e.entry.started_at + timing_.slow_start_ms);
       continue;
     }
     ++h.warm;
-    h.warm_share += e.entry.nominal;
+    h.warm_share += e.entry.nominal_capacity;
   }
 }
 
@@ -346,13 +348,13 @@
   const Route* route = nullptr;
   for (std::size_t i = 0; i < routes_.size() && !route; ++i) {
     const Route& r = routes_[i];
-    bool fits = allowed(r.classes, query.cls) && allowed(r.tenants, query.tenant) &&
+    bool fits = allowed(r.classes, query.class_index) && allowed(r.tenants, query.tenant) &&
                 any_of(r.paths, [&](const std::string& p) { return query.path.starts_with(p); });
     if (fits)
       route = &r, out.route = static_cast<int>(i);
   }
-  const reedlb::ClassSettings& cls = classes_.at(at(query.cls));
-  bool keyed = cls.effect == reedlb::Effect::keyed;
+  const scheduler::ClassSettings& class_settings = classes_.at(at(query.class_index));
+  bool keyed = class_settings.idempotency == scheduler::Idempotency::idempotent_with_key;
   std::uint64_t key = keyed ? key_of(query) : 0;
   int before = keyed ? keys_.find(key, now_ms) : -1;
   if (before >= 0 && live(before)) {
@@ -377,7 +379,8 @@
     }
   }
   if (keyed)
-    keys_.put(key, out.pool, now_ms + query.patience_ms + cls.window_ms, now_ms);
+    keys_.put(key, out.pool, now_ms + query.patience_ms + class_settings.deduplication_window_ms,
+              now_ms);
   return out;
 }
 
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
 #include "routes/key_memory.h"
 #include "routes/spec.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::routes {
 
@@ -27,7 +27,7 @@
 };
 
 struct Query {  // what a request shows of itself
-  int cls = 0, tenant = 0;
+  int class_index = 0, tenant = 0;
   std::string_view path;
   std::uint64_t object = 0;  // zero: none
   std::string_view idempotency_key, id;
@@ -42,11 +42,11 @@
 
 struct Health {  // of one pool, by the list in force
   int ready = 0, warm = 0, draining = 0;
-  double warm_share = 0;  // sum of nominal speed over its warm, ready endpoints
+  double warm_share = 0;  // sum of nominal_capacity speed over its warm, ready endpoints
 };
 
 struct Timing {  // rule 4's figures, milliseconds
-  double cold_ms = 0, rest_ms = 0;
+  double slow_start_ms = 0, rest_ms = 0;
 };
 
 // Names in it that the platform does not have.
@@ -54,12 +54,12 @@
 
 class Router {
  public:
-  using Lists =
-      std::vector<std::pair<int, reedlb::EndpointList>>;  // pool, what its Dispatcher is to be told
+  using Lists = std::vector<std::pair<int, scheduler::EndpointList>>;  // pool, what its Dispatcher
+                                                                       // is to be told
 
   // `classes` tell which are keyed, and for how long repeats are dropped. The Spec must be without
   // faults.
-  Router(Spec spec, NameLists names, std::vector<reedlb::ClassSettings> classes, Timing timing,
+  Router(Spec spec, NameLists names, std::vector<scheduler::ClassSettings> classes, Timing timing,
          std::size_t key_entries = 16 * 1024);
 
   // Another Spec takes over. Pools that it names again keep their numbers, and new ones get free
@@ -71,15 +71,15 @@
 
   // Names that the platform has added, at the end of each list, or given to a class number that
   // nobody uses. To be followed by `replace`.
-  void rename(NameLists names, std::vector<reedlb::ClassSettings> classes) {
+  void rename(NameLists names, std::vector<scheduler::ClassSettings> classes) {
     names_ = std::move(names);
     classes_ = std::move(classes);
   }
 
   // Splits what discovery tells. `host` names a endpoint; empty where it is not known (it then
   // keeps its pool).
-  Lists split(const reedlb::EndpointList& list,
-              const std::function<std::string_view(reedlb::EndpointId)>& host, double now_ms);
+  Lists split(const scheduler::EndpointList& list,
+              const std::function<std::string_view(scheduler::EndpointId)>& host, double now_ms);
   // A cold endpoint that changes pools joins the new one after rest_ms: the new Dispatcher does not
   // know what the old one sent to it, and a cold box must not get both shares. To be called when
   // `next_due` has come.
@@ -117,7 +117,7 @@
     std::vector<Segment> segments;
   };
   struct Endpoint {
-    reedlb::EndpointEntry entry;
+    scheduler::EndpointEntry entry;
     std::string host;
     int pool = -1;
     double joins = 0;  // while > 0: not yet told to its pool
@@ -128,20 +128,20 @@
   int pool_for(const Endpoint& endpoint) const;
   bool cold(const Endpoint& endpoint, double now_ms) const;
   void settle(Endpoint& endpoint, double now_ms);
-  bool take(reedlb::EndpointEntry entry, std::string_view host, double now_ms);
+  bool take(scheduler::EndpointEntry entry, std::string_view host, double now_ms);
   Lists whole() const;
-  reedlb::EndpointList whole(int pool) const;
+  scheduler::EndpointList whole(int pool) const;
   void count(double now_ms);
 
   Spec spec_;
   NameLists names_;
-  std::vector<reedlb::ClassSettings> classes_;
+  std::vector<scheduler::ClassSettings> classes_;
   Timing timing_;
   KeyMemory keys_;
   std::vector<std::string> pool_names_;
   std::vector<int> pool_numbers_;  // of spec_.pools
   std::vector<Route> routes_;
-  std::map<reedlb::EndpointId, Endpoint>
+  std::map<scheduler::EndpointId, Endpoint>
       endpoints_;               // in order, so that the same events give the same lists
   std::vector<Health> health_;  // by pool; counted at changes, and when an endpoint has warmed up
   double warms_ = 0;            // the next such moment
--- a/node/config/config.cpp
+++ b/node/config/config.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "settings.h"
+#include "simulator_adapter/settings.h"
 
 namespace keelflow {
 namespace {
@@ -82,18 +82,18 @@
     if (!value.is_number() || value.get<double>() <= 0)
       throw ConfigError("config: '" + where + key + "' is no positive number: " + value.dump());
   };
-  for (const json& cls : settings.at("classes"))
-    positive(cls, "give_up_ms", "settings.classes." + cls.value("name", "?") + ".");
+  for (const json& one : settings.at("classes"))
+    positive(one, "give_up_ms", "settings.classes." + one.value("name", "?") + ".");
   if (settings.contains("limits"))
     positive(settings.at("limits"), "try_limit", "settings.limits.");
 }
 
 Duration longest_deadline(const json& classes) {
   Duration longest{};
-  for (const json& cls : classes) {
-    if (!cls.contains("give_up_ms"))
+  for (const json& one : classes) {
+    if (!one.contains("give_up_ms"))
       return Duration::max();
-    longest = std::max(longest, from_ms(std::min(cls.at("give_up_ms").get<double>(), 1e9)));
+    longest = std::max(longest, from_ms(std::min(one.at("give_up_ms").get<double>(), 1e9)));
   }
   return longest;
 }
@@ -160,7 +160,7 @@
     c.as_read = shape_of(root);
     std::string profile;
     flatten(settings, "", profile);
-    c.settings = reedlb::wire::read_settings(profile);
+    c.settings = keelflow::simulator_adapter::read_settings(profile);
     c.names.classes = words(settings.at("classes"));
     if (settings.contains("tenants"))
       c.names.tenants = words(settings.at("tenants"));
--- a/node/config/config.h
+++ b/node/config/config.h
@@ -9,7 +9,7 @@
 #include "core/time.h"
 #include "discovery/host_list.h"
 #include "net/address.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow {
 
@@ -24,7 +24,7 @@
   int listen_fd = -1;  // a listening socket that the platform holds and lends, in place of `listen`
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
-  reedlb::Settings settings;
+  scheduler::Settings settings;
   Names names;
   std::vector<std::string> report_names;
   Duration connect_timeout{}, idle_limit{}, tick{};
--- a/node/config/retune.cpp
+++ b/node/config/retune.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using nlohmann::json;
-using reedlb::ClassSettings;
+using scheduler::ClassSettings;
 
 std::size_t at(int i) {
   return static_cast<std::size_t>(i);
@@ -69,7 +69,7 @@
     tenants();
     classes(in_use);
     try {
-      reedlb::validate(c.settings);
+      scheduler::validate(c.settings);
     } catch (const std::invalid_argument& fault) {
       throw ConfigError(std::string("config: ") + fault.what());
     }
@@ -85,9 +85,9 @@
       c.settings.zone = zones[at(c.settings.zone)];
     c.settings.zones = static_cast<int>(c.names.zones.size());
     c.settings.kinds = static_cast<int>(c.names.kinds.size());
-    for (ClassSettings& cls : fresh_.settings.classes)
-      if (cls.kind >= 0 && at(cls.kind) < kinds.size())
-        cls.kind = kinds[at(cls.kind)];
+    for (ClassSettings& class_settings : fresh_.settings.classes)
+      if (class_settings.kind >= 0 && at(class_settings.kind) < kinds.size())
+        class_settings.kind = kinds[at(class_settings.kind)];
   }
 
   void tenants() {
--- a/node/config/retune.h
+++ b/node/config/retune.h
@@ -13,7 +13,7 @@
 struct Retuned {
   Config
       config;  // with the address to listen on, limits of the process, seed and peers as they were
-  std::vector<int> from;  // see reedlb::Retune
+  std::vector<int> from;  // see scheduler::SettingsChanged
 };
 
 // A class that has changed gets a number of its own, as jobs under way keep the class that they
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -7,31 +7,31 @@
 
 namespace keelflow {
 
-using reedlb::Result;
+using scheduler::AttemptResult;
 
 namespace {
 
 // Whether an attempt that broke may have run depends on one thing: had its last byte been written?
-Result result_of(const AttemptEnd& end) {
+AttemptResult result_of(const AttemptEnd& end) {
   switch (end.ending) {
     case Ending::served:
-      return Result::ok;
+      return AttemptResult::ok;
     case Ending::error:
-      return Result::error;
+      return AttemptResult::error;
     case Ending::turned_away:
-      return Result::full;
+      return AttemptResult::rejected;
     case Ending::cancelled:
     case Ending::unheard:
-      return Result::cancelled;
+      return AttemptResult::cancelled;
     case Ending::broken:
       break;
   }
-  return end.reach < Reach::fully_written ? Result::connect_failed : Result::reset;
+  return end.reach < Reach::fully_written ? AttemptResult::connect_failed : AttemptResult::reset;
 }
 
 }  // namespace
 
-Engine::Engine(const reedlb::Settings& settings, std::uint64_t seed, Limits limits,
+Engine::Engine(const scheduler::Settings& settings, std::uint64_t seed, Limits limits,
                TimerPort& timers, const UnixClock& clock, Counters& counters)
     : settings_(settings),
       seed_(seed),
@@ -51,9 +51,9 @@
                                             clock_.unix_ms(timers_.now())));
     lanes_.back()->turns.grants(grants_);
     if (!sends_allowed_)
-      post(static_cast<int>(lanes_.size()) - 1, reedlb::SendPermission{false});
+      post(static_cast<int>(lanes_.size()) - 1, scheduler::SendPermission{false});
     if (!lives_.empty())
-      post(static_cast<int>(lanes_.size()) - 1, reedlb::Members{lives_});
+      post(static_cast<int>(lanes_.size()) - 1, scheduler::MembershipChanged{lives_});
   }
 }
 
@@ -63,20 +63,20 @@
     figures_.push_back(&counters_.classes[name]);
 }
 
-void Engine::retune(const reedlb::Settings& settings, std::vector<int> from, Limits limits) {
+void Engine::retune(const scheduler::Settings& settings, std::vector<int> from, Limits limits) {
   limits_ = limits;
   if (settings == settings_)
     return;
   settings_ = settings;
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::Retune{settings, from});
+    post(static_cast<int>(i), scheduler::SettingsChanged{settings, from});
 }
 
 void Engine::allow_sends(bool allowed) {
   if (std::exchange(sends_allowed_, allowed) == allowed)
     return;
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::SendPermission{allowed});
+    post(static_cast<int>(i), scheduler::SendPermission{allowed});
 }
 
 bool Engine::client_waits(RequestId id) const {
@@ -87,99 +87,100 @@
 void Engine::twin(std::function<void(const std::string&)> tell) {
   twin_ = std::move(tell);
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::Twin{twin_ != nullptr});
+    post(static_cast<int>(i), scheduler::SiblingProcess{twin_ != nullptr});
 }
 
-std::vector<reedlb::Knowledge> Engine::knowledge() const {
-  std::vector<reedlb::Knowledge> all;
+std::vector<scheduler::LearnedState> Engine::knowledge() const {
+  std::vector<scheduler::LearnedState> all;
   for (const auto& lane : lanes_)
-    all.push_back(lane->dispatcher.knowledge(clock_.unix_ms(timers_.now())));
+    all.push_back(lane->dispatcher.learned_state(clock_.unix_ms(timers_.now())));
   return all;
 }
 
-void Engine::learn(const std::vector<reedlb::Knowledge>& knowledge) {
+void Engine::learn(const std::vector<scheduler::LearnedState>& knowledge) {
   for (std::size_t i = 0; i < std::min(lanes_.size(), knowledge.size()); ++i)
     post(static_cast<int>(i), knowledge[i]);
 }
 
-bool Engine::class_in_use(int cls) const {
+bool Engine::class_in_use(int class_index) const {
   return std::any_of(requests_.begin(), requests_.end(),
-                     [&](const auto& r) { return r.second.job.cls == cls; });
+                     [&](const auto& r) { return r.second.job.class_index == class_index; });
 }
 
-bool Engine::avoids(EndpointId endpoint) const {
+bool Engine::is_ejected(EndpointId endpoint) const {
   double now = clock_.unix_ms(timers_.now());
   return std::any_of(lanes_.begin(), lanes_.end(),
-                     [&](const auto& lane) { return lane->dispatcher.avoids(endpoint, now); });
+                     [&](const auto& lane) { return lane->dispatcher.is_ejected(endpoint, now); });
 }
 
 // Events are played one after another, each at its own time. An action may cause the next event
 // before it returns (a connection refused at once); that event waits here until the present one is
 // dealt with.
-void Engine::post(int pool, reedlb::Event event) {
+void Engine::post(int pool, scheduler::Event event) {
   inbox_.emplace_back(pool, std::move(event));
   if (std::exchange(pumping_, true))
     return;
-  reedlb::Actions actions;
+  scheduler::Actions actions;
   while (!inbox_.empty()) {
     auto [lane, next] = std::move(inbox_.front());
     inbox_.pop_front();
     actions.clear();
     lanes_.at(static_cast<std::size_t>(lane))
         ->dispatcher.handle(clock_.unix_ms(timers_.now()), next, actions);
-    for (const reedlb::Action& action : actions)
+    for (const scheduler::Action& action : actions)
       carry_out(lane, action);
     after(lane, next);
-    if (const auto* outcome = std::get_if<reedlb::Outcome>(&next))
+    if (const auto* outcome = std::get_if<scheduler::AttemptFinished>(&next))
       forget_if_over(outcome->request);
-    if (const auto* gone = std::get_if<reedlb::ClientGone>(&next))
+    if (const auto* gone = std::get_if<scheduler::ClientDisconnected>(&next))
       forget_if_over(gone->request);
   }
   pumping_ = false;
 }
 
 // What stands beside the module and tells it values: those come before whatever else waits.
-void Engine::after(int lane, const reedlb::Event& event) {
+void Engine::after(int lane, const scheduler::Event& event) {
   Lane& of = *lanes_.at(static_cast<std::size_t>(lane));
-  std::vector<reedlb::Event> told;
-  reedlb::Actions words;
+  std::vector<scheduler::Event> told;
+  scheduler::Actions words;
   if (auto homes = of.homes.after(event))
     told.emplace_back(std::move(*homes));
   of.turns.after(clock_.unix_ms(timers_.now()), event, of.dispatcher, told, words);
-  for (const reedlb::Action& word : words)
+  for (const scheduler::Action& word : words)
     carry_out(lane, word);
   for (auto it = told.rbegin(); it != told.rend(); ++it)
     inbox_.emplace_front(lane, std::move(*it));
 }
 
-void Engine::carry_out(int pool, const reedlb::Action& action) {
-  if (const auto* a = std::get_if<reedlb::Send>(&action))
+void Engine::carry_out(int pool, const scheduler::Action& action) {
+  if (const auto* a = std::get_if<scheduler::SendAttempt>(&action))
     return send(*a);
-  if (const auto* a = std::get_if<reedlb::Recall>(&action))
+  if (const auto* a = std::get_if<scheduler::CancelAttempt>(&action))
     return recall({a->request, a->attempt}, false);
-  if (const auto* a = std::get_if<reedlb::Probe>(&action)) {
+  if (const auto* a = std::get_if<scheduler::SendHealthCheck>(&action)) {
     ++counters_.probes_sent;
     return endpoints_->probe(a->endpoint);
   }
-  if (const auto* a = std::get_if<reedlb::Tell>(&action); a && a->peer == settings_.rank)
+  if (const auto* a = std::get_if<scheduler::SendPeerMessage>(&action);
+      a && a->peer == settings_.rank)
     return twin_ ? twin_(a->bytes) : void();
-  if (const auto* a = std::get_if<reedlb::Tell>(&action))
+  if (const auto* a = std::get_if<scheduler::SendPeerMessage>(&action))
     return peers_ ? peers_->tell(a->peer, a->bytes) : void();
-  if (const auto* a = std::get_if<reedlb::Refuse>(&action)) {
+  if (const auto* a = std::get_if<scheduler::RejectRequest>(&action)) {
     FinalAnswer answer{.kind = FinalAnswer::Kind::refused,
                        .retry_after = from_ms(a->retry_after_ms)};
     return finish(a->request, std::move(answer));
   }
-  if (const auto* a = std::get_if<reedlb::Fail>(&action)) {
+  if (const auto* a = std::get_if<scheduler::FailRequest>(&action)) {
     auto it = requests_.find(a->request);
     bool late = it != requests_.end() &&
                 (it->second.expired || timers_.now() + 2 * limits_.tick >= it->second.deadline);
     return finish(a->request, {.kind = FinalAnswer::Kind::failed, .timed_out = late});
   }
-  if (const auto* a = std::get_if<reedlb::SetTimer>(&action))
+  if (const auto* a = std::get_if<scheduler::SetTimer>(&action))
     timers_.at(std::max(clock_.at(a->when),
                         lanes_[static_cast<std::size_t>(pool)]->last_bell + limits_.tick),
-               [this, pool, name = a->name] { ring(pool, name); });
+               [this, pool, name = a->id] { ring(pool, name); });
 }
 
 // Timers ring no more often than once a tick, but on time where none has rung just before. Rounding
@@ -193,7 +194,7 @@
     return;
   }
   lane.last_bell = now;
-  post(pool, reedlb::Timer{name});
+  post(pool, scheduler::TimerFired{name});
 }
 
 std::optional<RequestId> Engine::take(Job job, Asker& asker) {
@@ -206,14 +207,14 @@
   if (!verdict.allowed()) {  // nobody would be there to answer it any more
     refusals_.count(operation_guard::Operation::start, verdict.reason());
     ++counters_.answers_refused;
-    ++figures_.at(static_cast<std::size_t>(job.cls))->rejected;
+    ++figures_.at(static_cast<std::size_t>(job.class_index))->rejected;
     asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
     return id;
   }
   if (by_name_.size() >=
       limits_.most_held) {  // the platform's own cap; the module never sees these
     ++counters_.answers_refused;
-    ++figures_.at(static_cast<std::size_t>(job.cls))->rejected;
+    ++figures_.at(static_cast<std::size_t>(job.class_index))->rejected;
     asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
     return id;
   }
@@ -224,7 +225,8 @@
     monitor_->request_read(job.id, job.patience, now);
   if (job.patience > last_answer_ - now)
     job.patience = std::max(Duration::zero(), last_answer_ - now);
-  job.once = settings_.classes.at(static_cast<std::size_t>(job.cls)).effect != reedlb::Effect::safe;
+  job.once = settings_.classes.at(static_cast<std::size_t>(job.class_index)).idempotency !=
+             scheduler::Idempotency::idempotent;
   by_name_.emplace(job.id, id);
   Request& request = requests_[id];
   request.taken = now;
@@ -252,7 +254,7 @@
                                                             : Duration::zero()});
   }
   request.screening = false;
-  request.weigh = said.weigh;
+  request.queue_weight = said.queue_weight;
   if (!said.label.empty())
     request.asker->on_label(said.label);
   admit(id, request);
@@ -264,19 +266,19 @@
   post(request.pool, arrival_of(id, request));
 }
 
-reedlb::Arrival Engine::arrival_of(RequestId id, const Request& request) const {
+scheduler::RequestArrived Engine::arrival_of(RequestId id, const Request& request) const {
   const Job& job = request.job;
-  reedlb::Arrival arrival;
+  scheduler::RequestArrived arrival;
   arrival.request = id;
-  arrival.cls = job.cls;
+  arrival.class_index = job.class_index;
   arrival.tenant = job.tenant;
   arrival.key = job.key;
-  arrival.ttl_ms = to_ms(std::max(Duration::zero(), request.deadline - timers_.now()));
-  arrival.weigh = request.weigh;
+  arrival.client_timeout_ms = to_ms(std::max(Duration::zero(), request.deadline - timers_.now()));
+  arrival.queue_weight = request.queue_weight;
   arrival.hint = Milliseconds(job.hint).count();
   arrival.slots = job.slots;
   arrival.memory = job.memory;
-  arrival.repeat = job.repeat;
+  arrival.is_client_retry = job.repeat;
   return arrival;
 }
 
@@ -298,7 +300,7 @@
       continue;
     ++counters_.requests_rehomed;
     request.pool = now_in;
-    post(pool, reedlb::ClientGone{.request = id, .moved = true});
+    post(pool, scheduler::ClientDisconnected{.request = id, .is_rerouted = true});
     post(now_in, arrival_of(id, request));
   }
 }
@@ -331,12 +333,12 @@
   for (std::size_t i = 0; !settings_.cancel && i < it->second.attempts.size(); ++i)
     if (it->second.attempts[i].out)
       unsent.push_back({id, static_cast<int>(i)});
-  post(it->second.pool, reedlb::ClientGone{id});
+  post(it->second.pool, scheduler::ClientDisconnected{id});
   for (AttemptRef ref : unsent)
     endpoints_->give_up_unsent(ref);
 }
 
-void Engine::send(const reedlb::Send& send) {
+void Engine::send(const scheduler::SendAttempt& send) {
   auto it = requests_.find(send.request);
   if (it == requests_.end())
     return;
@@ -366,14 +368,16 @@
       ref, send.endpoint, request.job,
       {.until = until,
        .write_by = by,
-       .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
+       .idempotency =
+           settings_.classes.at(static_cast<std::size_t>(request.job.class_index)).idempotency,
        .again = again});
 }
 
 operation_guard::Verdict Engine::may_repeat(const Request& request, EndpointId endpoint) const {
   operation_guard::RepeatFacts facts{
-      .effect = settings_.classes.at(static_cast<std::size_t>(request.job.cls)).effect,
-      .parallel_allowed = settings_.parallel_tries,
+      .idempotency =
+          settings_.classes.at(static_cast<std::size_t>(request.job.class_index)).idempotency,
+      .parallel_allowed = settings_.concurrent_attempts,
       .in_window = timers_.now() <= write_by(request)};
   for (const Attempt& a : request.attempts) {
     facts.earlier_out = facts.earlier_out || a.out;
@@ -386,12 +390,13 @@
 // The module sends keyed work again only within its window. What it sends near the window's end may
 // find its connection up after it, when those who would know the repeat have forgotten the first.
 TimePoint Engine::write_by(const Request& request) const {
-  const reedlb::ClassSettings& cls =
-      settings_.classes.at(static_cast<std::size_t>(request.job.cls));
+  const scheduler::ClassSettings& class_settings =
+      settings_.classes.at(static_cast<std::size_t>(request.job.class_index));
   TimePoint by = TimePoint::max();
   for (const Attempt& a : request.attempts)
-    if (cls.effect == reedlb::Effect::keyed && (a.out || a.may_have_run))
-      by = std::min(by, a.sent + from_ms(cls.window_ms));
+    if (class_settings.idempotency == scheduler::Idempotency::idempotent_with_key &&
+        (a.out || a.may_have_run))
+      by = std::min(by, a.sent + from_ms(class_settings.deduplication_window_ms));
   return by;
 }
 
@@ -422,7 +427,7 @@
     return;
   if (Asker* asker = requests_.at(ref.request).asker)
     asker->on_progress({.kind = Progress::Kind::started, .attempt = ref.attempt});
-  post(requests_.at(ref.request).pool, reedlb::Started{ref.request, ref.attempt});
+  post(requests_.at(ref.request).pool, scheduler::AttemptStarted{ref.request, ref.attempt});
 }
 
 void Engine::attempt_progress(AttemptRef ref, double share) {
@@ -441,82 +446,83 @@
   --attempts_out_;
   timers_.cancel(attempt->timer);
   Request& request = requests_.at(ref.request);
-  reedlb::Outcome outcome;
+  scheduler::AttemptFinished outcome;
   outcome.request = ref.request;
   outcome.attempt = ref.attempt;
   outcome.result = result_of(end);
   // Where one attempt at a time is allowed, none may follow one that may run yet.
-  bool may_run_yet = end.ending == Ending::unheard && !settings_.parallel_tries;
-  if (outcome.result == Result::cancelled && (attempt->timed_out || may_run_yet))
-    outcome.result = Result::timeout;
+  bool may_run_yet = end.ending == Ending::unheard && !settings_.concurrent_attempts;
+  if (outcome.result == AttemptResult::cancelled && (attempt->timed_out || may_run_yet))
+    outcome.result = AttemptResult::timeout;
   if (end.withheld)
-    outcome.result = Result::moot;
-  attempt->may_have_run = outcome.result != Result::full &&
-                          outcome.result != Result::connect_failed &&
-                          outcome.result != Result::moot;
+    outcome.result = AttemptResult::withheld;
+  attempt->may_have_run = outcome.result != AttemptResult::rejected &&
+                          outcome.result != AttemptResult::connect_failed &&
+                          outcome.result != AttemptResult::withheld;
   outcome.elapsed_ms = to_ms(timers_.now() - attempt->sent);
   outcome.report = end.report;
   switch (outcome.result) {
-    case Result::ok:
+    case AttemptResult::ok:
       ++counters_.attempts_served;
       break;
-    case Result::error:
+    case AttemptResult::error:
       ++counters_.attempts_error;
       break;
-    case Result::full:
+    case AttemptResult::rejected:
       ++counters_.attempts_turned_away;
       break;
-    case Result::connect_failed:
+    case AttemptResult::connect_failed:
       ++counters_.attempts_never_connected;
       break;
-    case Result::reset:
+    case AttemptResult::reset:
       ++counters_.attempts_reset;
       break;
-    case Result::timeout:
+    case AttemptResult::timeout:
       request.expired = true;
       ++counters_.attempts_timed_out;
       break;
     default:
       ++counters_.attempts_cancelled;
   }
-  bool served = outcome.result == Result::ok;
+  bool served = outcome.result == AttemptResult::ok;
   int pool = request.pool;
-  outcome.final = served || !request.asker;
+  outcome.request_finished = served || !request.asker;
   if (served)  // the first result concludes the request by itself; `request` may be gone after this
     finish(ref.request, {.kind = FinalAnswer::Kind::served, .result = std::move(end.result)});
   post(pool, outcome);
 }
 
 void Engine::probed(EndpointId endpoint, bool ok, Duration elapsed,
-                    const reedlb::LoadReport& report) {
+                    const scheduler::LoadReport& report) {
   // The module sends no probes yet. With pools, the answer belongs to the lane that asked.
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::ProbeResult{endpoint, ok, to_ms(elapsed), report});
+    post(static_cast<int>(i), scheduler::HealthCheckResult{endpoint, ok, to_ms(elapsed), report});
 }
 
 void Engine::told(int peer, const std::string& bytes) {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::PeerMessage{peer, bytes});
+    post(static_cast<int>(i), scheduler::PeerMessage{peer, bytes});
 }
 
 void Engine::members(const std::vector<bool>& lives) {
   lives_ = lives;
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    post(static_cast<int>(i), reedlb::Members{lives});
+    post(static_cast<int>(i), scheduler::MembershipChanged{lives});
 }
 
-void Engine::each_home(const std::function<void(int pool, const reedlb::Homes::At&)>& look) const {
+void Engine::each_home(
+    const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     for (const auto& at : lanes_[i]->homes.told().endpoints)
       look(static_cast<int>(i), at);
 }
 
 void Engine::each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
-                                                const reedlb::ColdRoom&)>& look) const {
+                                                const scheduler::SlowStartBudget&)>& look) const {
   double now = clock_.unix_ms(timers_.now());
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     for (const auto& [endpoint, turn] : lanes_[i]->turns.turns())
-      look(static_cast<int>(i), turn, lanes_[i]->dispatcher.cold_room(endpoint, now));
+      look(static_cast<int>(i), turn, lanes_[i]->dispatcher.slow_start_budget(endpoint, now));
 }
 
 fleet::Turns::Figures Engine::turn_figures() const {
@@ -532,13 +538,13 @@
     lane->turns.grants(on);
 }
 
-void Engine::destinations(reedlb::EndpointList list, int pool) {
+void Engine::destinations(scheduler::EndpointList list, int pool) {
   post(pool, std::move(list));
 }
 
 void Engine::count_end(const Request& request, FinalAnswer::Kind kind) {
   --pending_;
-  ClassFigures& figures = *figures_.at(static_cast<std::size_t>(request.job.cls));
+  ClassFigures& figures = *figures_.at(static_cast<std::size_t>(request.job.class_index));
   switch (kind) {
     case FinalAnswer::Kind::served:
       return ++counters_.answers_served, void(++figures.completed);
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -23,7 +23,7 @@
     Duration tick{};
   };
 
-  Engine(const reedlb::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
+  Engine(const scheduler::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
          const UnixClock& clock, Counters& counters);
   void connect(EndpointPort& endpoints) { endpoints_ = &endpoints; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
@@ -41,12 +41,12 @@
   // Another process of this node: what the modules tell one another goes through `tell`. Null: it
   // has gone.
   void twin(std::function<void(const std::string&)> tell);
-  std::vector<reedlb::Knowledge> knowledge() const;  // by lane
-  void learn(const std::vector<reedlb::Knowledge>& knowledge);
+  std::vector<scheduler::LearnedState> knowledge() const;  // by lane
+  void learn(const std::vector<scheduler::LearnedState>& knowledge);
   // Settings that a running node takes over. Class numbers in use keep their meaning; `from`: see
-  // reedlb::Retune.
-  void retune(const reedlb::Settings& settings, std::vector<int> from, Limits limits);
-  bool class_in_use(int cls) const;
+  // scheduler::SettingsChanged.
+  void retune(const scheduler::Settings& settings, std::vector<int> from, Limits limits);
+  bool class_in_use(int class_index) const;
   // While the list of endpoints may not be sent by, requests are held and nothing is sent.
   void allow_sends(bool allowed);
   // Whether its client still waits for its final answer.
@@ -70,14 +70,14 @@
   void attempt_started(AttemptRef ref);
   void attempt_progress(AttemptRef ref, double share);
   void attempt_ended(AttemptRef ref, AttemptEnd end);
-  void probed(EndpointId endpoint, bool ok, Duration elapsed, const reedlb::LoadReport& report);
+  void probed(EndpointId endpoint, bool ok, Duration elapsed, const scheduler::LoadReport& report);
 
   // Which nodes of the tier live, by rank.
   void members(const std::vector<bool>& lives);
 
-  void each_home(const std::function<void(int pool, const reedlb::Homes::At&)>& look) const;
+  void each_home(const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const;
   void each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
-                                          const reedlb::ColdRoom&)>& look) const;
+                                          const scheduler::SlowStartBudget&)>& look) const;
   fleet::Turns::Figures turn_figures() const;  // of all lanes
   void grants(bool on);  // whether nodes grant one another of their parts; else each keeps its own
 
@@ -85,16 +85,16 @@
   void told(int peer, const std::string& bytes);
 
   // From discovery.
-  void destinations(reedlb::EndpointList list, int pool = 0);
+  void destinations(scheduler::EndpointList list, int pool = 0);
 
   std::size_t pending() const {
     return pending_;
-  }                                        // requests whose client still waits for its answer
-  bool avoids(EndpointId endpoint) const;  // some lane leaves it alone at present
+  }                                            // requests whose client still waits for its answer
+  bool is_ejected(EndpointId endpoint) const;  // some lane leaves it alone at present
   std::size_t open_requests() const { return by_name_.size(); }
   std::size_t open_attempts() const { return attempts_out_; }
   std::size_t held(int pool) const {
-    return lanes_.at(static_cast<std::size_t>(pool))->dispatcher.held();
+    return lanes_.at(static_cast<std::size_t>(pool))->dispatcher.queued_requests();
   }
 
  private:
@@ -112,31 +112,31 @@
     int pool = 0;
     bool screening = false;  // the module has not seen it yet
     std::vector<Attempt> attempts;
-    double weigh = 1;
+    double queue_weight = 1;
     bool expired = false;  // an attempt ran into its time limit
   };
 
   struct Lane {
-    Lane(const reedlb::Settings& settings, std::uint64_t seed,
-         std::shared_ptr<reedlb::TenantShares> shares, double started)
+    Lane(const scheduler::Settings& settings, std::uint64_t seed,
+         std::shared_ptr<scheduler::TenantQuotas> shares, double started)
         : dispatcher(settings, seed, std::move(shares)),
           homes(settings),
           turns(settings, started) {}
-    reedlb::Dispatcher dispatcher;
+    scheduler::Dispatcher dispatcher;
     fleet::Homes homes;
     fleet::Turns turns;
     TimePoint last_bell{};
   };
 
-  void post(int pool, reedlb::Event event);
-  void after(int lane, const reedlb::Event& event);
+  void post(int pool, scheduler::Event event);
+  void after(int lane, const scheduler::Event& event);
   void ring(int pool, std::uint64_t name);
-  void carry_out(int pool, const reedlb::Action& action);
-  reedlb::Arrival arrival_of(RequestId id, const Request& request) const;
+  void carry_out(int pool, const scheduler::Action& action);
+  scheduler::RequestArrived arrival_of(RequestId id, const Request& request) const;
   void admit(RequestId id, Request& request);
   void tell_end(const Request& request, RoutePort::End how);
   void count_end(const Request& request, FinalAnswer::Kind kind);
-  void send(const reedlb::Send& send);
+  void send(const scheduler::SendAttempt& send);
   TimePoint write_by(const Request& request) const;
   operation_guard::Verdict may_repeat(const Request& request, EndpointId endpoint) const;
   void recall(AttemptRef ref, bool timed_out);
@@ -144,9 +144,9 @@
   void forget_if_over(RequestId id);
   Attempt* out(AttemptRef ref);
 
-  reedlb::Settings settings_;
+  scheduler::Settings settings_;
   std::uint64_t seed_;
-  std::shared_ptr<reedlb::TenantShares> shares_ = std::make_shared<reedlb::TenantShares>();
+  std::shared_ptr<scheduler::TenantQuotas> shares_ = std::make_shared<scheduler::TenantQuotas>();
   std::vector<std::unique_ptr<Lane>> lanes_;
   std::vector<bool> lives_;  // by rank, as told last; empty: never
   RoutePort* routes_ = nullptr;
@@ -162,7 +162,7 @@
   std::function<void(const std::string&)> twin_;
   std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<std::string, RequestId> by_name_;  // of all in requests_
-  std::deque<std::pair<int, reedlb::Event>> inbox_;
+  std::deque<std::pair<int, scheduler::Event>> inbox_;
   bool pumping_ = false, grants_ = true, sends_allowed_ = true;
   operation_guard::Refusals refusals_;
   TimePoint last_answer_ = TimePoint::max();
--- a/node/core/ports.h
+++ b/node/core/ports.h
@@ -10,19 +10,19 @@
 #include <string_view>
 
 #include "core/time.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow {
 
-using reedlb::EndpointId;
-using reedlb::RequestId;
+using scheduler::EndpointId;
+using scheduler::RequestId;
 
 struct Payload;  // what the outbound side sends on unchanged; opaque to the core
 
 // One request as the core sees it.
 struct Job {
   std::string id;  // the client's own name for it
-  int cls = 0, tenant = 0;
+  int class_index = 0, tenant = 0;
   std::uint64_t key = 0;
   Duration patience{};               // until the client gives up
   std::chrono::microseconds hint{};  // expected running time; zero: none given
@@ -60,7 +60,7 @@
   bool withheld = false;  // it waited for a list to be sent by, and nothing of it was written
   bool may_tell = false;  // the endpoint may have taken it, so that call-backs of it may still come
   std::string result = {};  // of `served`
-  reedlb::LoadReport report = {};
+  scheduler::LoadReport report = {};
 };
 
 struct Progress {
@@ -98,13 +98,13 @@
 };
 
 // Looks at requests before the module sees them. It may refuse one, hold it back for a while, or
-// weigh it; all that it lets pass is the module's to decide.
+// queue_weight it; all that it lets pass is the module's to decide.
 class ScreenPort {
  public:
   struct Said {
     bool refuse = false;
     Duration come_back{};
-    double weigh = 1;
+    double queue_weight = 1;
     std::string label;
   };
   virtual ~ScreenPort() = default;
@@ -121,7 +121,7 @@
   struct Terms {
     TimePoint until;     // it is given up then
     TimePoint write_by;  // after that its last byte must not go out any more
-    reedlb::Effect effect = reedlb::Effect::safe;
+    scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
     bool again =
         false;  // call-backs of an earlier attempt of this request at that endpoint may still come
   };
--- a/node/discovery/destination_set.cpp
+++ b/node/discovery/destination_set.cpp
@@ -64,7 +64,7 @@
 }
 
 void DestinationSet::known(const HostList& list) {
-  take(list, reedlb::ListScope::cached);
+  take(list, scheduler::ListScope::cached);
 }
 
 const Destination* DestinationSet::find(EndpointId endpoint) const {
@@ -239,7 +239,7 @@
     }
     any_version_ = false;
     establish(call);
-    take(list, list.whole ? reedlb::ListScope::full : reedlb::ListScope::delta);
+    take(list, list.whole ? scheduler::ListScope::full : scheduler::ListScope::delta);
     heard(call);
     return true;
   } catch (const std::exception&) {
@@ -336,21 +336,22 @@
   HostList readable = list;
   readable.version = version_;
   bool had_list = has_list_;
-  take(readable, list.whole ? reedlb::ListScope::full : reedlb::ListScope::delta);
+  take(readable, list.whole ? scheduler::ListScope::full : scheduler::ListScope::delta);
   has_list_ = had_list;
 }
 
-void DestinationSet::take(const HostList& list, reedlb::ListScope scope) {
+void DestinationSet::take(const HostList& list, scheduler::ListScope scope) {
   version_ = list.version;
-  has_list_ = scope != reedlb::ListScope::cached || version_ > 0;  // no list yet: ask for the whole
-  reedlb::EndpointList received;
+  has_list_ =
+      scope != scheduler::ListScope::cached || version_ > 0;  // no list yet: ask for the whole
+  scheduler::EndpointList received;
   received.scope = scope;
-  if (scope != reedlb::ListScope::delta)
+  if (scope != scheduler::ListScope::delta)
     for (auto& [endpoint, destination] : destinations_)
       destination.listed_ready = false;
   for (const Host& host : list.hosts) {
     auto known = destinations_.find(host.entry.endpoint);
-    bool ready = host.entry.state == reedlb::EndpointState::ready;
+    bool ready = host.entry.state == scheduler::EndpointState::ready;
     if (known == destinations_.end() && host.dial.in.sin_port != 0)
       destinations_[host.entry.endpoint] = {host.name, host.dial, ready};
     else if (known != destinations_.end()) {
@@ -362,14 +363,14 @@
   }
   ++counters_.lists_received;
   auto not_ready = std::count_if(list.hosts.begin(), list.hosts.end(), [](const Host& host) {
-    return host.entry.state != reedlb::EndpointState::ready;
+    return host.entry.state != scheduler::EndpointState::ready;
   });
   log::info(Subsystem::discovery, "list-applied",
             {{"version", list.version},
              {"whole", list.whole},
              {"entries", std::uint64_t{list.hosts.size()}},
              {"not_ready", static_cast<std::uint64_t>(not_ready)},
-             {"cached", scope == reedlb::ListScope::cached}});
+             {"cached", scope == scheduler::ListScope::cached}});
   listener_(std::move(received));
 }
 
--- a/node/discovery/destination_set.h
+++ b/node/discovery/destination_set.h
@@ -30,7 +30,7 @@
 
 class DestinationSet final : public DiscoveryCall::Owner {
  public:
-  using Listener = std::function<void(reedlb::EndpointList)>;
+  using Listener = std::function<void(scheduler::EndpointList)>;
 
   DestinationSet(net::EventLoop& loop, net::Address discovery, Names names, Listener listener,
                  Counters& counters, std::uint64_t seed);
@@ -87,7 +87,7 @@
   void give_up(Calls::iterator call);  // for a later one
   bool out_of_date(const DiscoveryCall& call, const HostList& list);
   void take_what_is_well_formed(const HostList& list);
-  void take(const HostList& list, reedlb::ListScope scope);
+  void take(const HostList& list, scheduler::ListScope scope);
   double draw();
 
   net::EventLoop& loop_;
--- a/node/discovery/host_list.cpp
+++ b/node/discovery/host_list.cpp
@@ -17,7 +17,7 @@
   return -1;
 }
 
-reedlb::EndpointId endpoint_id(std::string_view host) {
+scheduler::EndpointId endpoint_id(std::string_view host) {
   std::uint32_t hash = 2166136261u;  // FNV-1a
   for (unsigned char c : host)
     hash = (hash ^ c) * 16777619u;
@@ -27,14 +27,14 @@
 namespace {
 
 using nlohmann::json;
-using reedlb::EndpointState;
+using scheduler::EndpointState;
 
 // Throws where the field has another type; a missing one is what it usually is.
-void decode_place(const json& item, const Names& names, reedlb::EndpointEntry& entry) {
+void decode_place(const json& item, const Names& names, scheduler::EndpointEntry& entry) {
   entry.zone = Names::place(names.zones, item.value("site", ""));
   entry.kind = Names::place(names.kinds, item.value("class", ""));
   entry.cell = item.value("block", 0);
-  entry.nominal = item.value("share", 1.0);
+  entry.nominal_capacity = item.value("share", 1.0);
   entry.started_at = item.value("born_ms", 0.0);
 }
 
--- a/node/discovery/host_list.h
+++ b/node/discovery/host_list.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "net/address.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow {
 
@@ -24,7 +24,7 @@
 struct Host {
   std::string name;
   net::Address dial;
-  reedlb::EndpointEntry entry;
+  scheduler::EndpointEntry entry;
 };
 
 struct HostList {
@@ -40,8 +40,8 @@
 HostList decode_list(const nlohmann::json& list, const Names& names);
 
 // The module wants numbers, and the same ones at every node: they are a hash of the name.
-using reedlb::EndpointId;
+using scheduler::EndpointId;
 
-reedlb::EndpointId endpoint_id(std::string_view host);
+scheduler::EndpointId endpoint_id(std::string_view host);
 
 }  // namespace keelflow
--- a/node/handover/knowledge_form.h
+++ b/node/handover/knowledge_form.h
@@ -5,12 +5,12 @@
 #include <nlohmann/json_fwd.hpp>
 
 #include "discovery/host_list.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow {
 
-nlohmann::json to_json(const reedlb::Knowledge& knowledge, const Names& names);
+nlohmann::json to_json(const scheduler::LearnedState& knowledge, const Names& names);
 // Of what is not told there the defaults of a fresh module. Throws what nlohmann-json throws.
-reedlb::Knowledge from_json(const nlohmann::json& told, const Names& names);
+scheduler::LearnedState from_json(const nlohmann::json& told, const Names& names);
 
 }  // namespace keelflow
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -76,8 +76,8 @@
   std::string_view first = path.substr(
       1, path.find('/', 1) == std::string_view::npos ? path.npos : path.find('/', 1) - 1);
   Job job;
-  job.cls = first.empty() ? -1 : names.class_of(first);
-  if (job.cls < 0)
+  job.class_index = first.empty() ? -1 : names.class_of(first);
+  if (job.class_index < 0)
     return Rejection{404, "no such class\n"};
   if (head.method != "POST")
     return Rejection{405, "jobs are posted\n"};
@@ -211,8 +211,9 @@
 }
 
 std::unique_ptr<Exchange> PlatformFront::take_plain(InboundConnection& connection, Job job) {
-  auto figures = [this, cls = static_cast<std::size_t>(job.cls)]() -> ClassFigures& {
-    return counters_.classes[config_.names.classes.at(cls)];
+  auto figures = [this,
+                  class_index = static_cast<std::size_t>(job.class_index)]() -> ClassFigures& {
+    return counters_.classes[config_.names.classes.at(class_index)];
   };
   if (left_early(connection))
     return nullptr;
--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -131,13 +131,14 @@
     violate(Rule::stale_list, id + " to " + host);
 }
 
-void Monitor::count_whole(Request& request, const std::string& id, reedlb::Effect effect) {
-  if (++request.whole_writes > 1 && effect == reedlb::Effect::unsafe)
+void Monitor::count_whole(Request& request, const std::string& id,
+                          scheduler::Idempotency idempotency) {
+  if (++request.whole_writes > 1 && idempotency == scheduler::Idempotency::non_idempotent)
     violate(Rule::repeat, id);
 }
 
 void Monitor::attempt_written(const std::string& host, std::string_view bytes, bool whole,
-                              reedlb::Effect effect, TimePoint now) {
+                              scheduler::Idempotency idempotency, TimePoint now) {
   std::string id(header(bytes, "X-Trace-Id"));
   note("write " + id + " to " + host);
   check_list(id, host, now);
@@ -156,10 +157,11 @@
     violate(Rule::deadline, id + " to " + host);
   request.out.emplace(host, whole);
   if (whole)
-    count_whole(request, id, effect);
+    count_whole(request, id, idempotency);
 }
 
-void Monitor::last_byte_written(const std::string& id, reedlb::Effect effect, TimePoint) {
+void Monitor::last_byte_written(const std::string& id, scheduler::Idempotency idempotency,
+                                TimePoint) {
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
@@ -167,7 +169,7 @@
     if (whole)
       continue;
     whole = true;
-    return count_whole(it->second, id, effect);
+    return count_whole(it->second, id, idempotency);
   }
 }
 
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -15,7 +15,7 @@
 #include <unordered_map>
 
 #include "core/time.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::invariants {
 
@@ -63,8 +63,8 @@
 
   // Endpoints. `bytes`: what is written first of an attempt, with its head.
   void attempt_written(const std::string& host, std::string_view bytes, bool whole,
-                       reedlb::Effect effect, TimePoint now);
-  void last_byte_written(const std::string& id, reedlb::Effect effect, TimePoint now);
+                       scheduler::Idempotency idempotency, TimePoint now);
+  void last_byte_written(const std::string& id, scheduler::Idempotency idempotency, TimePoint now);
   void attempt_over(const std::string& id, const std::string& host, bool never_ran);
 
   std::uint64_t violations() const { return violations_; }
@@ -84,7 +84,7 @@
   void note(std::string event);
   void violate(Rule rule, const std::string& what);
   void check_list(const std::string& id, const std::string& host, TimePoint now);
-  void count_whole(Request& request, const std::string& id, reedlb::Effect effect);
+  void count_whole(Request& request, const std::string& id, scheduler::Idempotency idempotency);
   void forget_if_over(const std::string& id);
 
   Terms terms_;
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -65,24 +65,24 @@
 }
 
 // The list is this side's to keep fresh (DestinationSet): the module is told of it and never asks.
-reedlb::Settings for_module(reedlb::Settings settings) {
-  settings.ask_list = false;
+scheduler::Settings for_module(scheduler::Settings settings) {
+  settings.polls_list = false;
   return settings;
 }
 
-discovery::CallPolicy call_policy(const reedlb::Settings& settings) {
-  return {.pushed = !settings.ask_list, .processes = settings.dispatchers};
+discovery::CallPolicy call_policy(const scheduler::Settings& settings) {
+  return {.pushed = !settings.polls_list, .processes = settings.dispatchers};
 }
 
-discovery::LeaseTerms lease_terms(const reedlb::Settings& settings) {
-  return {.pushed = !settings.ask_list,
+discovery::LeaseTerms lease_terms(const scheduler::Settings& settings) {
+  return {.pushed = !settings.polls_list,
           .drain_grace = from_ms(settings.drain_grace_ms),
-          .ask_within = from_ms(settings.ask_within_ms)};
+          .ask_within = from_ms(settings.poll_within_ms)};
 }
 
-invariants::Terms monitor_terms(const reedlb::Settings& settings) {
+invariants::Terms monitor_terms(const scheduler::Settings& settings) {
   return {.drain_grace = from_ms(settings.drain_grace_ms),
-          .parallel_attempts = settings.parallel_tries};
+          .parallel_attempts = settings.concurrent_attempts};
 }
 
 sigset_t signals() {
@@ -105,7 +105,7 @@
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
         destinations_(
             loop_, config_.discovery, config_.names,
-            [this](reedlb::EndpointList list) { take_list(std::move(list)); }, counters_,
+            [this](scheduler::EndpointList list) { take_list(std::move(list)); }, counters_,
             config_.seed),
         pool_(loop_, config_.idle_limit * 6 / 10, budget_.idle_outbound, counters_),
         outbound_(loop_, engine_, destinations_, pool_,
@@ -344,7 +344,7 @@
 
   nlohmann::json welcome() const {
     nlohmann::json knowledge = nlohmann::json::array();
-    for (const reedlb::Knowledge& k : engine_.knowledge())
+    for (const scheduler::LearnedState& k : engine_.knowledge())
       knowledge.push_back(to_json(k, config_.names));
     return {{"out", by_hand_.hosts()}, {"knowledge", knowledge}};
   }
@@ -362,7 +362,7 @@
     serve_if_ready();
   }
 
-  void take_list(reedlb::EndpointList list) {
+  void take_list(scheduler::EndpointList list) {
     traffic_.list(by_hand_.laid_over(std::move(list)));
     if (!serving_ && !learned_.empty())
       engine_.learn(learned_);
@@ -443,7 +443,7 @@
 
   Gauges gauges() const {
     std::size_t away =
-        by_hand_.unavailable([this](EndpointId endpoint) { return engine_.avoids(endpoint); });
+        by_hand_.unavailable([this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
     return {
         .pending = engine_.pending(), .members = by_hand_.listed(), .members_unavailable = away};
   }
@@ -509,21 +509,22 @@
   nlohmann::json turns() {
     nlohmann::json at = nlohmann::json::array();
     double now = clock_.unix_ms(loop_.now());
-    engine_.each_turn([&](int pool, const fleet::Turns::Turn& turn, const reedlb::ColdRoom& room) {
-      const Destination* known = destinations_.find(turn.entry.endpoint);
-      double granted = 0;
-      for (const auto& [node, given] : turn.given)
-        granted += given.until > now && !given.back ? given.work : 0;
-      at.push_back(
-          {{"pool", pool},
-           {"executor", known ? known->host : ""},
-           {"age_s", (now - turn.entry.started_at) / 1000},
-           {"share", turn.told_share},
-           {"left_ms", room.own},
-           {"held_ms", room.granted},
-           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-           {"granted_ms", granted}});
-    });
+    engine_.each_turn(
+        [&](int pool, const fleet::Turns::Turn& turn, const scheduler::SlowStartBudget& room) {
+          const Destination* known = destinations_.find(turn.entry.endpoint);
+          double granted = 0;
+          for (const auto& [node, given] : turn.given)
+            granted += given.until > now && !given.back ? given.work : 0;
+          at.push_back(
+              {{"pool", pool},
+               {"executor", known ? known->host : ""},
+               {"age_s", (now - turn.entry.started_at) / 1000},
+               {"share", turn.told_share},
+               {"left_ms", room.own},
+               {"held_ms", room.granted},
+               {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
+               {"granted_ms", granted}});
+        });
     fleet::Turns::Figures f = engine_.turn_figures();
     return {{"on", own_.turns && config_.settings.peers},
             {"executors", at},
@@ -537,12 +538,12 @@
 
   nlohmann::json fleet() {
     nlohmann::json homes = nlohmann::json::array();
-    engine_.each_home([&](int pool, const reedlb::Homes::At& at) {
+    engine_.each_home([&](int pool, const scheduler::SubsetEntry& at) {
       const Destination* known = destinations_.find(at.endpoint);
       homes.push_back({{"pool", pool},
                        {"executor", known ? known->host : ""},
-                       {"own", at.own},
-                       {"others", at.others}});
+                       {"own", at.is_own},
+                       {"others", at.peers}});
     });
     return {{"self", config_.settings.rank},
             {"nodes", config_.settings.dispatchers},
@@ -559,7 +560,7 @@
     log::reopen();
     try {
       Retuned next = retune(config_, read_config(files_.platform),
-                            [this](int cls) { return engine_.class_in_use(cls); });
+                            [this](int class_index) { return engine_.class_in_use(class_index); });
       const Names& names = next.config.names;
       config::Own own = config::read_own(files_.own, !files_.own_given);
       Traffic::check(own.routes, names);
@@ -685,7 +686,7 @@
   std::unique_ptr<Server> admin_server_;
   std::unique_ptr<Handover> handover_;
   std::optional<handover::Succession> succession_;  // where the platform lends the listening socket
-  std::vector<reedlb::Knowledge> learned_;          // by the process before us
+  std::vector<scheduler::LearnedState> learned_;    // by the process before us
   invariants::Monitor monitor_;
   bool serving_ = false, successor_ = false;
   bool was_ready_ = false;  // it had a list that could be sent by
--- a/node/outbound/load_report.cpp
+++ b/node/outbound/load_report.cpp
@@ -20,8 +20,9 @@
   return field;
 }
 
-reedlb::LoadReport read_load_report(std::string_view text, const std::vector<std::string>& names) {
-  reedlb::LoadReport report;
+scheduler::LoadReport read_load_report(std::string_view text,
+                                       const std::vector<std::string>& names) {
+  scheduler::LoadReport report;
   if (text.starts_with("TEXT"))
     text.remove_prefix(4);
   while (!text.empty()) {
--- a/node/outbound/outbound.h
+++ b/node/outbound/outbound.h
@@ -22,7 +22,7 @@
   std::string id, from, state;
   double share = 0;
   std::string result;
-  reedlb::LoadReport report = {};
+  scheduler::LoadReport report = {};
 };
 
 class OutboundCall;
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -106,7 +106,8 @@
   request += "X-Expires-In-Ms: " + std::to_string(std::max<std::int64_t>(1, left)) + "\r\n";
   request += "Content-Length: " + std::to_string(p.body.size()) + "\r\n\r\n" + p.body;
   if (owner_.monitor_)
-    owner_.monitor_->attempt_written(host_, request, !once_, terms_.effect, owner_.loop_.now());
+    owner_.monitor_->attempt_written(host_, request, !once_, terms_.idempotency,
+                                     owner_.loop_.now());
   connection_->send_job(verdict.permit(), request, once_ ? 1 : 0);
   if (once_) {
     rest_ = request.back();
@@ -124,7 +125,7 @@
     return on_broken();
   }
   if (owner_.monitor_)
-    owner_.monitor_->last_byte_written(payload_->id, terms_.effect, owner_.loop_.now());
+    owner_.monitor_->last_byte_written(payload_->id, terms_.idempotency, owner_.loop_.now());
   connection_->send_rest(verdict.permit(), std::exchange(rest_, {}));
   watch_connection();
 }
@@ -334,7 +335,7 @@
   hear(told, true);
 }
 
-void OutboundCall::end(Ending ending, std::string result, const reedlb::LoadReport& report) {
+void OutboundCall::end(Ending ending, std::string result, const scheduler::LoadReport& report) {
   State was = std::exchange(state_, State::ended);
   if (was == State::ended)
     return;
--- a/node/outbound/outbound_call.h
+++ b/node/outbound/outbound_call.h
@@ -44,7 +44,7 @@
   void hear(const News& news, bool certain);
   void read_event(const SseEvent& event);
   void send_delete();
-  void end(Ending ending, std::string result = {}, const reedlb::LoadReport& report = {});
+  void end(Ending ending, std::string result = {}, const scheduler::LoadReport& report = {});
   Reach reach() const;
 
   Outbound& owner_;
@@ -64,7 +64,7 @@
   TimerId timer_ = 0;
   int status_ = 0;
   bool never_ran_ = false;
-  reedlb::LoadReport report_;
+  scheduler::LoadReport report_;
   SseParser events_;
   int deletes_ = 0, most_deletes_ = 0;
 };
--- a/node/plugins/machine.cpp
+++ b/node/plugins/machine.cpp
@@ -236,7 +236,7 @@
     const wire::Request& r = call->request;
     lua_getglobal(lua, "on_request");
     lua_newtable(lua);
-    set(lua, "id", r.id), set(lua, "class", r.cls), set(lua, "tenant", r.tenant),
+    set(lua, "id", r.id), set(lua, "class", r.class_index), set(lua, "tenant", r.tenant),
         set(lua, "path", r.path);
     set(lua, "object", r.object), set(lua, "again", r.repeat);
     set(lua, "patience", r.patience_ms / 1000), set(lua, "hint", r.hint_ms / 1000);
@@ -252,8 +252,8 @@
       v.come_back_ms *= 1000;
     if (number(lua, "hold", v.hold_ms))
       v.hold_ms *= 1000;
-    number(lua, "weigh", v.weigh);
-    if (v.come_back_ms < 0 || v.hold_ms < 0 || v.weigh <= 0)
+    number(lua, "weigh", v.queue_weight);
+    if (v.come_back_ms < 0 || v.hold_ms < 0 || v.queue_weight <= 0)
       return luaL_error(lua, "a time is below zero, or a weight not above it");
     std::size_t size = 0;
     if (const char* label = text(lua, "label", size))
@@ -266,7 +266,7 @@
     const wire::Event& e = call->event;
     lua_getglobal(lua, "on_progress");
     lua_newtable(lua);
-    set(lua, "request", e.request), set(lua, "class", e.cls), set(lua, "tenant", e.tenant),
+    set(lua, "request", e.request), set(lua, "class", e.class_index), set(lua, "tenant", e.tenant),
         set(lua, "label", e.label);
     set(lua, "type", e.started ? std::string_view("started") : "progress");
     set(lua, "attempt", static_cast<double>(e.attempt)), set(lua, "share", e.share);
@@ -290,7 +290,7 @@
     const auto& a = *static_cast<const wire::Answer*>(lua_touserdata(lua, 1));
     lua_getglobal(lua, "on_answer");
     lua_newtable(lua);
-    set(lua, "id", a.id), set(lua, "class", a.cls), set(lua, "tenant", a.tenant),
+    set(lua, "id", a.id), set(lua, "class", a.class_index), set(lua, "tenant", a.tenant),
         set(lua, "how", a.how);
     set(lua, "elapsed", a.elapsed_ms / 1000);
     lua_call(lua, 1, 0);
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -257,7 +257,7 @@
   plugin.tenants = flags(package.manifest.tenants, world_.names.tenants);
 }
 
-void Plugins::retune(const Names& names, const std::vector<reedlb::ClassSettings>& classes) {
+void Plugins::retune(const Names& names, const std::vector<scheduler::ClassSettings>& classes) {
   world_.names = names;
   world_.classes = classes;
   for (auto& plugin : plugins_)
@@ -392,9 +392,9 @@
 
 // ---- calls ----
 
-bool Plugins::sees(const Plugin& plugin, int cls, int tenant, Entry entry) const {
+bool Plugins::sees(const Plugin& plugin, int class_index, int tenant, Entry entry) const {
   return plugin.package.manifest.has(entry) && plugin.breaker.state() != Breaker::State::disabled &&
-         allowed(plugin.classes, cls) && allowed(plugin.tenants, tenant);
+         allowed(plugin.classes, class_index) && allowed(plugin.tenants, tenant);
 }
 
 // Zero: it cannot be asked now.
@@ -461,7 +461,7 @@
   Screening s;
   wire::Request message;
   for (const auto& plugin : plugins_) {
-    if (!sees(*plugin, job.cls, job.tenant, Entry::on_request))
+    if (!sees(*plugin, job.class_index, job.tenant, Entry::on_request))
       continue;
     if (s.said.empty()) {
       message = {.call = 0,
@@ -470,7 +470,7 @@
                  .hint_ms = Milliseconds(job.hint).count(),
                  .repeat = job.repeat,
                  .id = cut(job.id),
-                 .cls = name_at(world_.names.classes, job.cls),
+                 .class_index = name_at(world_.names.classes, job.class_index),
                  .tenant = name_at(world_.names.tenants, job.tenant),
                  .path = cut(job.path),
                  .object = hex(job.key)};
@@ -488,11 +488,13 @@
   }
   if (s.said.empty())
     return Said{};
-  const reedlb::ClassSettings& cls = world_.classes.at(static_cast<std::size_t>(job.cls));
-  s.subject = {.effect = cls.effect,
+  const scheduler::ClassSettings& class_settings =
+      world_.classes.at(static_cast<std::size_t>(job.class_index));
+  s.subject = {.idempotency = class_settings.idempotency,
                .repeat = job.repeat,
                .patience_ms = 0,
-               .need_ms = cls.target_ms + cls.stretch * Milliseconds(job.hint).count()};
+               .need_ms = class_settings.latency_objective_ms +
+                          class_settings.objective_runtime_factor * Milliseconds(job.hint).count()};
   s.deadline = deadline;
   s.bytes = job.bytes;
   if (s.open > 0)
@@ -515,7 +517,7 @@
   };
   Said out{.refuse = all.verdict.refuse,
            .come_back = from_ms(all.verdict.come_back_ms),
-           .weigh = all.verdict.weigh,
+           .queue_weight = all.verdict.queue_weight,
            .label = all.verdict.label};
   if (out.refuse) {
     ++counters_.plugin_refused;
@@ -592,10 +594,10 @@
 void Plugins::ended(const Job& job, Duration elapsed, RoutePort::End how) {
   for (const auto& plugin : plugins_) {
     if (!plugin->current || plugin->breaker.state() != Breaker::State::closed ||
-        !sees(*plugin, job.cls, job.tenant, Entry::on_answer))
+        !sees(*plugin, job.class_index, job.tenant, Entry::on_answer))
       continue;
     bool told = plugin->current->tell(wire::Answer{
-        unix_seconds(), to_ms(elapsed), cut(job.id), name_at(world_.names.classes, job.cls),
+        unix_seconds(), to_ms(elapsed), cut(job.id), name_at(world_.names.classes, job.class_index),
         name_at(world_.names.tenants, job.tenant), word(how)});
     counters_.plugin_not_asked += !told;
   }
@@ -604,9 +606,9 @@
 std::uint64_t Plugins::shape(const Event& event, Shaper& who) {
   Shaping s;
   std::uint64_t ticket = last_ticket_ + 1;
-  int cls = Names::place(world_.names.classes, event.cls);
+  int class_index = Names::place(world_.names.classes, event.class_index);
   for (const auto& plugin : plugins_) {
-    if (!sees(*plugin, cls, event.tenant, Entry::on_progress))
+    if (!sees(*plugin, class_index, event.tenant, Entry::on_progress))
       continue;
     wire::Event message{++last_call_,
                         unix_seconds(),
@@ -614,7 +616,7 @@
                         event.started,
                         event.attempt,
                         cut(event.request),
-                        cut(event.cls),
+                        cut(event.class_index),
                         name_at(world_.names.tenants, event.tenant),
                         cut(event.label, plugins::kMostLabel)};
     CallId call = ask(*plugin, message, {.request = false, .of = ticket, .place = s.said.size()});
--- a/node/plugins/plugins.h
+++ b/node/plugins/plugins.h
@@ -42,7 +42,7 @@
     net::EventLoop& loop;
     const UnixClock& clock;
     Names names;
-    std::vector<reedlb::ClassSettings> classes;
+    std::vector<scheduler::ClassSettings> classes;
     std::uint64_t seed = 0;
     std::string program = "/proc/self/exe";  // what a host is
   };
@@ -53,7 +53,7 @@
   // and values are what they were goes on untouched; of one that has changed the next generation is
   // loaded beside the present one.
   void retune(const Names& names,
-              const std::vector<reedlb::ClassSettings>& classes);  // of the platform
+              const std::vector<scheduler::ClassSettings>& classes);  // of the platform
   void configure(const plugins::Settings& settings, std::vector<plugins::Package> packages);
   bool on() const { return !plugins_.empty(); }
   // From now on nothing is held back, and what is held goes on: the node is being ended.
@@ -64,7 +64,7 @@
   void ended(const Job& job, Duration elapsed, RoutePort::End how) override;
 
   struct Event {  // of progress, as it would go out
-    std::string_view request, cls, label;
+    std::string_view request, class_index, label;
     int tenant = 0;
     int attempt = 1;
     double share = 0;
@@ -141,7 +141,7 @@
   double clock_ms() const { return world_.clock.unix_ms(world_.loop.now()); }
   Plugin* find(std::string_view name) const;
   Plugin* owner(const Host& host) const;
-  bool sees(const Plugin& plugin, int cls, int tenant, plugins::Entry entry) const;
+  bool sees(const Plugin& plugin, int class_index, int tenant, plugins::Entry entry) const;
   CallId ask(Plugin& plugin, const plugins::wire::ToHost& message, Call call);
   std::optional<Call> close(CallId call);
   void settled(const Call& call);
--- a/node/plugins/wire.cpp
+++ b/node/plugins/wire.cpp
@@ -101,16 +101,17 @@
 }
 void fields(auto& f, auto& m, const Request&) {
   f(m.call), f(m.now), f(m.patience_ms), f(m.hint_ms), f(m.repeat);
-  f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.path, 2 * kMostText),
+  f(m.id, kMostText), f(m.class_index, kMostText), f(m.tenant, kMostText), f(m.path, 2 * kMostText),
       f(m.object, kMostText);
 }
 void fields(auto& f, auto& m, const Event&) {
   f(m.call), f(m.now), f(m.share), f(m.started), f(m.attempt);
-  f(m.request, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText), f(m.label, kMostLabel);
+  f(m.request, kMostText), f(m.class_index, kMostText), f(m.tenant, kMostText),
+      f(m.label, kMostLabel);
 }
 void fields(auto& f, auto& m, const Answer&) {
-  f(m.now), f(m.elapsed_ms), f(m.id, kMostText), f(m.cls, kMostText), f(m.tenant, kMostText),
-      f(m.how, kMostName);
+  f(m.now), f(m.elapsed_ms), f(m.id, kMostText), f(m.class_index, kMostText),
+      f(m.tenant, kMostText), f(m.how, kMostName);
 }
 void fields(auto&, auto&, const Leave&) {}
 void fields(auto&, auto&, const Ready&) {}
@@ -119,7 +120,7 @@
 }
 void fields(auto& f, auto& m, const Judged&) {
   f(m.call), f(m.verdict.refuse), f(m.verdict.come_back_ms), f(m.verdict.hold_ms),
-      f(m.verdict.weigh), f(m.verdict.label, kMostLabel);
+      f(m.verdict.queue_weight), f(m.verdict.label, kMostLabel);
 }
 void fields(auto& f, auto& m, const Shaped&) {
   f(m.call), f(m.shape.drop), f(m.shape.has_label), f(m.shape.has_share),
--- a/node/plugins/wire.h
+++ b/node/plugins/wire.h
@@ -42,18 +42,18 @@
   std::uint64_t call = 0;
   double now = 0, patience_ms = 0, hint_ms = 0;
   bool repeat = false;
-  std::string id, cls, tenant, path, object;
+  std::string id, class_index, tenant, path, object;
 };
 struct Event {  // of progress
   std::uint64_t call = 0;
   double now = 0, share = 0;
   bool started = false;
   int attempt = 1;
-  std::string request, cls, tenant, label;
+  std::string request, class_index, tenant, label;
 };
 struct Answer {  // how a request ended; nothing is answered to it
   double now = 0, elapsed_ms = 0;
-  std::string id, cls, tenant, how;  // served, refused, failed, gone
+  std::string id, class_index, tenant, how;  // served, refused, failed, gone
 };
 struct Tick {
   double now = 0;
--- a/node/progress/progress_front.cpp
+++ b/node/progress/progress_front.cpp
@@ -114,7 +114,7 @@
 
   bool take(Job job) {
     name_ = job.id;
-    cls_ = front_.names_.classes[static_cast<std::size_t>(job.cls)];
+    cls_ = front_.names_.classes[static_cast<std::size_t>(job.class_index)];
     tenant_ = job.tenant;
     auto id = front_.engine_.take(std::move(job), *this);
     if (id)
@@ -133,7 +133,7 @@
                   .attempt = progress.attempt + 1,
                   .share = progress.share};
     event.ticket = front_.plugins_.shape({.request = name_,
-                                          .cls = cls_,
+                                          .class_index = cls_,
                                           .label = label_,
                                           .tenant = tenant_,
                                           .attempt = event.attempt,
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -82,11 +82,12 @@
   const Names& n = settings_.names;
   bool late = !router_ && !known_.empty();  // pools come to a node that has served without
   if (!router_) {
-    routes::Timing timing{.cold_ms = settings_.module.cold_ms, .rest_ms = settings_.module.fall_ms};
+    routes::Timing timing{.slow_start_ms = settings_.module.slow_start_ms,
+                          .rest_ms = settings_.module.overload_window_ms};
     router_ = std::make_unique<routes::Router>(
         late ? one_pool() : spec, routes::NameLists{n.classes, n.tenants, n.zones, n.kinds},
         settings_.module.classes, timing);
-    reedlb::EndpointList list{.scope = reedlb::ListScope::full, .entries = {}};
+    scheduler::EndpointList list{.scope = scheduler::ListScope::full, .entries = {}};
     for (const auto& [endpoint, entry] : known_)
       list.entries.push_back(entry);
     if (late)
@@ -139,13 +140,14 @@
   return to ? std::string_view(to->host) : std::string_view();
 }
 
-void Traffic::list(reedlb::EndpointList list) {
+void Traffic::list(scheduler::EndpointList list) {
   if (!router_) {
-    if (list.scope != reedlb::ListScope::failed) {  // kept for the day on which pools are turned on
-      if (list.scope != reedlb::ListScope::delta)
+    if (list.scope !=
+        scheduler::ListScope::failed) {  // kept for the day on which pools are turned on
+      if (list.scope != scheduler::ListScope::delta)
         known_.clear();
       for (const auto& e : list.entries) {
-        if (e.state != reedlb::EndpointState::gone)
+        if (e.state != scheduler::EndpointState::gone)
           known_[e.endpoint] = e;
         else
           known_.erase(e.endpoint);
@@ -197,7 +199,7 @@
 
 int Traffic::choose(const Job& job) {
   double now = now_ms();
-  routes::Query query{.cls = job.cls,
+  routes::Query query{.class_index = job.class_index,
                       .tenant = job.tenant,
                       .path = job.path,
                       .object = job.key,
@@ -218,11 +220,13 @@
   return choice.pool;
 }
 
-// In time is an answer by the class's aim: target + stretch x the job's own running time.
+// In time is an answer by the class's aim: target + objective_runtime_factor x the job's own
+// running time.
 void Traffic::ended(const Job& job, int pool, TimePoint taken, End how) {
-  const reedlb::ClassSettings& cls = settings_.module.classes.at(at(job.cls));
+  const scheduler::ClassSettings& class_settings = settings_.module.classes.at(at(job.class_index));
   double elapsed = to_ms(timers_.now() - taken),
-         aim = cls.target_ms + cls.stretch * Milliseconds(job.hint).count();
+         aim = class_settings.latency_objective_ms +
+               class_settings.objective_runtime_factor * Milliseconds(job.hint).count();
   bool in_time = how == End::served && elapsed <= aim;
   PoolCount& count = counts_[at(pool)];
   ++(how == End::served    ? count.served
@@ -231,16 +235,17 @@
                            : count.gone);
   if (how == End::gone && elapsed <= aim)
     return;  // who leaves before that tells nothing of the pool
-  count.asked += cls.value;
-  count.in_time += in_time ? cls.value : 0;
+  count.asked += class_settings.priority_weight;
+  count.in_time += in_time ? class_settings.priority_weight : 0;
   double now = 0;
   for (auto& moving : moves_) {
     if (!moving->move.active() || (pool != moving->from && pool != moving->to))
       continue;
     if (now == 0)
       now = now_ms();
-    moving->move.answered(pool == moving->to ? moves::Arm::trial : moves::Arm::control, cls.value,
-                          in_time ? cls.value : 0, clock_.unix_ms(taken), now);
+    moving->move.answered(pool == moving->to ? moves::Arm::trial : moves::Arm::control,
+                          class_settings.priority_weight,
+                          in_time ? class_settings.priority_weight : 0, clock_.unix_ms(taken), now);
   }
 }
 
--- a/node/routes/traffic.h
+++ b/node/routes/traffic.h
@@ -21,7 +21,7 @@
  public:
   struct Settings {
     Names names;
-    reedlb::Settings module;
+    scheduler::Settings module;
   };
   // `destinations` names endpoints; it may tell lists only after it has been given to `connect`.
   Traffic(TimerPort& timers, const UnixClock& clock, Engine& engine, Settings settings,
@@ -40,7 +40,7 @@
   void retune(Settings settings);  // of the platform; to be followed by `configure`, which must not
                                    // throw then
 
-  void list(reedlb::EndpointList list);
+  void list(scheduler::EndpointList list);
 
   int choose(const Job& job) override;
   void ended(const Job& job, int pool, TimePoint taken, End how) override;
@@ -81,7 +81,7 @@
   Settings settings_;
   Counters& counters_;
   const DestinationSet* destinations_ = nullptr;
-  std::map<EndpointId, reedlb::EndpointEntry>
+  std::map<EndpointId, scheduler::EndpointEntry>
       known_;  // while there is no Router: the list in force
   std::unique_ptr<routes::Router> router_;
   std::vector<std::unique_ptr<Moving>> moves_;
--- a/src/containers.h
+++ b/scheduler/containers.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace reedlb {
+namespace keelflow::scheduler {
 
 inline std::uint64_t mix(std::uint64_t x) {  // splitmix64
   x += 0x9e3779b97f4a7c15ull;
@@ -146,4 +146,4 @@
   double armed_ = INFINITY;
 };
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- a/src/decide.cpp
+++ b/scheduler/decide.cpp
@@ -1,14 +1,14 @@
-// Every decision of reedlb. The interface is include/reedlb/dispatcher.h; docs/design.md explains
+// Every decision of the scheduler. The interface is scheduler/dispatcher.h; the comments explain
 // the mechanism, its source (the paper "DriftSched") and each exception named below.
 #include <algorithm>
 #include <cmath>
 
-#include "reedlb/dispatcher.h"
-#include "state.h"
-#include "tuning.h"
+#include "scheduler/dispatcher.h"
+#include "scheduler/state.h"
+#include "scheduler/tuning.h"
 
-namespace reedlb {
-struct Dispatcher::Impl : Knowledge::OfFleet {
+namespace keelflow::scheduler {
+struct Dispatcher::Impl : LearnedState::Fleet {
   Settings s;
   Random random;
   Time now = 0;
@@ -23,7 +23,7 @@
   bool talks = false;  // to those who are at home where this one is
   std::vector<ClassState> classes;
   std::vector<KindState> kinds;
-  std::shared_ptr<TenantShares> shares;
+  std::shared_ptr<TenantQuotas> shares;
   std::size_t held_count = 0;
   KeyCounts key_counts;
 
@@ -35,10 +35,10 @@
   bool subscribed = false, asking = false, twin = false, may_release = true;
   double ask_backoff = 0;
 
-  Impl(const Settings& settings, std::uint64_t seed, std::shared_ptr<TenantShares> given)
+  Impl(const Settings& settings, std::uint64_t seed, std::shared_ptr<TenantQuotas> given)
       : s(settings),
         random(seed),
-        shares(given ? std::move(given) : std::make_shared<TenantShares>()) {
+        shares(given ? std::move(given) : std::make_shared<TenantQuotas>()) {
     validate(s);
     classes.resize(s.classes.size());
     resize();
@@ -52,40 +52,44 @@
     for (const auto& c : s.classes)
       if (c.kind >= 0)
         kinds[at(c.kind)].reserved = true;
-    start_delay.resize(at(s.zones));
+    start_delay_ms.resize(at(s.zones));
   }
 
-  const ClassSettings& cls(const Request& r) const { return s.classes[at(r.job.cls)]; }
+  const ClassSettings& class_settings(const Request& r) const {
+    return s.classes[at(r.job.class_index)];
+  }
 
   // ---- calibration: B per class ----
 
   double mean_hint(int c) const {
-    const Knowledge::OfClass& k = classes[at(c)].learned;
-    return k.hint_count > 0 ? k.hint_sum / k.hint_count : std::max(1.0, s.classes[at(c)].target_ms);
+    const LearnedState::Calibration& k = classes[at(c)].learned;
+    return k.hint_count > 0 ? k.hint_sum / k.hint_count
+                            : std::max(1.0, s.classes[at(c)].latency_objective_ms);
   }
 
   double budget(const Request& r) const {
-    return r.job.hint * classes[at(r.job.cls)].learned.factor;
+    return r.job.hint * classes[at(r.job.class_index)].learned.factor;
   }
 
   double learn(const Request& r, const Attempt& a, Endpoint& w) {
     double run = now - (a.started >= 0 ? a.started : a.sent);
-    double slow = run / budget(r) * warmth(w);
-    learn_pace(w, slow);
-    double& b = classes[at(r.job.cls)].learned.factor;
+    double service_time_ratio = run / budget(r) * warmth(w);
+    learn_pace(w, service_time_ratio);
+    double& b = classes[at(r.job.class_index)].learned.factor;
     b += kAlpha * (std::clamp(run / r.job.hint, 1 / kRatioLimit, kRatioLimit) - b);
-    mean_run = mean_run > 0 ? mean_run + kAlpha * (run - mean_run) : run;
-    return slow;
+    mean_run_ms = mean_run_ms > 0 ? mean_run_ms + kAlpha * (run - mean_run_ms) : run;
+    return service_time_ratio;
   }
 
-  void learn_pace(Endpoint& w, double slow) {
-    slow = std::clamp(slow, 0.25, 4.0);
-    w.slow += kSlowAlpha * (slow - w.slow);
+  void learn_pace(Endpoint& w, double service_time_ratio) {
+    service_time_ratio = std::clamp(service_time_ratio, 0.25, 4.0);
+    w.service_time_ratio += kSlowAlpha * (service_time_ratio - w.service_time_ratio);
     if (!cold(w))
-      kinds[at(w.entry.kind)].slow += kAlpha * (slow - kinds[at(w.entry.kind)].slow);
+      kinds[at(w.entry.kind)].service_time_ratio +=
+          kAlpha * (service_time_ratio - kinds[at(w.entry.kind)].service_time_ratio);
   }
 
-  // ---- endpoint view: own slots, learned cap, health, cold allowance ----
+  // ---- endpoint view: own slots, learned concurrency_limit, health, cold allowance ----
 
   Endpoint* find(EndpointId id) { return find_in(endpoints, id); }
   Request* find_request(RequestId id) { return find_in(requests, id); }
@@ -94,13 +98,13 @@
     return w.load + w.told.sum(now);
   }  // in flight there, if known
   bool has_room(const Request& r, const Endpoint& w) const {
-    return slots(w) <= 0 || slots(w) + r.load <= w.cap;
+    return slots(w) <= 0 || slots(w) + r.load <= w.concurrency_limit;
   }
 
-  const Homes::At& here(const Endpoint& w) const { return cold(w) ? w.turn.home : w.home; }
+  const SubsetEntry& here(const Endpoint& w) const { return cold(w) ? w.turn.subset : w.home; }
 
   // Keeps the pools an exact index of the endpoints that are ready, not left alone, and below their
-  // cap.
+  // concurrency_limit.
   void index(Endpoint& w) {
     bool ready = w.entry.state == EndpointState::ready;
     auto& ring = kinds[at(w.entry.kind)].ring;
@@ -108,50 +112,53 @@
       ring.erase(mix(w.entry.endpoint));
     if (ready)
       ring.emplace(mix(w.entry.endpoint), w.entry.endpoint);
-    bool open = ready && now >= w.shut_until && (slots(w) <= 0 || slots(w) < w.cap);
+    bool open =
+        ready && now >= w.ejected_until && (slots(w) <= 0 || slots(w) < w.concurrency_limit);
     kinds[at(w.entry.kind)].pools[kOpen].set(w.entry.endpoint, open);
-    kinds[at(w.entry.kind)].pools[kHome].set(w.entry.endpoint, open && here(w).own);
+    kinds[at(w.entry.kind)].pools[kHome].set(w.entry.endpoint, open && here(w).is_own);
   }
 
   void good_sign(Endpoint& w) {
-    w.strikes = 0;
-    if (slots(w) + 1 >= w.cap)
-      w.cap += 1 / w.cap;
+    w.outlier_signs = 0;
+    if (slots(w) + 1 >= w.concurrency_limit)
+      w.concurrency_limit += 1 / w.concurrency_limit;
     index(w);
   }
 
-  void crowd() { crowding += kAlpha * (1 - crowding); }
+  void crowd() { congestion += kAlpha * (1 - congestion); }
 
   // A endpoint that refused as full or started a job late is left alone a while: others fill it. If
   // it looks ill (failed, or started very late) the rest doubles while no good sign comes, and one
   // job tries it again.
   void bad_sign(Endpoint& w, bool ill) {
-    w.cap = ill ? 1 : std::max(1.0, w.cap * kCapDown);
-    double rest = std::max(4 * s.tick_ms, kRest * mean_run);
+    w.concurrency_limit = ill ? 1 : std::max(1.0, w.concurrency_limit * kCapDown);
+    double rest = std::max(4 * s.tick_ms, kRest * mean_run_ms);
     if (ill)
-      rest *= std::exp2(std::max(w.strikes = std::min(w.strikes + 1, kMaxStrikes), w.faults));
-    w.shut_until = std::max(w.shut_until, now + rest * (0.75 + 0.5 * random()));
-    alarms.add(w.shut_until, Wake::reindex, w.entry.endpoint);
+      rest *= std::exp2(std::max(w.outlier_signs = std::min(w.outlier_signs + 1, kMaxStrikes),
+                                 w.consecutive_failures));
+    w.ejected_until = std::max(w.ejected_until, now + rest * (0.75 + 0.5 * random()));
+    alarms.add(w.ejected_until, Wake::reindex, w.entry.endpoint);
     index(w);
   }
 
   // Exception: of many none knows a endpoint. Those at home there tell each other what they see.
-  void tell(const Endpoint& w, Sign sign, double slow = 1, double work = 0) {
-    auto note = write_note({w.entry.endpoint, mark_of(w.entry), w.load, sign, slow, work});
+  void tell(const Endpoint& w, Sign sign, double service_time_ratio = 1, double work = 0) {
+    auto note =
+        write_note({w.entry.endpoint, mark_of(w.entry), w.load, sign, service_time_ratio, work});
     if (twin)
-      out->emplace_back(Tell{s.rank, note});
+      out->emplace_back(SendPeerMessage{s.rank, note});
     if (talks)
-      for (int other : here(w).others)
-        out->emplace_back(Tell{other, note});
+      for (int other : here(w).peers)
+        out->emplace_back(SendPeerMessage{other, note});
   }
 
   void take_sign(Endpoint& w, Sign sign) {
     if (sign == Sign::served)
-      w.faults = 0, good_sign(w);
+      w.consecutive_failures = 0, good_sign(w);
     if (sign == Sign::full || sign == Sign::late)
       bad_sign(w, false);
     if (sign == Sign::failed)
-      w.faults = std::min(w.faults + 1, kMaxFaults);
+      w.consecutive_failures = std::min(w.consecutive_failures + 1, kMaxFaults);
     if (sign == Sign::failed || sign == Sign::unreached)
       bad_sign(w, true);
   }
@@ -161,59 +168,61 @@
     Endpoint* w = note ? find(note->endpoint) : nullptr;
     if (!w || note->life != mark_of(w->entry))
       return;
-    bool was_full = slots(*w) >= w->cap;
+    bool was_full = slots(*w) >= w->concurrency_limit;
     w->told.set(e.peer, note->load, now + kToldLife);
     if (note->sign == Sign::sent && e.peer == s.rank)
       sent_cold(*w, now, note->work);  // twin's
     if (note->sign == Sign::served)
-      learn_pace(*w, note->slow);
+      learn_pace(*w, note->service_time_ratio);
     take_sign(*w, note->sign);
     // All who wait for a slot hear of it at once: each gives the others a moment to fill it first.
     if (was_full)
-      w->shut_until = std::max(w->shut_until, now + kGiveWay * random());
-    alarms.add(was_full ? w->shut_until : now + kToldLife, Wake::reindex, note->endpoint);
+      w->ejected_until = std::max(w->ejected_until, now + kGiveWay * random());
+    alarms.add(was_full ? w->ejected_until : now + kToldLife, Wake::reindex, note->endpoint);
     index(*w);
   }
 
   bool cold(const Endpoint& w) const {
-    return w.entry.started_at > 0 && now < w.entry.started_at + s.cold_ms;
+    return w.entry.started_at > 0 && now < w.entry.started_at + s.slow_start_ms;
   }
   // The least share of its capacity that it can have by now.
   double warmth(const Endpoint& w) const {
-    return cold(w) ? s.cold_from +
-                         (1 - s.cold_from) * std::max(0.0, now - w.entry.started_at) / s.cold_ms
+    return cold(w) ? s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) *
+                                                         std::max(0.0, now - w.entry.started_at) /
+                                                         s.slow_start_ms
                    : 1;
   }
   double pace(const Endpoint& w) const {
-    return w.slow / warmth(w);
+    return w.service_time_ratio / warmth(w);
   }  // run time here now, over corrected hint
 
   double cold_work(const Request& r,
                    const Endpoint& w) const {  // as if its kind were as fast as its size says
-    double slow = std::clamp(kinds[at(w.entry.kind)].slow, 0.5, 4.0);
-    return std::max(kColdPace * r.job.hint, std::max(r.job.hint, budget(r)) * slow);
+    double service_time_ratio = std::clamp(kinds[at(w.entry.kind)].service_time_ratio, 0.5, 4.0);
+    return std::max(kColdPace * r.job.hint, std::max(r.job.hint, budget(r)) * service_time_ratio);
   }
 
   // Rule 4: what may still go to a cold endpoint, of the own part of what all may send within a
   // window and of others' that they granted. Of many hardly one sees two jobs at work: up to twice
-  // the cores are believed.
-  ColdRoom cold_room(const Endpoint& w) const {
-    double seen = kinds[at(w.entry.kind)].cores,
-           cores = std::clamp(w.entry.nominal, seen, 2 * seen);
-    double total = kColdMargin * s.fall_multiple * warmth(w) * cores * s.fall_ms;
-    double own = total * w.turn.share - w.cold_sent.sum(now - s.fall_ms);
-    return {own, w.granted.until > now ? w.granted.work : 0, mean_run};
+  // the observed_cores are believed.
+  SlowStartBudget slow_start_budget(const Endpoint& w) const {
+    double seen = kinds[at(w.entry.kind)].observed_cores,
+           observed_cores = std::clamp(w.entry.nominal_capacity, seen, 2 * seen);
+    double total =
+        kColdMargin * s.overload_multiple * warmth(w) * observed_cores * s.overload_window_ms;
+    double own = total * w.turn.fraction - w.cold_sent.sum(now - s.overload_window_ms);
+    return {own, w.granted.until > now ? w.granted.work_ms : 0, mean_run_ms};
   }
 
   void sent_cold(Endpoint& w, Time when, double work) {
-    w.cold_sent.add(when, work, now - s.fall_ms);
+    w.cold_sent.add(when, work, now - s.overload_window_ms);
   }
 
   // ---- the guards: every send passes may_send, every final answer passes may_bounce ----
 
   bool may_send(const Request& r, Endpoint& w) {
-    const ClassSettings& c = cls(r);
-    if (r.ended || r.streaming || now >= r.deadline || r.attempts.size() >= at(s.try_limit))
+    const ClassSettings& c = class_settings(r);
+    if (r.ended || r.streaming || now >= r.deadline || r.attempts.size() >= at(s.max_attempts))
       return false;
     if (w.entry.state != EndpointState::ready)
       return false;  // rule 3
@@ -222,25 +231,27 @@
     for (const Attempt& a : r.attempts) {  // rule 2
       if (a.fate == Fate::never_ran)
         continue;
-      if (a.fate == Fate::out && !s.parallel_tries)
+      if (a.fate == Fate::out && !s.concurrent_attempts)
         return false;
-      if (c.effect == Effect::unsafe)
+      if (c.idempotency == Idempotency::non_idempotent)
         return false;
-      if (c.effect == Effect::safe)
+      if (c.idempotency == Idempotency::idempotent)
         continue;
-      if (c.scope == Scope::zone && a.zone != w.entry.zone)
+      if (c.deduplication_scope == DeduplicationScope::zone && a.zone != w.entry.zone)
         return false;
-      if (c.scope == Scope::cell && a.cell != w.entry.cell)
+      if (c.deduplication_scope == DeduplicationScope::cell && a.cell != w.entry.cell)
         return false;
-      if (now > a.sent + kWindowMargin * c.window_ms)
+      if (now > a.sent + kWindowMargin * c.deduplication_window_ms)
         return false;
     }
-    return !cold(w) || cold_room(w).all() >= cold_work(r, w);  // rule 4
+    return !cold(w) || slow_start_budget(w).total() >= cold_work(r, w);  // rule 4
   }
 
   bool may_bounce(const Request& r) const {
-    const ClassSettings& c = cls(r);
-    if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.scope == Scope::all))
+    const ClassSettings& c = class_settings(r);
+    if (c.idempotency == Idempotency::idempotent ||
+        (c.idempotency == Idempotency::idempotent_with_key &&
+         c.deduplication_scope == DeduplicationScope::all))
       return true;
     return std::ranges::all_of(r.attempts, [](auto& a) { return a.fate == Fate::never_ran; });
   }
@@ -253,7 +264,7 @@
     r.held = true;
     r.held_since = now;
     ++held_count;
-    classes[at(r.job.cls)].held[r.overdue].emplace(r.size, r.seq, r.job.request);
+    classes[at(r.job.class_index)].held[r.overdue].emplace(r.size, r.seq, r.job.request);
   }
 
   void unhold(Request& r) {
@@ -261,10 +272,11 @@
       return;
     r.held = false;
     --held_count;
-    classes[at(r.job.cls)].held[r.overdue].erase({r.size, r.seq, r.job.request});
+    classes[at(r.job.class_index)].held[r.overdue].erase({r.size, r.seq, r.job.request});
   }
 
-  // Exception: a job that can no longer be in time leaves last, and not while sends meet crowding.
+  // Exception: a job that can no longer be in time leaves last, and not while sends meet
+  // congestion.
   void overdue(Request& r) {
     bool was_held = r.held;
     unhold(r);
@@ -279,7 +291,7 @@
     if (!may_release)
       return;
     for (int late : {0, 1}) {
-      if (late && crowding > kCrowded)
+      if (late && congestion > kCrowded)
         break;
       std::vector<bool> blocked(classes.size(), false);
       for (int best = 0; held_count > 0 && best >= 0;) {
@@ -298,7 +310,7 @@
     }
     if (held_count > 0 && next_dispatch <= now) {
       next_dispatch = now + 10 * s.tick_ms;
-      crowding *= 1 - kAlpha / 10;  // with nothing sent, it fades
+      congestion *= 1 - kAlpha / 10;  // with nothing sent, it fades
       alarms.add(next_dispatch, Wake::dispatch);
     }
   }
@@ -316,8 +328,8 @@
   void send(Request& r, Endpoint& w) {
     unhold(r);
     double of_grant =
-        cold(w) ? std::min(cold_work(r, w), cold_room(w).granted) : 0;  // it ends sooner
-    w.granted.work -= of_grant;
+        cold(w) ? std::min(cold_work(r, w), slow_start_budget(w).granted) : 0;  // it ends sooner
+    w.granted.work_ms -= of_grant;
     if (cold(w))
       sent_cold(w, now, cold_work(r, w) - of_grant);
     w.load += r.load;
@@ -326,23 +338,26 @@
     if (!cold(w) || twin)
       tell(w, Sign::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
     r.attempts.push_back({w.entry.endpoint, w.entry.zone, w.entry.cell, now});
-    out->push_back(Send{r.job.request, w.entry.endpoint, 0});
+    out->push_back(SendAttempt{r.job.request, w.entry.endpoint, 0});
     int attempt = static_cast<int>(r.attempts.size()) - 1;
-    if (s.tells_start)
+    if (s.reports_start)
       alarms.add(now + patience(w.entry.zone), Wake::late_start, r.job.request, attempt);
   }
 
-  double patience(int zone) const { return 3 * start_delay[at(zone)] + 4 * s.tick_ms + 10; }
+  double patience(int zone) const { return 3 * start_delay_ms[at(zone)] + 4 * s.tick_ms + 10; }
 
   // ---- pick: of a few sampled endpoints with room, the one that holds fewest of this dispatcher's
   // slots ----
 
   bool usable(const Request& r, Endpoint* w) {
     // Work that must not run twice is not what a failing endpoint is tried again with.
-    if (w && w->faults > 1 && cls(r).effect == Effect::unsafe)
+    if (w && w->consecutive_failures > 1 &&
+        class_settings(r).idempotency == Idempotency::non_idempotent)
       return false;
     // On a cold endpoint a job may run too long to be in time.
-    if (w && cold(*w) && budget(r) * pace(*w) > cls(r).target_ms + cls(r).stretch * r.job.hint)
+    if (w && cold(*w) &&
+        budget(r) * pace(*w) > class_settings(r).latency_objective_ms +
+                                   class_settings(r).objective_runtime_factor * r.job.hint)
       return false;
     return w && !tried.count(w->entry.endpoint) && has_room(r, *w) && may_send(r, *w) &&
            kinds[at(w->entry.kind)].pools[kOpen].has(w->entry.endpoint);
@@ -369,8 +384,9 @@
   }
 
   Endpoint* pick_any(const Request& r) {
-    const ClassSettings& c = cls(r);
-    if (c.effect == Effect::keyed && c.scope == Scope::cell)
+    const ClassSettings& c = class_settings(r);
+    if (c.idempotency == Idempotency::idempotent_with_key &&
+        c.deduplication_scope == DeduplicationScope::cell)
       for (const Attempt& a : r.attempts)
         if (a.fate != Fate::never_ran)
           return pick_in_cell(r, a.cell);
@@ -383,7 +399,7 @@
   // Exception: a kind that some class cannot do without is spared for it while other kinds have
   // room.
   bool runs_on(const Request& r, int kind, bool spare) const {
-    int need = cls(r).kind;
+    int need = class_settings(r).kind;
     return need < 0 ? !spare || !kinds[at(kind)].reserved : need == kind;
   }
 
@@ -401,7 +417,7 @@
   Endpoint* pick_near_home(const Request& r, bool spare) {
     if (Endpoint* w = sample(kHome, r, spare))
       return w;
-    double wait = kOverflow * mean_run * (1 + kCrowdWait * crowding * (1 - at_home));
+    double wait = kOverflow * mean_run_ms * (1 + kCrowdWait * congestion * (1 - at_home));
     if (r.held && now - r.held_since < wait)
       return nullptr;
     return sample(kOpen, r, spare);
@@ -448,7 +464,7 @@
       }
     }
     std::sort(near.begin(), near.end());
-    double waited = r.held ? (now - r.held_since) / (kFetchRuns * mean_run + s.tick_ms) : 0;
+    double waited = r.held ? (now - r.held_since) / (kFetchRuns * mean_run_ms + s.tick_ms) : 0;
     double wide = std::ceil(key_counts.share(r.job.key) * fleet * kKeySpread) + waited;
     EndpointId last = 0;
     Endpoint* best = nullptr;
@@ -465,16 +481,16 @@
   // The tier factor S_tenant: a tenant's share, split evenly over the living, is a bucket that
   // fills with time. A job that finds it empty counts as larger by as much as it is worth less.
   bool within_share(int tenant) {
-    if (tenant < 0 || at(tenant) >= shares->buckets.size() || s.over_share_worth >= 1)
+    if (tenant < 0 || at(tenant) >= shares->buckets.size() || s.over_quota_weight >= 1)
       return true;
-    TenantShares::Bucket& share = shares->buckets[at(tenant)];
+    TenantQuotas::Bucket& share = shares->buckets[at(tenant)];
     double rate = s.tenant_quota[at(tenant)] / std::max(1, s.dispatchers - dead) / 1000;
-    share.left =
-        std::min(share.left + rate * (now - share.filled), std::max(1.0, kShareSpan * rate));
-    share.filled = now;
-    if (share.left < 1)
+    share.tokens =
+        std::min(share.tokens + rate * (now - share.refilled_at), std::max(1.0, kShareSpan * rate));
+    share.refilled_at = now;
+    if (share.tokens < 1)
       return false;
-    share.left -= 1;
+    share.tokens -= 1;
     return true;
   }
 
@@ -483,8 +499,8 @@
   void finish(Request& r) {
     if (r.ended)
       return;
-    out->push_back(may_bounce(r) ? Action(Refuse{r.job.request, come_back()})
-                                 : Action(Fail{r.job.request}));
+    out->push_back(may_bounce(r) ? Action(RejectRequest{r.job.request, come_back()})
+                                 : Action(FailRequest{r.job.request}));
     end(r);
   }
 
@@ -494,7 +510,7 @@
     if (!s.retry_after)
       return 0;
     double least = 4 * s.tick_ms;
-    return std::clamp(kComeBack * mean_run, least, std::max(least, s.max_retry_after_ms));
+    return std::clamp(kComeBack * mean_run_ms, least, std::max(least, s.max_retry_after_ms));
   }
 
   void end(Request& r) {  // attempts still out are called off; forget_if_done comes next
@@ -507,7 +523,7 @@
 
   void recall(Request& r, int attempt) {
     r.attempts[at(attempt)].recalled = true;
-    out->push_back(Recall{r.job.request, attempt});
+    out->push_back(CancelAttempt{r.job.request, attempt});
   }
 
   bool any_out(const Request& r) const {
@@ -523,29 +539,32 @@
 
   // ---- event handlers ----
 
-  void on(const Arrival& e) {
+  void on(const RequestArrived& e) {
     if (find_request(e.request))
       return;
-    if (e.cls < 0 || at(e.cls) >= s.classes.size())
-      return out->push_back(Refuse{e.request, come_back()});
+    if (e.class_index < 0 || at(e.class_index) >= s.classes.size())
+      return out->push_back(RejectRequest{e.request, come_back()});
     Request& r = requests[e.request];
     r.job = e;
     bool hinted = std::isfinite(e.hint) && e.hint > 0;
     if (hinted)
-      classes[at(e.cls)].learned.add(e.hint);
+      classes[at(e.class_index)].learned.hint_sum += e.hint,
+          ++classes[at(e.class_index)].learned.hint_count;
     if (!hinted)
-      r.job.hint = mean_hint(e.cls);
+      r.job.hint = mean_hint(e.class_index);
     r.within = within_share(e.tenant);
-    r.size = r.job.hint * e.weigh * (r.within ? 1 : std::min(kTenantLimit, 1 / s.over_share_worth));
+    r.size = r.job.hint * e.queue_weight *
+             (r.within ? 1 : std::min(kTenantLimit, 1 / s.over_quota_weight));
     r.load = std::clamp(std::max({1.0, e.slots, e.memory}), 1.0, 1e6);
     r.seq = next_seq++;
-    r.deadline = now + (std::isfinite(e.ttl_ms) ? e.ttl_ms : 0) - s.tick_ms;
+    r.deadline = now + (std::isfinite(e.client_timeout_ms) ? e.client_timeout_ms : 0) - s.tick_ms;
     if (e.key != 0)
       key_counts.count(e.key);
     if (r.deadline <= now)
       return finish(r), forget_if_done(e.request);
     alarms.add(r.deadline, Wake::deadline, e.request);
-    double slack = cls(r).target_ms + (cls(r).stretch - 1) * r.job.hint;
+    double slack = class_settings(r).latency_objective_ms +
+                   (class_settings(r).objective_runtime_factor - 1) * r.job.hint;
     if (now + slack < r.deadline)
       alarms.add(now + slack, Wake::overdue, e.request);
     hold(r);
@@ -559,7 +578,7 @@
     return a.fate == Fate::out ? &a : nullptr;
   }
 
-  void on(const Started& e) {
+  void on(const AttemptStarted& e) {
     Attempt* a = find_attempt(e.request, e.attempt);
     if (!a || a->started >= 0)
       return;
@@ -568,65 +587,66 @@
     if (!w)
       return;
     ++w->started;
-    double& cores = kinds[at(w->entry.kind)].cores;
+    double& observed_cores = kinds[at(w->entry.kind)].observed_cores;
     if (!cold(*w))
-      cores = std::max(cores, static_cast<double>(w->started));
-    w->strikes = 0;
+      observed_cores = std::max(observed_cores, static_cast<double>(w->started));
+    w->outlier_signs = 0;
     double delay = now - a->sent;
     if (delay > patience(a->zone))
       return;
-    double& usual = start_delay[at(a->zone)];
+    double& usual = start_delay_ms[at(a->zone)];
     usual = usual > 0 ? usual + kAlpha * (delay - usual) : delay;
-    crowding -= kAlpha * crowding;
+    congestion -= kAlpha * congestion;
     good_sign(*w);
   }
 
-  void on(const StreamBegun& e) {
+  void on(const ResponseStreamStarted& e) {
     if (Request* r = find_request(e.request))
       r->streaming = true;
   }
 
-  void on(const ClientGone& e) {
+  void on(const ClientDisconnected& e) {
     Request* r = find_request(e.request);
     if (!r)
       return;
     bool shared = r->job.tenant >= 0 && at(r->job.tenant) < shares->buckets.size();
-    if (e.moved && r->within && shared)
-      ++shares->buckets[at(r->job.tenant)].left;
+    if (e.is_rerouted && r->within && shared)
+      ++shares->buckets[at(r->job.tenant)].tokens;
     end(*r), forget_if_done(e.request);
   }
 
-  void on(const Outcome& e) {
+  void on(const AttemptFinished& e) {
     Attempt* a = find_attempt(e.request, e.attempt);
     if (!a)
       return;
     Request& r = requests.at(e.request);
-    bool never =
-        e.result == Result::full || e.result == Result::connect_failed || e.result == Result::moot;
+    bool never = e.result == AttemptResult::rejected || e.result == AttemptResult::connect_failed ||
+                 e.result == AttemptResult::withheld;
     a->fate = never ? Fate::never_ran : Fate::may_have_run;
     if (Endpoint* w = find(a->endpoint))
       settle(*w, r, *a, e.result);
-    if (e.final && !r.ended)
+    if (e.request_finished && !r.ended)
       end(r);
-    if (!r.ended && (e.result == Result::timeout || now >= r.deadline))
+    if (!r.ended && (e.result == AttemptResult::timeout || now >= r.deadline))
       finish(r);
     if (!r.ended && !any_out(r))
       retry(r);
     forget_if_done(e.request);
   }
 
-  void settle(Endpoint& w, const Request& r, const Attempt& a, Result result) {
+  void settle(Endpoint& w, const Request& r, const Attempt& a, AttemptResult result) {
     w.load = --w.out <= 0 ? 0 : w.load - r.load;
     if (a.started >= 0)
       --w.started;
     // A endpoint that fails at once looks empty: starting a job proves nothing of it, only serving
     // one does.
-    bool none = result == Result::cancelled || result == Result::moot, ok = result == Result::ok;
-    Sign sign = none                     ? Sign::none
-                : ok                     ? Sign::served
-                : result == Result::full ? Sign::full
-                                         : Sign::failed;
-    if (result == Result::connect_failed)
+    bool none = result == AttemptResult::cancelled || result == AttemptResult::withheld,
+         ok = result == AttemptResult::ok;
+    Sign sign = none                                ? Sign::none
+                : ok                                ? Sign::served
+                : result == AttemptResult::rejected ? Sign::full
+                                                    : Sign::failed;
+    if (result == AttemptResult::connect_failed)
       sign = Sign::unreached;
     if (!none && !ok)
       crowd();
@@ -639,11 +659,12 @@
 
   // Another attempt if the class allows one anywhere, else the end.
   void retry(Request& r) {
-    const ClassSettings& c = cls(r);
-    bool can = r.attempts.size() < at(s.try_limit);
+    const ClassSettings& c = class_settings(r);
+    bool can = r.attempts.size() < at(s.max_attempts);
     for (const Attempt& a : r.attempts)
-      if (a.fate != Fate::never_ran && c.effect != Effect::safe)
-        can = can && c.effect == Effect::keyed && now < a.sent + kWindowMargin * c.window_ms;
+      if (a.fate != Fate::never_ran && c.idempotency != Idempotency::idempotent)
+        can = can && c.idempotency == Idempotency::idempotent_with_key &&
+              now < a.sent + kWindowMargin * c.deduplication_window_ms;
     can ? hold(r) : finish(r);
   }
 
@@ -657,12 +678,12 @@
     Request& r = requests.at(id);
     double waited = now - a->sent;
     if (Endpoint* w = find(a->endpoint))
-      crowd(), bad_sign(*w, waited > 2 * mean_run), tell(*w, Sign::late);
-    alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run), Wake::late_start, id,
+      crowd(), bad_sign(*w, waited > 2 * mean_run_ms), tell(*w, Sign::late);
+    alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run_ms), Wake::late_start, id,
                attempt);
-    if (!s.cancel || r.job.key != 0 || r.attempts.size() + 1 >= at(s.try_limit))
+    if (!s.cancel || r.job.key != 0 || r.attempts.size() + 1 >= at(s.max_attempts))
       return;
-    if (!s.parallel_tries && (crowding > kCrowded || waited <= kSilent * mean_run))
+    if (!s.concurrent_attempts && (congestion > kCrowded || waited <= kSilent * mean_run_ms))
       return;
     // Called back it counts as one that may have run; what may follow then is asked now, while it
     // is out.
@@ -687,7 +708,7 @@
     }
     for (const auto& n : e.entries)
       apply(n);
-    if (s.ask_list && e.scope == ListScope::cached)
+    if (s.polls_list && e.scope == ListScope::cached)
       ask_again();
   }
 
@@ -706,10 +727,10 @@
       drop(n.endpoint);
       w = &(endpoints[n.endpoint] = fresh);
       w->entry = n;
-      w->slow = kinds[at(n.kind)].slow;  // until it has shown its own
-      w->turn.share = 1.0 / s.dispatchers;
+      w->service_time_ratio = kinds[at(n.kind)].service_time_ratio;  // until it has shown its own
+      w->turn.fraction = 1.0 / s.dispatchers;
       if (cold(*w))
-        alarms.add(n.started_at + s.cold_ms, Wake::reindex,
+        alarms.add(n.started_at + s.slow_start_ms, Wake::reindex,
                    n.endpoint);  // at home there are others then
       listed.insert(n.endpoint);
       cells[n.cell].insert(n.endpoint);
@@ -732,93 +753,96 @@
       endpoints.erase(id);
   }
 
-  // Spread by the number of dispatchers, slower after failures, yet never slower than ask_within_ms
-  // requires.
+  // Spread by the number of dispatchers, slower after failures, yet never slower than
+  // poll_within_ms requires.
   void ask_again() {
-    if (!s.ask_list)
+    if (!s.polls_list)
       return;
-    double spread = std::min(0.2 * s.ask_within_ms, 40.0 * (s.dispatchers - 1) + ask_backoff);
-    ask_backoff = std::min(0.2 * s.ask_within_ms, 2 * ask_backoff + 200);
+    double spread = std::min(0.2 * s.poll_within_ms, 40.0 * (s.dispatchers - 1) + ask_backoff);
+    ask_backoff = std::min(0.2 * s.poll_within_ms, 2 * ask_backoff + 200);
     alarms.add(now + spread * random(), Wake::subscribe);
   }
 
   // Jobs that have used up a stricter limit on attempts end here: held, they would wait in vain.
-  void on(const Retune& e) {
+  void on(const SettingsChanged& e) {
     s = e.settings;
     std::vector<ClassState> old = classes;
     classes.resize(s.classes.size());
     for (int c = 0; at(c) < classes.size(); ++c)
       classes[at(c)].learned =
-          e.from[at(c)] < 0 ? ClassState{}.learned : old[at(e.from[at(c)])].learned;
+          e.learned_from[at(c)] < 0 ? ClassState{}.learned : old[at(e.learned_from[at(c)])].learned;
     resize();
     for (const ClassState& c : classes)
       for (const Queue& held : c.held)
         for (const auto& [size, seq, id] : Queue(held))
-          if (requests.at(id).attempts.size() >= at(s.try_limit))
+          if (requests.at(id).attempts.size() >= at(s.max_attempts))
             finish(requests.at(id)), forget_if_done(id);
   }
 
-  void on(const Twin& e) { twin = e.here; }
-  void on(const SendPermission& e) { may_release = e.allowed; }
-  void on(const Members& e) {
-    dead = static_cast<int>(std::count(e.lives.begin(), e.lives.end(), false));
+  void on(const SiblingProcess& e) { twin = e.is_present; }
+  void on(const SendPermission& e) { may_release = e.is_allowed; }
+  void on(const MembershipChanged& e) {
+    dead = static_cast<int>(std::count(e.is_alive.begin(), e.is_alive.end(), false));
   }
 
-  void on(const Homes& e) {
+  void on(const SubsetChanged& e) {
     double own = 0;
-    for (const Homes::At& at : e.endpoints) {
-      own += at.own;
+    for (const SubsetEntry& at : e.endpoints) {
+      own += at.is_own;
       if (Endpoint* w = find(at.endpoint))
         w->home = at, index(*w);
     }
     at_home = own / std::max(1.0, static_cast<double>(e.endpoints.size()));
-    talks = e.talk;
+    talks = e.shares_load;
   }
 
-  void on(const Turns& e) {
-    for (const Turns::At& at : e.endpoints)
-      if (Endpoint* w = find(at.home.endpoint); w && w->entry.started_at == at.started_at)
+  void on(const SlowStartShares& e) {
+    for (const SlowStartShare& at : e.endpoints)
+      if (Endpoint* w = find(at.subset.endpoint); w && w->entry.started_at == at.started_at)
         w->turn = at, index(*w);
   }
 
-  void on(const Grant& e) {
+  void on(const SlowStartGrant& e) {
     Endpoint* w = find(e.endpoint);
     if (!w || w->entry.started_at != e.started_at)
       return;
-    e.ours ? void(w->granted = e) : sent_cold(*w, e.until, e.work);
+    e.is_received ? void(w->granted = e) : sent_cold(*w, e.until, e.work_ms);
   }
 
-  void on(const Knowledge& k) {
+  void on(const LearnedState& k) {
     for (int c = 0; at(c) < classes.size(); ++c)
       classes[at(c)].learned = k.classes.at(at(c));
     for (int i = 0; i < s.kinds; ++i)
-      static_cast<Knowledge::OfKind&>(kinds[at(i)]) = k.kinds.at(at(i));
-    static_cast<OfFleet&>(*this) = k.fleet;
-    for (const Knowledge::Seen& seen : k.endpoints) {
+      static_cast<LearnedState::KindSpeed&>(kinds[at(i)]) = k.kinds.at(at(i));
+    static_cast<LearnedState::Fleet&>(*this) = k.fleet;
+    for (const LearnedState::Endpoint& seen : k.endpoints) {
       Endpoint* w = find(seen.endpoint);
       if (!w || w->entry.started_at != seen.started_at)
         continue;
-      static_cast<Knowledge::OfWorker&>(*w) = seen.of;
-      w->told.set(s.rank, seen.load, now + kToldLife);
-      sent_cold(*w, now, seen.cold_work);
-      for (Time when : {w->shut_until, now + kToldLife})
+      static_cast<LearnedState::Health&>(*w) = seen.health;
+      w->told.set(s.rank, seen.in_flight, now + kToldLife);
+      sent_cold(*w, now, seen.slow_start_work_ms);
+      for (Time when : {w->ejected_until, now + kToldLife})
         alarms.add(when, Wake::reindex, seen.endpoint);
       index(*w);
     }
   }
 
-  Knowledge knowledge(Time t) {
-    Knowledge k{{}, {}, {kinds.begin(), kinds.end()}, *this};
+  LearnedState learned_state(Time t) {
+    LearnedState k;
+    k.kinds.assign(kinds.begin(), kinds.end());
+    k.fleet = *this;
     for (const ClassState& c : classes)
       k.classes.push_back(c.learned);
     for (EndpointId id : listed) {
       Endpoint& w = endpoints[id];
-      k.endpoints.push_back({id, w.entry.started_at, w, w.load, w.cold_sent.sum(t - s.fall_ms)});
+      k.endpoints.push_back(
+          {id, w.entry.started_at, w, w.load, w.cold_sent.sum(t - s.overload_window_ms)});
     }
     return k;
   }
 
-  void on(const Timer& e) { alarms.rang(e.name); }
+  void on(const TimerFired& e) { alarms.rang(e.id); }
   void on(const auto&) {}  // probe results: nothing is decided on them
 
   void ring(const Alarms<Wake>::Alarm& a) {
@@ -832,7 +856,7 @@
     if (Endpoint* w = a.wake == Wake::reindex ? find(a.id) : nullptr)
       index(*w);
     if (a.wake == Wake::subscribe && !subscribed && !asking)
-      asking = true, out->push_back(Subscribe{});
+      asking = true, out->push_back(PollEndpointList{});
   }
 
   void handle(Time t, const Event& event, Actions& actions) {
@@ -850,7 +874,7 @@
 };
 
 Dispatcher::Dispatcher(const Settings& settings, std::uint64_t seed,
-                       std::shared_ptr<TenantShares> shares)
+                       std::shared_ptr<TenantQuotas> shares)
     : impl_(std::make_unique<Impl>(settings, seed, std::move(shares))) {}
 Dispatcher::~Dispatcher() = default;
 Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
@@ -859,24 +883,24 @@
 void Dispatcher::handle(Time now, const Event& event, Actions& out) {
   impl_->handle(now, event, out);
 }
-double Dispatcher::calibration(int cls) const {
-  return impl_->classes.at(at(cls)).learned.factor;
+double Dispatcher::calibration(int class_index) const {
+  return impl_->classes.at(at(class_index)).learned.factor;
 }
-std::size_t Dispatcher::held() const {
+std::size_t Dispatcher::queued_requests() const {
   return impl_->held_count;
 }
-Knowledge Dispatcher::knowledge(Time now) const {
-  return impl_->knowledge(now);
+LearnedState Dispatcher::learned_state(Time now) const {
+  return impl_->learned_state(now);
 }
-ColdRoom Dispatcher::cold_room(EndpointId endpoint, Time now) const {
+SlowStartBudget Dispatcher::slow_start_budget(EndpointId endpoint, Time now) const {
   impl_->now = std::max(impl_->now, now);
   const Endpoint* w = impl_->find(endpoint);
-  return w && impl_->cold(*w) ? impl_->cold_room(*w) : ColdRoom{};
+  return w && impl_->cold(*w) ? impl_->slow_start_budget(*w) : SlowStartBudget{};
 }
-bool Dispatcher::avoids(EndpointId endpoint, Time now) const {
+bool Dispatcher::is_ejected(EndpointId endpoint, Time now) const {
   const Endpoint* w = impl_->find(endpoint);
-  return w && w->entry.state == EndpointState::ready && now < w->shut_until &&
-         w->strikes + w->faults > 0;
+  return w && w->entry.state == EndpointState::ready && now < w->ejected_until &&
+         w->outlier_signs + w->consecutive_failures > 0;
 }
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- a/src/peers.h
+++ b/scheduler/peers.h
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "containers.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/containers.h"
+#include "scheduler/dispatcher.h"
 
-namespace reedlb {
+namespace keelflow::scheduler {
 
 enum class Sign : std::uint8_t { none, sent, served, full, late, unreached, failed };
 
@@ -28,7 +28,7 @@
   std::uint8_t life = 0;  // notes on a former life of a endpoint tell nothing of the present one
   double load = 0;
   Sign sign = Sign::none;
-  double slow = 1;
+  double service_time_ratio = 1;
   double work = 0;  // ms
 };
 constexpr double kWorkUnit = 64;
@@ -42,7 +42,7 @@
   for (int shift : {24, 16, 8, 0})
     out += static_cast<char>(n.endpoint >> shift & 0xff);
   return out + static_cast<char>(n.life) + byte(std::ceil(n.load)) + static_cast<char>(n.sign) +
-         byte(n.sign == Sign::sent ? std::ceil(n.work / kWorkUnit) : n.slow * 32);
+         byte(n.sign == Sign::sent ? std::ceil(n.work / kWorkUnit) : n.service_time_ratio * 32);
 }
 
 // Empty: not such a note. Peers of another release may say other things.
@@ -61,7 +61,7 @@
   n.load = byte(5);
   n.sign = static_cast<Sign>(byte(6));
   if (n.sign == Sign::served)
-    n.slow = byte(7) / 32.0;
+    n.service_time_ratio = byte(7) / 32.0;
   if (n.sign == Sign::sent)
     n.work = byte(7) * kWorkUnit;
   return n;
@@ -101,4 +101,4 @@
   return static_cast<std::uint8_t>(life_of(e));
 }
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- a/src/settings.cpp
+++ b/scheduler/settings.cpp
@@ -3,14 +3,14 @@
 #include <stdexcept>
 #include <string>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
-namespace reedlb {
+namespace keelflow::scheduler {
 
 void validate(const Settings& s) {
   auto need = [](bool ok, const char* what) {
     if (!ok)
-      throw std::invalid_argument(std::string("reedlb settings: ") + what);
+      throw std::invalid_argument(std::string("scheduler settings: ") + what);
   };
   auto fine = [](double v) {
     return std::isfinite(v) && v >= 0;
@@ -20,17 +20,19 @@
   need(s.zones > 0 && s.zone >= 0 && s.zone < s.zones, "zone out of range");
   need(s.kinds > 0, "no kinds");
   need(!s.classes.empty(), "no classes");
-  need(s.try_limit > 0, "try_limit must be positive");
+  need(s.max_attempts > 0, "try_limit must be positive");
   for (const auto& c : s.classes) {
-    need(fine(c.window_ms) && fine(c.target_ms) && fine(c.stretch) && fine(c.value) &&
-             fine(c.late_worth),
+    need(fine(c.deduplication_window_ms) && fine(c.latency_objective_ms) &&
+             fine(c.objective_runtime_factor) && fine(c.priority_weight) &&
+             fine(c.late_weight_fraction),
          "a class figure is negative or not finite");
     need(c.kind >= -1 && c.kind < s.kinds, "class kind out of range");
   }
   for (double v :
-       {s.tick_ms, s.ask_within_ms, s.max_retry_after_ms, s.drain_grace_ms, s.grace_to_answer_ms,
-        s.cold_from, s.cold_ms, s.fall_multiple, s.fall_ms, s.over_share_worth, s.probe_price})
+       {s.tick_ms, s.poll_within_ms, s.max_retry_after_ms, s.drain_grace_ms, s.grace_to_answer_ms,
+        s.slow_start_initial_fraction, s.slow_start_ms, s.overload_multiple, s.overload_window_ms,
+        s.over_quota_weight, s.health_check_price})
     need(fine(v), "a figure is negative or not finite");
 }
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/settings.h
@@ -0,0 +1,96 @@
+/// Settings of one Dispatcher. Classes, zones, kinds and tenants are positions in the caller's own
+/// lists: the scheduler is never given a name.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+namespace keelflow::scheduler {
+
+/// Milliseconds on the caller's clock, which only moves forward.
+using Time = double;
+
+/// Whether a request may be sent again once an attempt of it may have run.
+enum class Idempotency : std::uint8_t {
+  idempotent,           ///< it may run any number of times
+  idempotent_with_key,  ///< repeats are dropped by a group of endpoints, for a while
+  non_idempotent,       ///< it must not run twice
+};
+
+/// Which endpoints drop the repeats of a request that is idempotent with a key.
+enum class DeduplicationScope : std::uint8_t { all, zone, cell };
+
+/// What a value of an endpoint's load report means.
+enum class ReportField : std::uint8_t {
+  other,
+  active,
+  waiting,
+  busy,
+  latency_ms,
+  served_rate,
+  error_rate,
+  free_slots
+};
+
+/// Settings of one class of requests.
+struct ClassSettings {
+  Idempotency idempotency = Idempotency::idempotent;
+  /// Only of classes that are idempotent with a key: who drops repeats, and for how long.
+  DeduplicationScope deduplication_scope = DeduplicationScope::all;
+  double deduplication_window_ms = 0;
+  /// A response is in time within the objective plus the factor times the request's own running
+  /// time.
+  double latency_objective_ms = 0;
+  double objective_runtime_factor = 0;
+  double priority_weight = 1;
+  /// The fraction of its weight that a late response still earns.
+  double late_weight_fraction = 0;
+  int kind = -1;           ///< the only kind of endpoint that runs it, or -1
+  int queue_priority = 0;  ///< counts in the endpoints' queues where `queue_by_priority` is set
+  bool operator==(const ClassSettings&) const = default;
+};
+
+/// Settings of one Dispatcher.
+struct Settings {
+  int dispatchers = 1;  ///< how many there are in the fleet
+  int rank = 0;         ///< which one of them this is
+  int zone = 0;         ///< this dispatcher's own
+  int zones = 1;
+  int kinds = 1;  ///< of endpoints
+  std::vector<ClassSettings> classes;
+  std::vector<double> tenant_quota;  ///< requests a second for each tenant, over all dispatchers
+  double over_quota_weight = 1;      ///< the weight of a request beyond its tenant's quota
+  double tick_ms = 1;                ///< events arrive no more often than this
+  bool polls_list = false;           ///< the endpoint list must be polled (PollEndpointList)
+  double poll_within_ms = 10000;
+  bool cancel = true;  ///< attempts may be cancelled
+  bool probes = false;
+  bool peers = false;  ///< dispatchers may send one another messages
+  bool concurrent_attempts = false;
+  bool retry_after = false;  ///< a rejection may say when to retry
+  int max_attempts = 1;
+  double max_retry_after_ms = 0;
+  bool reports_start = false;  ///< endpoints report when an attempt starts to run
+  bool queue_by_priority = false;
+  /// Prices, in points of service each.
+  double health_check_price = 0;
+  double cross_zone_price = 0;
+  double waste_price = 0;
+  double late_fail_price = 0;
+  std::vector<ReportField> report;  ///< the meaning of each value of a load report
+  double drain_grace_ms = 0;
+  double grace_to_answer_ms = 0;
+  /// Slow start: the fraction of its capacity that an endpoint has when it starts, and after how
+  /// long it has all of it. It is overloaded by more than `overload_multiple` times its capacity
+  /// within a window.
+  double slow_start_initial_fraction = 1;
+  double slow_start_ms = 0;
+  double overload_multiple = 1;
+  double overload_window_ms = 0;
+  bool operator==(const Settings&) const = default;
+};
+
+/// Throws std::invalid_argument on settings that cannot be.
+void validate(const Settings& settings);
+
+}  // namespace keelflow::scheduler
--- a/src/tuning.h
+++ b/scheduler/tuning.h
@@ -1,7 +1,7 @@
 // The constants of the decisions, each with what it stands for. None is fitted to one deployment.
 #pragma once
 
-namespace reedlb {
+namespace keelflow::scheduler {
 
 constexpr double kAlpha = 0.1;      // EMA step of the calibration factor and of the other averages
 constexpr double kSlowAlpha = 0.2;  // EMA step of a endpoint's relative slowness
@@ -37,4 +37,4 @@
 constexpr double kColdPace = 0.9;  // and a kind counts as faster than its size by so much at most
 constexpr double kWindowMargin = 0.9;  // share of a keyed class's window used for further sends
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- a/adapter/codec.cpp
+++ b/simulator_adapter/codec.cpp
@@ -1,11 +1,33 @@
-#include "codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <bit>
 #include <cstring>
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
 namespace {
 
+using scheduler::AttemptFinished;
+using scheduler::AttemptResult;
+using scheduler::AttemptStarted;
+using scheduler::CancelAttempt;
+using scheduler::ClientDisconnected;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::FailRequest;
+using scheduler::HealthCheckResult;
+using scheduler::ListScope;
+using scheduler::LoadReport;
+using scheduler::PeerMessage;
+using scheduler::PollEndpointList;
+using scheduler::RejectRequest;
+using scheduler::RequestArrived;
+using scheduler::ResponseStreamStarted;
+using scheduler::SendAttempt;
+using scheduler::SendHealthCheck;
+using scheduler::SendPeerMessage;
+using scheduler::SetTimer;
+using scheduler::TimerFired;
+
 template <typename T>
 T get(std::string_view b, std::size_t at) {
   T v = 0;
@@ -40,24 +62,24 @@
   return report;
 }
 
-Result read_result(unsigned code) {
+AttemptResult read_result(unsigned code) {
   switch (code) {
     case 0:
-      return Result::ok;
+      return AttemptResult::ok;
     case 1:
-      return Result::cancelled;
+      return AttemptResult::cancelled;
     case 4:
-      return Result::timeout;
+      return AttemptResult::timeout;
     case 8:
-      return Result::full;
+      return AttemptResult::rejected;
     case 9:
-      return Result::moot;
+      return AttemptResult::withheld;
     case 10:
-      return Result::reset;
+      return AttemptResult::reset;
     case 14:
-      return Result::connect_failed;
+      return AttemptResult::connect_failed;
     default:
-      return Result::error;  // 13, and any code not known: it may have run
+      return AttemptResult::error;  // 13, and any code not known: it may have run
   }
 }
 
@@ -114,42 +136,42 @@
       case 50:
         return Event(topology());
       case 70: {
-        Arrival a;
+        RequestArrived a;
         unsigned attrs = get8(r_, 42);
         a.request = id(1);
-        a.cls = get8(r_, 5);
+        a.class_index = get8(r_, 5);
         a.tenant = static_cast<int>(id(6) & 0x7fffffffu);
         a.key = get<std::uint64_t>(r_, 10);
-        a.ttl_ms = get_f64(r_, 18);
+        a.client_timeout_ms = get_f64(r_, 18);
         a.hint = (attrs & 1) ? get_f64(r_, 26) : 0;
         a.slots = get_f32(r_, 34);
         a.memory = get_f32(r_, 38);
-        a.repeat = attrs & 2;
+        a.is_client_retry = attrs & 2;
         return Event(a);
       }
       case 100:
-        return Event(StreamBegun{id(1)});
+        return Event(ResponseStreamStarted{id(1)});
       case 30: {
         if (get8(r_, 10) != 1)
           return Ignored{};
-        return Event(Started{id(1), get8(r_, 5)});
+        return Event(AttemptStarted{id(1), get8(r_, 5)});
       }
       case 80:
-        return Event(ClientGone{id(1)});
+        return Event(ClientDisconnected{id(1)});
       case 110:
-        return Event(Timer{get<std::uint64_t>(r_, 1)});
+        return Event(TimerFired{get<std::uint64_t>(r_, 1)});
       case 20:
         return Event(PeerMessage{static_cast<int>(id(1) & 0x7fffffffu), std::string(tail(5, 1))});
       case 10:
-        return Event(ProbeResult{id(1), get<std::uint16_t>(r_, 5) == 0, get_f64(r_, 7),
-                                 read_report(r_, 15)});
+        return Event(HealthCheckResult{id(1), get<std::uint16_t>(r_, 5) == 0, get_f64(r_, 7),
+                                       read_report(r_, 15)});
       case 120: {
-        Outcome o;
+        AttemptFinished o;
         o.request = id(1);
         o.attempt = get8(r_, 5);
         o.result = read_result(get<std::uint16_t>(r_, 10));
         o.elapsed_ms = get_f64(r_, 12);
-        o.final = get8(r_, 20) != 0;
+        o.request_finished = get8(r_, 20) != 0;
         o.report = read_report(r_, 25);
         return Event(o);
       }
@@ -229,31 +251,31 @@
 void ReplyWriter::action(const Action& action) {
   struct Visitor {
     ReplyWriter& w;
-    void operator()(const Send& a) const {
+    void operator()(const SendAttempt& a) const {
       char* r = w.record(10);
       put(r + 1, a.request);
       put(r + 5, a.endpoint);
       put_f64(r + 9, a.timeout_ms);
     }
-    void operator()(const Refuse& a) const {
+    void operator()(const RejectRequest& a) const {
       char* r = w.record(20);
       put(r + 1, a.request);
       put_f64(r + 5, a.retry_after_ms);
     }
-    void operator()(const Fail& a) const { put(w.record(30) + 1, a.request); }
-    void operator()(const Recall& a) const {
+    void operator()(const FailRequest& a) const { put(w.record(30) + 1, a.request); }
+    void operator()(const CancelAttempt& a) const {
       char* r = w.record(40);
       put(r + 1, a.request);
       r[5] = static_cast<char>(a.attempt);
     }
     void operator()(const SetTimer& a) const {
       char* r = w.record(50);
-      put(r + 1, a.name);
+      put(r + 1, a.id);
       put_f64(r + 9, a.when);
     }
-    void operator()(const Probe& a) const { put(w.record(60) + 1, a.endpoint); }
-    void operator()(const Subscribe&) const { w.record(110)[1] = 1; }
-    void operator()(const Tell& a) const {
+    void operator()(const SendHealthCheck& a) const { put(w.record(60) + 1, a.endpoint); }
+    void operator()(const PollEndpointList&) const { w.record(110)[1] = 1; }
+    void operator()(const SendPeerMessage& a) const {
       char* r = w.record(80);
       put(r + 1, static_cast<std::uint16_t>(a.peer));
       put(r + 3, static_cast<std::uint32_t>(w.tail_.size()));
@@ -276,4 +298,4 @@
   return frame;
 }
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/adapter/codec.h
+++ b/simulator_adapter/codec.h
@@ -8,9 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
+
+using scheduler::Action;
+using scheduler::Event;
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -61,4 +64,4 @@
   std::uint32_t count_ = 0;
 };
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/adapter/instances.cpp
+++ b/simulator_adapter/instances.cpp
@@ -1,8 +1,12 @@
-#include "instances.h"
+#include "simulator_adapter/instances.h"
 
-#include "settings.h"
+#include "simulator_adapter/settings.h"
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
+
+using scheduler::Actions;
+using scheduler::Dispatcher;
+using scheduler::Settings;
 
 std::string Instances::play(const Header& header, std::string_view body, std::string& log) {
   ReplyWriter reply;
@@ -30,7 +34,7 @@
     } else if (const auto* unknown = std::get_if<Unknown>(&event.record)) {
       bool& logged = table_[event.instance].unknown_logged[unknown->code];
       if (!logged)
-        log += "reedlb_adapter: event code " + std::to_string(unknown->code) + " skipped\n";
+        log += "simulator_adapter: event code " + std::to_string(unknown->code) + " skipped\n";
       logged = true;
     } else if (const auto* input = std::get_if<Event>(&event.record)) {
       auto it = table_.find(event.instance);
@@ -59,4 +63,4 @@
   return reply.finish();
 }
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/adapter/instances.h
+++ b/simulator_adapter/instances.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-#include "codec.h"
 #include "fleet/subsets.h"
 #include "fleet/turns.h"
+#include "simulator_adapter/codec.h"
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
 
 class Instances {
  public:
@@ -21,12 +21,12 @@
 
  private:
   struct Instance {
-    std::unique_ptr<Dispatcher> dispatcher;
-    std::optional<keelflow::fleet::Homes> homes;
-    std::optional<keelflow::fleet::Turns> turns;
+    std::unique_ptr<scheduler::Dispatcher> dispatcher;
+    std::optional<fleet::Homes> homes;
+    std::optional<fleet::Turns> turns;
     std::map<int, bool> unknown_logged;
   };
   std::map<std::uint32_t, Instance> table_;
 };
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -3,7 +3,7 @@
 #include <exception>
 #include <string>
 
-#include "instances.h"
+#include "simulator_adapter/instances.h"
 
 namespace {
 
@@ -25,7 +25,7 @@
 }
 
 int run() {
-  using namespace reedlb::wire;
+  using namespace keelflow::simulator_adapter;
   Instances instances;
   std::string head, body, log;
   while (true) {
@@ -54,7 +54,7 @@
   try {
     return run();
   } catch (const std::exception& fault) {
-    std::fprintf(stderr, "reedlb_adapter: %s\n", fault.what());
+    std::fprintf(stderr, "simulator_adapter: %s\n", fault.what());
     return 2;
   }
 }
--- a/adapter/settings.cpp
+++ b/simulator_adapter/settings.cpp
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "simulator_adapter/settings.h"
 
 #include <charconv>
 #include <cmath>
@@ -6,9 +6,15 @@
 #include <optional>
 #include <string>
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
 namespace {
 
+using scheduler::ClassSettings;
+using scheduler::DeduplicationScope;
+using scheduler::Idempotency;
+using scheduler::ReportField;
+using scheduler::Settings;
+
 class Pairs {
  public:
   explicit Pairs(std::string_view text) {
@@ -106,20 +112,24 @@
 ClassSettings read_class(const Pairs& p, std::size_t i) {
   std::string at = "classes." + std::to_string(i) + ".";
   ClassSettings c;
-  c.effect = choice<Effect>(
-      p, at + "effect",
-      {{"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}});
-  if (c.effect == Effect::keyed) {
-    c.scope = choice<Scope>(p, at + "key_scope",
-                            {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}});
-    c.window_ms = p.number(at + "dedup_window_ms");
+  c.idempotency = choice<Idempotency>(p, at + "effect",
+                                      {{"safe", Idempotency::idempotent},
+                                       {"keyed", Idempotency::idempotent_with_key},
+                                       {"unsafe", Idempotency::non_idempotent}});
+  if (c.idempotency == Idempotency::idempotent_with_key) {
+    c.deduplication_scope = choice<DeduplicationScope>(p, at + "key_scope",
+                                                       {{"all", DeduplicationScope::all},
+                                                        {"zone", DeduplicationScope::zone},
+                                                        {"cell", DeduplicationScope::cell}});
+    c.deduplication_window_ms = p.number(at + "dedup_window_ms");
   }
-  c.target_ms = p.number(at + "target_ms");
-  c.stretch = p.number(at + "aim_stretch", p.item("family_info.class_stretch", i, 0));
-  c.value = p.number(at + "value", 1);
-  c.late_worth = p.number(at + "late_worth", 0);
+  c.latency_objective_ms = p.number(at + "target_ms");
+  c.objective_runtime_factor =
+      p.number(at + "aim_stretch", p.item("family_info.class_stretch", i, 0));
+  c.priority_weight = p.number(at + "value", 1);
+  c.late_weight_fraction = p.number(at + "late_worth", 0);
   c.kind = Pairs::to_int("family_info.class_kind", p.item("family_info.class_kind", i, -1));
-  c.priority =
+  c.queue_priority =
       Pairs::to_int("family_info.class_priority", p.item("family_info.class_priority", i, 0));
   return c;
 }
@@ -151,20 +161,20 @@
   int tenants = p.integer("tenants.count", 0);
   for (int i = 0; i < tenants; ++i)
     s.tenant_quota.push_back(p.number("tenants." + std::to_string(i) + ".quota_per_s", 0));
-  s.over_share_worth = p.number("over_share_worth", 1);
+  s.over_quota_weight = p.number("over_share_worth", 1);
   s.tick_ms = p.number("granularity_ms");
-  s.ask_list = choice<bool>(p, "registry_mode", {{"push", false}, {"ask", true}});
-  s.ask_within_ms = p.number("safety.ask_within_ms", 10000);
+  s.polls_list = choice<bool>(p, "registry_mode", {{"push", false}, {"ask", true}});
+  s.poll_within_ms = p.number("safety.ask_within_ms", 10000);
   s.cancel = p.flag("limits.cancel", false);
   s.probes = p.flag("limits.probes", false);
   s.peers = p.flag("limits.peer_messages", false);
-  s.parallel_tries = p.flag("limits.parallel_tries", false);
+  s.concurrent_attempts = p.flag("limits.parallel_tries", false);
   s.retry_after = p.flag("limits.retry_after", false);
-  s.try_limit = p.integer("limits.try_limit");
+  s.max_attempts = p.integer("limits.try_limit");
   s.max_retry_after_ms = p.number("limits.max_retry_after_ms", 0);
-  s.tells_start = p.flag("family_info.tells_start", false);
+  s.reports_start = p.flag("family_info.tells_start", false);
   s.queue_by_priority = p.find("family_info.queue_order") == "priority";
-  s.probe_price = p.number("penalties.probe", 0);
+  s.health_check_price = p.number("penalties.probe", 0);
   s.cross_zone_price = p.number("penalties.cross_zone", 0);
   s.waste_price = p.number("penalties.waste", 0);
   s.late_fail_price = p.number("penalties.late_fail", 0);
@@ -174,11 +184,11 @@
   }
   s.drain_grace_ms = p.number("safety.drain_grace_ms");
   s.grace_to_answer_ms = p.number("safety.grace_to_answer_ms");
-  s.cold_from = p.number("safety.cold_from");
-  s.cold_ms = p.number("safety.cold_ms");
-  s.fall_multiple = p.number("safety.fall_multiple");
-  s.fall_ms = p.number("safety.fall_ms");
+  s.slow_start_initial_fraction = p.number("safety.cold_from");
+  s.slow_start_ms = p.number("safety.cold_ms");
+  s.overload_multiple = p.number("safety.fall_multiple");
+  s.overload_window_ms = p.number("safety.fall_ms");
   return s;
 }
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/adapter/settings.h
+++ b/simulator_adapter/settings.h
@@ -4,14 +4,14 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
 
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-Settings read_settings(std::string_view profile);  // throws SettingsError naming the key
+scheduler::Settings read_settings(std::string_view profile);  // throws SettingsError naming the key
 
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,16 +1,32 @@
-#include "codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
 
 #include <bit>
 #include <cstring>
 
-#include "instances.h"
-#include "settings.h"
+#include "simulator_adapter/instances.h"
+#include "simulator_adapter/settings.h"
 
-namespace reedlb::wire {
+namespace keelflow::simulator_adapter {
 namespace {
 
+using scheduler::AttemptFinished;
+using scheduler::AttemptResult;
+using scheduler::ClientDisconnected;
+using scheduler::DeduplicationScope;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::Idempotency;
+using scheduler::ListScope;
+using scheduler::ReportField;
+using scheduler::RequestArrived;
+using scheduler::SendAttempt;
+using scheduler::SendPeerMessage;
+using scheduler::SetTimer;
+using scheduler::Settings;
+using scheduler::TimerFired;
+
 std::string hex(std::string_view text) {
   std::string out;
   int high = -1;
@@ -52,16 +68,16 @@
       padded("6e 000000000000004d") + padded("3c 00000005") + padded("50 0e6f2b19");
   auto all = read_body(header_for(body, 5), body);
   ASSERT_EQ(all.size(), 3u);
-  auto a = event_of<Arrival>(all[0]);
+  auto a = event_of<RequestArrived>(all[0]);
   EXPECT_EQ(all[0].instance, 3u);
   EXPECT_EQ(a.request, 0x5d3a91c4u);
   EXPECT_EQ(a.key, 0x91f03b7c55d20a64ull);
-  EXPECT_DOUBLE_EQ(a.ttl_ms, 240);
+  EXPECT_DOUBLE_EQ(a.client_timeout_ms, 240);
   EXPECT_DOUBLE_EQ(a.hint, 12);
   EXPECT_DOUBLE_EQ(a.slots, 2);
-  EXPECT_EQ(event_of<Timer>(all[1]).name, 77u);
+  EXPECT_EQ(event_of<TimerFired>(all[1]).id, 77u);
   EXPECT_EQ(all[2].instance, 5u);
-  EXPECT_EQ(event_of<ClientGone>(all[2]).request, 0x0e6f2b19u);
+  EXPECT_EQ(event_of<ClientDisconnected>(all[2]).request, 0x0e6f2b19u);
 }
 
 TEST(Codec, ReadsTheWorkerListAndOutcomes) {
@@ -76,21 +92,21 @@
   EXPECT_EQ(list.entries[1].endpoint, 0x2c9011f2u);
   EXPECT_EQ(list.entries[1].cell, 7);
   EXPECT_EQ(list.entries[1].state, EndpointState::draining);
-  EXPECT_DOUBLE_EQ(list.entries[1].nominal, 1.5);
+  EXPECT_DOUBLE_EQ(list.entries[1].nominal_capacity, 1.5);
   EXPECT_DOUBLE_EQ(list.entries[1].started_at, 6100);
-  auto o = event_of<Outcome>(all[1]);
+  auto o = event_of<AttemptFinished>(all[1]);
   EXPECT_EQ(o.attempt, 2);
-  EXPECT_EQ(o.result, Result::reset);
+  EXPECT_EQ(o.result, AttemptResult::reset);
   EXPECT_DOUBLE_EQ(o.elapsed_ms, 18.5);
-  EXPECT_TRUE(o.final);
+  EXPECT_TRUE(o.request_finished);
 }
 
 TEST(Codec, WritesActions) {
   ReplyWriter w;
   w.instance(3);
-  w.action(Send{0x5d3a91c4, 0x03124a07, 80});
+  w.action(SendAttempt{0x5d3a91c4, 0x03124a07, 80});
   w.action(SetTimer{77, 12508.25});
-  w.action(Tell{7, "hi q"});
+  w.action(SendPeerMessage{7, "hi q"});
   w.instance(5);
   w.give_in("two servers left");
   std::string expected = hex("000000a4 00000006") + padded("82 00000003", 24) +
@@ -147,11 +163,11 @@
   Settings s = read_settings(kProfile);
   EXPECT_EQ(s.dispatchers, 2);
   EXPECT_EQ(s.zones, 2);
-  EXPECT_EQ(s.classes.at(0).effect, Effect::keyed);
-  EXPECT_EQ(s.classes[0].scope, Scope::zone);
+  EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::idempotent_with_key);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::zone);
   EXPECT_EQ(s.classes[0].kind, 1);
-  EXPECT_DOUBLE_EQ(s.classes[0].stretch, 1.5);
-  EXPECT_TRUE(s.ask_list);
+  EXPECT_DOUBLE_EQ(s.classes[0].objective_runtime_factor, 1.5);
+  EXPECT_TRUE(s.polls_list);
   ASSERT_EQ(s.report.size(), 2u);
   EXPECT_EQ(s.report[0], ReportField::busy);
   EXPECT_EQ(s.report[1], ReportField::free_slots);
@@ -183,8 +199,8 @@
   std::string log;
   std::string body = padded("3c 00000003") + padded("50 0e6f2b19") + padded("ff") + padded("ff");
   EXPECT_EQ(table.play(header_for(body, 4), body, log), hex("00000000 00000000"));
-  EXPECT_EQ(log, "reedlb_adapter: event code 255 skipped\n");
+  EXPECT_EQ(log, "simulator_adapter: event code 255 skipped\n");
 }
 
 }  // namespace
-}  // namespace reedlb::wire
+}  // namespace keelflow::simulator_adapter
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -9,23 +9,23 @@
 
 #include "fleet/subsets.h"
 #include "fleet/turns.h"
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
-namespace reedlb {
+namespace keelflow::scheduler {
 
 inline Settings basic_settings() {
   Settings s;
   s.classes.resize(1);
-  s.classes[0].target_ms = 500;
-  s.parallel_tries = true;
-  s.try_limit = 6;
-  s.tells_start = true;
+  s.classes[0].latency_objective_ms = 500;
+  s.concurrent_attempts = true;
+  s.max_attempts = 6;
+  s.reports_start = true;
   s.drain_grace_ms = 500;
   s.grace_to_answer_ms = 8;
-  s.cold_from = 0.2;
-  s.cold_ms = 10000;
-  s.fall_multiple = 3;
-  s.fall_ms = 2000;
+  s.slow_start_initial_fraction = 0.2;
+  s.slow_start_ms = 10000;
+  s.overload_multiple = 3;
+  s.overload_window_ms = 2000;
   return s;
 }
 
@@ -47,13 +47,13 @@
     for (const auto& a : last) {
       if (const auto* t = std::get_if<SetTimer>(&a))
         timers.push_back(*t);
-      if (const auto* t = std::get_if<Send>(&a))
+      if (const auto* t = std::get_if<SendAttempt>(&a))
         sends.push_back(*t);
-      if (const auto* t = std::get_if<Recall>(&a))
+      if (const auto* t = std::get_if<CancelAttempt>(&a))
         recalls.push_back(*t);
-      if (const auto* t = std::get_if<Tell>(&a))
+      if (const auto* t = std::get_if<SendPeerMessage>(&a))
         tells.push_back(*t);
-      if (std::holds_alternative<Refuse>(a) || std::holds_alternative<Fail>(a))
+      if (std::holds_alternative<RejectRequest>(a) || std::holds_alternative<FailRequest>(a))
         answers.push_back(a);
     }
     return last;
@@ -71,7 +71,7 @@
       SetTimer t = timers[next];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(next));
       now = std::max(now, t.when);
-      play(Timer{t.name});
+      play(TimerFired{t.id});
     }
     now = to;
   }
@@ -84,35 +84,36 @@
     play(list);
   }
 
-  void arrive(RequestId id, double hint, int cls = 0, double ttl = 10000, std::uint64_t key = 0) {
-    Arrival a;
+  void arrive(RequestId id, double hint, int class_index = 0, double ttl = 10000,
+              std::uint64_t key = 0) {
+    RequestArrived a;
     a.request = id;
-    a.cls = cls;
+    a.class_index = class_index;
     a.hint = hint;
-    a.ttl_ms = ttl;
+    a.client_timeout_ms = ttl;
     a.key = key;
     play(a);
   }
 
-  void outcome(RequestId id, int attempt, Result result, bool final) {
-    Outcome o;
+  void outcome(RequestId id, int attempt, AttemptResult result, bool request_finished) {
+    AttemptFinished o;
     o.request = id;
     o.attempt = attempt;
     o.result = result;
-    o.final = final;
+    o.request_finished = request_finished;
     play(o);
   }
 
   Dispatcher d;
-  keelflow::fleet::Homes homes;
-  keelflow::fleet::Turns turns;
+  fleet::Homes homes;
+  fleet::Turns turns;
   Time now = 1000;
   Actions last;
-  std::vector<Send> sends;
-  std::vector<Recall> recalls;
-  std::vector<Tell> tells;
+  std::vector<SendAttempt> sends;
+  std::vector<CancelAttempt> recalls;
+  std::vector<SendPeerMessage> tells;
   std::vector<Action> answers;
   std::vector<SetTimer> timers;
 };
 
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
