--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using reedlb::Effect;
+using scheduler::Idempotency;
 
 const SendFacts kSend{.list_lease_valid = true,
                       .endpoint_ready = true,
@@ -61,26 +61,28 @@
 
 TEST(OperationGuard, UnsafeWorkThatMayHaveRunIsNotRepeated) {
   for (bool out : {false, true}) {
-    RepeatFacts facts{.effect = Effect::unsafe,
+    RepeatFacts facts{.idempotency = Idempotency::non_idempotent,
                       .parallel_allowed = true,
                       .earlier_out = out,
                       .earlier_may_have_run = !out,
                       .in_window = true};
     EXPECT_EQ(may_repeat(facts).reason(), Reason::may_have_run);
   }
-  EXPECT_TRUE(may_repeat({.effect = Effect::unsafe, .in_window = true}).allowed())
+  EXPECT_TRUE(may_repeat({.idempotency = Idempotency::non_idempotent, .in_window = true}).allowed())
       << "it never ran";
 }
 
 TEST(OperationGuard, KeyedWorkIsRepeatedWithinItsWindowAlone) {
-  RepeatFacts facts{.effect = Effect::keyed, .earlier_may_have_run = true, .in_window = true};
+  RepeatFacts facts{.idempotency = Idempotency::idempotent_with_key,
+                    .earlier_may_have_run = true,
+                    .in_window = true};
   EXPECT_TRUE(may_repeat(facts).allowed());
   facts.in_window = false;
   EXPECT_EQ(may_repeat(facts).reason(), Reason::window_over);
 }
 
 TEST(OperationGuard, ASecondAttemptWhileOneIsOutNeedsLeaveAndAnotherEndpoint) {
-  RepeatFacts facts{.effect = Effect::safe, .earlier_out = true, .in_window = true};
+  RepeatFacts facts{.idempotency = Idempotency::idempotent, .earlier_out = true, .in_window = true};
   EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_out);
   facts.parallel_allowed = true;
   EXPECT_TRUE(may_repeat(facts).allowed());
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 using overlay::ByHand;
-using reedlb::EndpointEntry;
-using reedlb::EndpointList;
-using reedlb::EndpointState;
-using reedlb::ListScope;
+using scheduler::EndpointEntry;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::ListScope;
 
 constexpr double kLater = 12345;
 
 EndpointList list(ListScope scope,
-                  std::vector<std::pair<reedlb::EndpointId, EndpointState>> endpoints,
+                  std::vector<std::pair<scheduler::EndpointId, EndpointState>> endpoints,
                   double started_at = 0) {
   EndpointList out{.scope = scope, .entries = {}};
   for (auto [endpoint, state] : endpoints) {
@@ -27,7 +27,7 @@
   return out;
 }
 
-EndpointState told(const EndpointList& all, reedlb::EndpointId endpoint) {
+EndpointState told(const EndpointList& all, scheduler::EndpointId endpoint) {
   for (const EndpointEntry& entry : all.entries)
     if (entry.endpoint == endpoint)
       return entry.state;
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -11,12 +11,13 @@
 namespace keelflow::plugins {
 namespace {
 
-using reedlb::Effect;
+using scheduler::Idempotency;
 
 Said said(Verdict v) {
   return {.spoke = true, .fallback = Fallback::allow, .verdict = std::move(v)};
 }
-const Subject kSafe{.effect = Effect::safe, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
+const Subject kSafe{
+    .idempotency = Idempotency::idempotent, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
 
 TEST(Verdict, OneRefusalIsEnoughAndTheLongestTimeToComeBackCounts) {
   auto all = combine({said({}), said({.refuse = true, .come_back_ms = 500}),
@@ -25,7 +26,7 @@
   EXPECT_TRUE(all.verdict.refuse);
   EXPECT_EQ(all.refused_by, 1);
   EXPECT_EQ(all.verdict.come_back_ms, 900);
-  EXPECT_FALSE(combine({said({}), said({.weigh = 2})}, kSafe, {}).verdict.refuse);
+  EXPECT_FALSE(combine({said({}), said({.queue_weight = 2})}, kSafe, {}).verdict.refuse);
 }
 
 TEST(Verdict, WhoDoesNotSpeakCountsByItsFallback) {
@@ -55,32 +56,35 @@
 }
 
 TEST(Verdict, AFurtherTryOfKeyedWorkIsNeverHeld) {
-  for (Effect effect : {Effect::safe, Effect::keyed, Effect::unsafe})
+  for (Idempotency idempotency :
+       {Idempotency::idempotent, Idempotency::idempotent_with_key, Idempotency::non_idempotent})
     for (bool repeat : {false, true}) {
       Subject subject = kSafe;
-      subject.effect = effect, subject.repeat = repeat;
+      subject.idempotency = idempotency, subject.repeat = repeat;
       auto all = combine({said({.hold_ms = 100})}, subject, {});
-      bool forbidden = effect == Effect::keyed && repeat;
+      bool forbidden = idempotency == Idempotency::idempotent_with_key && repeat;
       EXPECT_EQ(all.hold_forbidden, forbidden);
       EXPECT_EQ(all.verdict.hold_ms, forbidden ? 0 : 100);
     }
 }
 
 TEST(Verdict, WeightsMultiplyWithinBoundsAndTheFirstLabelCounts) {
-  auto all = combine({said({.weigh = 2}), said({.weigh = 3, .label = "a"}), said({.label = "b"})},
-                     kSafe, {});
-  EXPECT_EQ(all.verdict.weigh, 6);
+  auto all = combine(
+      {said({.queue_weight = 2}), said({.queue_weight = 3, .label = "a"}), said({.label = "b"})},
+      kSafe, {});
+  EXPECT_EQ(all.verdict.queue_weight, 6);
   EXPECT_EQ(all.verdict.label, "a");
-  EXPECT_EQ(combine({said({.weigh = 1e9})}, kSafe, {}).verdict.weigh, 16);
-  EXPECT_EQ(combine({said({.weigh = 1e-9})}, kSafe, {}).verdict.weigh, 1.0 / 16);
+  EXPECT_EQ(combine({said({.queue_weight = 1e9})}, kSafe, {}).verdict.queue_weight, 16);
+  EXPECT_EQ(combine({said({.queue_weight = 1e-9})}, kSafe, {}).verdict.queue_weight, 1.0 / 16);
 }
 
 TEST(Verdict, WhatIsNoSaneNumberCountsAsNotSaid) {
   for (double odd : {std::numeric_limits<double>::quiet_NaN(),
                      std::numeric_limits<double>::infinity(), -1.0, -0.0}) {
-    auto all = combine({said({.come_back_ms = odd, .hold_ms = odd, .weigh = odd})}, kSafe, {});
+    auto all =
+        combine({said({.come_back_ms = odd, .hold_ms = odd, .queue_weight = odd})}, kSafe, {});
     EXPECT_EQ(all.verdict.hold_ms, 0) << odd;
-    EXPECT_EQ(all.verdict.weigh, 1) << odd;
+    EXPECT_EQ(all.verdict.queue_weight, 1) << odd;
     EXPECT_EQ(all.verdict.come_back_ms, 0) << odd;
   }
   auto shape = combine({Shape{.has_share = true, .label = {}, .share = std::nan("")},
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -10,20 +10,20 @@
 namespace keelflow::routes {
 namespace {
 
-using reedlb::EndpointEntry;
-using reedlb::EndpointList;
-using reedlb::EndpointState;
-using reedlb::ListScope;
+using scheduler::EndpointEntry;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::ListScope;
 
 constexpr double kCold = 20'000, kRest = 2'000;
 const NameLists kNames{
     {"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
 
-std::vector<reedlb::ClassSettings> classes() {
-  std::vector<reedlb::ClassSettings> out(3);
-  out[1].effect = reedlb::Effect::keyed;
-  out[1].window_ms = 5000;
-  out[2].effect = reedlb::Effect::unsafe;
+std::vector<scheduler::ClassSettings> classes() {
+  std::vector<scheduler::ClassSettings> out(3);
+  out[1].idempotency = scheduler::Idempotency::idempotent_with_key;
+  out[1].deduplication_window_ms = 5000;
+  out[2].idempotency = scheduler::Idempotency::non_idempotent;
   return out;
 }
 
@@ -35,9 +35,9 @@
 }
 
 struct Fleet {
-  std::map<reedlb::EndpointId, std::string> names;
+  std::map<scheduler::EndpointId, std::string> names;
   EndpointList list;
-  Fleet& add(reedlb::EndpointId id, std::string name, double started_at = 0,
+  Fleet& add(scheduler::EndpointId id, std::string name, double started_at = 0,
              EndpointState state = EndpointState::ready) {
     names[id] = std::move(name);
     list.entries.push_back({id, 0, 0, 0, state, 1, started_at});
@@ -45,7 +45,7 @@
   }
   Router::Lists tell(Router& router, double now) {
     return router.split(
-        list, [this](reedlb::EndpointId id) { return std::string_view(names[id]); }, now);
+        list, [this](scheduler::EndpointId id) { return std::string_view(names[id]); }, now);
   }
 };
 
@@ -53,15 +53,15 @@
   return Router(std::move(spec), kNames, classes(), {kCold, kRest});
 }
 
-Query query(std::uint64_t object, int cls = 0) {
+Query query(std::uint64_t object, int class_index = 0) {
   Query q;
-  q.cls = cls;
+  q.class_index = class_index;
   q.object = object;
   q.patience_ms = 1000;
   return q;
 }
 
-const EndpointEntry* find(const Router::Lists& lists, int pool, reedlb::EndpointId endpoint) {
+const EndpointEntry* find(const Router::Lists& lists, int pool, scheduler::EndpointId endpoint) {
   for (const auto& [told, list] : lists)
     if (told == pool)
       for (const auto& entry : list.entries)
@@ -77,19 +77,19 @@
                 {"hosts", {}, {}, {"n-", "m-"}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"both", 1}}, false}};
   Router router = make(spec);
-  std::map<reedlb::EndpointId, std::string> names{{1, "a"}, {2, "a"}, {3, "m-1"}, {4, "a"}};
+  std::map<scheduler::EndpointId, std::string> names{{1, "a"}, {2, "a"}, {3, "m-1"}, {4, "a"}};
   EndpointList list;
   list.entries = {{1, 0, 0, 3, EndpointState::ready, 1, 0},
                   {2, 0, 1, 3, EndpointState::ready, 1, 0},
                   {3, 1, 1, 9, EndpointState::ready, 1, 0},
                   {4, 1, 0, 9, EndpointState::ready, 1, 0}};
   auto told = router.split(
-      list, [&](reedlb::EndpointId id) { return std::string_view(names[id]); }, 1000);
+      list, [&](scheduler::EndpointId id) { return std::string_view(names[id]); }, 1000);
   EXPECT_TRUE(find(told, 0, 1));
   EXPECT_TRUE(find(told, 1, 2));
   EXPECT_TRUE(find(told, 2, 3));
   EXPECT_EQ(router.unassigned(), 1);
-  std::map<reedlb::EndpointId, int> count;
+  std::map<scheduler::EndpointId, int> count;
   for (const auto& [pool, part] : told)
     for (const auto& entry : part.entries)
       ++count[entry.endpoint];
@@ -182,7 +182,7 @@
   EXPECT_EQ(router.choose(q, 0).route, 2);
   q.tenant = 1;
   EXPECT_EQ(router.choose(q, 0).route, 0);
-  q.cls = 0;
+  q.class_index = 0;
   q.path = "/price/books/1";
   EXPECT_EQ(router.choose(q, 0).route, 1);
 }
@@ -263,7 +263,7 @@
   std::mt19937 random(3);
   for (int i = 0; i < 200; ++i) {
     Fleet fleet;
-    for (reedlb::EndpointId w = 1; w <= 20; ++w)
+    for (scheduler::EndpointId w = 1; w <= 20; ++w)
       if (random() % 3)
         fleet.add(w, "h", 0, random() % 4 ? EndpointState::ready : EndpointState::draining);
     fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta,
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -13,7 +13,7 @@
 namespace keelflow::fleet {
 namespace {
 
-using reedlb::EndpointId;
+using scheduler::EndpointId;
 
 struct Size {
   int dispatchers, endpoints;
@@ -129,31 +129,31 @@
 }
 
 TEST(Homes, ADispatcherIsToldWhenItsListOrTheMembersChangeAndOnlyThen) {
-  reedlb::Settings s;
+  scheduler::Settings s;
   s.dispatchers = 40;
   s.rank = 7;
   Homes homes(s);
-  reedlb::EndpointList list;
+  scheduler::EndpointList list;
   for (EndpointId w : draw(30, 3))
-    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
+    list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
   auto told = homes.after(list);
   ASSERT_TRUE(told);
   EXPECT_EQ(told->endpoints.size(), 30u);
   EXPECT_FALSE(homes.after(list));
-  list.scope = reedlb::ListScope::delta;
+  list.scope = scheduler::ListScope::delta;
   list.entries.resize(1);
-  list.entries[0].state = reedlb::EndpointState::draining;
+  list.entries[0].state = scheduler::EndpointState::draining;
   EXPECT_FALSE(homes.after(list));  // it is still there
-  list.entries[0].state = reedlb::EndpointState::gone;
+  list.entries[0].state = scheduler::EndpointState::gone;
   EXPECT_EQ(homes.after(list)->endpoints.size(), 29u);
   std::vector<bool> lives(40, true);
-  EXPECT_FALSE(homes.after(reedlb::Members{lives}));
+  EXPECT_FALSE(homes.after(scheduler::MembershipChanged{lives}));
   lives[3] = false;
-  auto without = homes.after(reedlb::Members{lives});
+  auto without = homes.after(scheduler::MembershipChanged{lives});
   ASSERT_TRUE(without);
   for (const auto& at : without->endpoints)
-    EXPECT_EQ(std::count(at.others.begin(), at.others.end(), 3), 0);
-  EXPECT_FALSE(homes.after(reedlb::Timer{}));
+    EXPECT_EQ(std::count(at.peers.begin(), at.peers.end(), 3), 0);
+  EXPECT_FALSE(homes.after(scheduler::TimerFired{}));
 }
 
 }  // namespace
--- a/tests/logic/turns_replay.cpp
+++ b/tests/logic/turns_replay.cpp
@@ -13,7 +13,7 @@
 namespace keelflow::fleet {
 namespace {
 
-using namespace reedlb;
+using namespace keelflow::scheduler;
 
 constexpr int kNodes = 10;
 constexpr Time kUnit = 50;  // ms that a unit of the model stands for
@@ -44,8 +44,8 @@
 class Replay {
  public:
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
-    s_.fall_multiple =
-        400.0 * 8 / (0.62 * s_.fall_ms) + 1e-9;  // so that the first owner's part is 400 ms of work
+    s_.overload_multiple = 400.0 * 8 / (0.62 * s_.overload_window_ms) +
+                           1e-9;  // so that the first owner's part is 400 ms of work
     auto order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, kNodes);
     ranks_ = {order[8], order[9], order[0]};  // two that have no part, and the owner
     for (int rank : ranks_)
@@ -85,7 +85,7 @@
 
   // The words that node has to tell are those that the model sends, in this order.
   void tell(int i) {
-    for (const Tell& word : node(i).words()) {
+    for (const SendPeerMessage& word : node(i).words()) {
       int to = 0;
       while (ranks_[static_cast<std::size_t>(to)] != word.peer)
         ++to;
@@ -133,8 +133,8 @@
     words >> what;
     if (what == "tick") {
       now_ += 2 * kUnit;
-      node(2).bench.play(ClientGone{});  // that its wait is over the module hears with the next
-                                         // event, whatever that is
+      node(2).bench.play(ClientDisconnected{});  // that its wait is over the module hears with the
+                                                 // next event, whatever that is
     }
     if (what == "deliver")
       deliver();
--- a/tests/logic/turns_test.cpp
+++ b/tests/logic/turns_test.cpp
@@ -14,7 +14,7 @@
 namespace keelflow::fleet {
 namespace {
 
-using namespace reedlb;
+using namespace keelflow::scheduler;
 
 constexpr double kMargin = 0.62;  // of what makes it fall over, as src/decide.cpp has it
 
@@ -55,7 +55,7 @@
         asleep[n] = now + 3000;
       if (n < faults.busy && random() % 1000 < faults.jobs && at(n).job())
         sent.emplace_back(now, kJob);
-      for (const Tell& word : at(n).words())
+      for (const SendPeerMessage& word : at(n).words())
         post(n, word);
     }
   }
@@ -65,7 +65,7 @@
     return *nodes[n];
   }
 
-  void post(std::size_t from, const Tell& word) {
+  void post(std::size_t from, const SendPeerMessage& word) {
     ++words;
     if (static_cast<int>(from) < faults.mute || random() % 100 < faults.lost)
       return;
@@ -78,16 +78,16 @@
     double most = 0;
     for (std::size_t first = 0; first < sent.size(); ++first) {
       double sum = 0;
-      for (std::size_t i = first; i < sent.size() && sent[i].first <= sent[first].first + s.fall_ms;
-           ++i)
+      for (std::size_t i = first;
+           i < sent.size() && sent[i].first <= sent[first].first + s.overload_window_ms; ++i)
         sum += sent[i].second;
       most = std::max(most, sum);
     }
-    return most / (s.fall_multiple * s.fall_ms);
+    return most / (s.overload_multiple * s.overload_window_ms);
   }
   double used() const {
-    return static_cast<double>(sent.size()) * kJob / 20000 * s.fall_ms /
-           (s.fall_multiple * s.fall_ms);
+    return static_cast<double>(sent.size()) * kJob / 20000 * s.overload_window_ms /
+           (s.overload_multiple * s.overload_window_ms);
   }
 
   Settings s;
@@ -201,10 +201,10 @@
   double length = p.asker->bench.turns.length();
   p.to(kBorn + 100 + length);
   EXPECT_FALSE(p.asker->job()) << "its end has come";
-  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.fall_ms - 1);
+  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.overload_window_ms - 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - work)
       << "it may have been used up to its end, and fills the window from there";
-  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.fall_ms + 1);
+  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.overload_window_ms + 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
 }
 
@@ -229,7 +229,7 @@
   double left = p.asker->room().granted;
   ASSERT_GT(left, 0);
   p.to(kBorn + 100 + 0.9 * p.asker->bench.turns.length());
-  p.asker->bench.play(ClientGone{});  // any event
+  p.asker->bench.play(ClientDisconnected{});  // any event
   auto words = p.asker->words();
   ASSERT_EQ(words.size(), 1u);
   for (int twice = 0; twice < 2; ++twice)
@@ -244,7 +244,7 @@
   p.owner.emplace(p.s, p.order[0], kBorn + 3000, p.lives);
   EXPECT_FALSE(p.owner->job());
   EXPECT_TRUE(p.grant(p.ask()).empty());
-  double waits = p.s.fall_ms + (1 + kDrift) * p.owner->bench.turns.length();
+  double waits = p.s.overload_window_ms + (1 + kDrift) * p.owner->bench.turns.length();
   p.to(kBorn + 3000 + waits - 1);
   EXPECT_FALSE(p.owner->job());
   p.to(kBorn + 3000 + waits + 1);
@@ -264,8 +264,8 @@
     EXPECT_FALSE(younger.job());
     // The elder may have granted until now.
     younger.bench.now = kBorn + 2000;
-    younger.bench.play(elder.bench.d.knowledge(kBorn + 2000));
-    younger.bench.now = kBorn + 2000 + s.fall_ms;
+    younger.bench.play(elder.bench.d.learned_state(kBorn + 2000));
+    younger.bench.now = kBorn + 2000 + s.overload_window_ms;
     younger.job();
     EXPECT_EQ(younger.job(), !talk);
     younger.bench.now += (1 + kDrift) * younger.bench.turns.length() + 1;
@@ -326,7 +326,7 @@
   for (Time t = 100; t < 900; t += 100) {
     asker.bench.now = kBorn + t;
     asker.job();
-    for (const Tell& word : asker.words())
+    for (const SendPeerMessage& word : asker.words())
       ++asked[word.peer];
   }
   EXPECT_EQ(asked.count(order[0]), 0u);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -4,17 +4,17 @@
 #include <set>
 
 #include "harness.h"
-#include "peers.h"
+#include "scheduler/peers.h"
 
-namespace reedlb {
+namespace keelflow::scheduler {
 namespace {
 
 // Runs one job to its end on whatever endpoint it is sent to.
-void serve(Bench& b, RequestId id, double hint, double run, int cls = 0) {
-  b.arrive(id, hint, cls);
-  b.play(Started{id, 0});
+void serve(Bench& b, RequestId id, double hint, double run, int class_index = 0) {
+  b.arrive(id, hint, class_index);
+  b.play(AttemptStarted{id, 0});
   b.advance(b.now + run);
-  b.outcome(id, 0, Result::ok, true);
+  b.outcome(id, 0, AttemptResult::ok, true);
 }
 
 TEST(Calibration, StartsAtOneAndConvergesToTheMeasuredRatio) {
@@ -33,13 +33,13 @@
 TEST(Calibration, OnlyServedAttemptsTeach) {
   Bench b(basic_settings());
   b.endpoints(4);
-  for (Result r : {Result::error, Result::reset, Result::full}) {
+  for (AttemptResult r : {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected}) {
     RequestId id = 10 + static_cast<RequestId>(r);
     b.arrive(id, 100);
-    b.play(Started{id, 0});
+    b.play(AttemptStarted{id, 0});
     b.advance(b.now + 900);
     b.outcome(id, 0, r, false);
-    b.play(ClientGone{id});
+    b.play(ClientDisconnected{id});
   }
   EXPECT_DOUBLE_EQ(b.d.calibration(0), 1.0);
 }
@@ -48,15 +48,15 @@
   for (double worth : {0.05, 1.0}) {
     Settings s = basic_settings();
     s.tenant_quota = {1, 1};  // a job a second each
-    s.over_share_worth = worth;
+    s.over_quota_weight = worth;
     Bench b(s);
     b.endpoints(1);
     auto arrive = [&](RequestId id, int tenant, double hint) {
-      Arrival a;
+      RequestArrived a;
       a.request = id;
       a.tenant = tenant;
       a.hint = hint;
-      a.ttl_ms = 10000;
+      a.client_timeout_ms = 10000;
       b.play(a);
     };
     arrive(1, 0, 100);
@@ -64,9 +64,9 @@
     arrive(3, 0, 100);  // held, and beyond the share
     arrive(4, 1, 300);  // held, larger, and within
     ASSERT_EQ(b.sends.size(), 2u);
-    b.play(Started{1, 0});
+    b.play(AttemptStarted{1, 0});
     b.now += 5;  // before the other one counts as late to start
-    b.outcome(1, 0, Result::ok, true);
+    b.outcome(1, 0, AttemptResult::ok, true);
     ASSERT_GE(b.sends.size(), 3u);
     EXPECT_EQ(b.sends[2].request, worth < 1 ? 4u : 3u);
   }
@@ -76,31 +76,31 @@
   Settings s = basic_settings();
   s.dispatchers = 4;
   s.tenant_quota = {8, 1};
-  s.over_share_worth = 0.05;
+  s.over_quota_weight = 0.05;
   for (int living : {4, 1}) {
     Bench b(s);
     b.endpoints(1);
     std::vector<bool> lives(4, false);
     for (int d = 0; d < living; ++d)
       lives[static_cast<std::size_t>(d)] = true;
-    b.play(Members{lives});
+    b.play(MembershipChanged{lives});
     b.arrive(100, 500);
     b.arrive(101, 500);  // they fill the one endpoint
     for (RequestId id : {100u, 101u})
-      b.play(Started{id, 0});
+      b.play(AttemptStarted{id, 0});
     b.now += 4000;  // as much as may be saved up
-    Arrival large;
+    RequestArrived large;
     large.request = 50;
     large.tenant = 1;
     large.hint = 300;
-    large.ttl_ms = 10000;
+    large.client_timeout_ms = 10000;
     // Of eight a second a dispatcher alone may save up sixteen, one of four only four: the others
     // count as larger.
     for (RequestId id = 1; id <= 10; ++id) {
-      Arrival a;
+      RequestArrived a;
       a.request = id;
       a.hint = 100;
-      a.ttl_ms = 10000;
+      a.client_timeout_ms = 10000;
       b.play(a);
     }
     b.play(large);
@@ -113,7 +113,7 @@
         break;
       before += id < 50;
       b.now += 1;
-      b.outcome(id, 0, Result::ok, true);
+      b.outcome(id, 0, AttemptResult::ok, true);
     }
     if (living == 1)
       EXPECT_EQ(before, 10);
@@ -130,7 +130,7 @@
   s.rank = 3;
   Bench b(s);
   b.endpoints(20);
-  Homes homes;
+  SubsetChanged homes;
   for (EndpointId w = 100; w < 120; ++w)
     homes.endpoints.push_back({w, w == 107, {}});
   b.play(homes);
@@ -144,7 +144,7 @@
     Bench one(s);
     EndpointList list;
     list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
-    Homes none{{{7, true, {}}}};
+    SubsetChanged none{{{7, true, {}}}};
     for (EndpointId w = 8; w < 107; ++w) {
       list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 1, 0});
       none.endpoints.push_back({w, false, {}});
@@ -161,7 +161,7 @@
   Bench b(basic_settings());
   for (auto [id, hint] : std::map<RequestId, double>{{1, 300}, {2, 100}, {3, 200}, {4, 100}})
     b.arrive(id, hint);
-  EXPECT_EQ(b.d.held(), 4u);
+  EXPECT_EQ(b.d.queued_requests(), 4u);
   EXPECT_TRUE(b.sends.empty());
   b.endpoints(8);
   ASSERT_EQ(b.sends.size(), 4u);
@@ -204,8 +204,8 @@
   for (RequestId id = 1; id <= 30; ++id) {  // one refusal after another
     b.arrive(id, 100);
     if (b.sends.back().request == id)
-      b.outcome(id, 0, Result::full, false);
-    b.play(ClientGone{id});
+      b.outcome(id, 0, AttemptResult::rejected, false);
+    b.play(ClientDisconnected{id});
   }
   b.play(EndpointList{ListScope::full, {}});
   b.arrive(100, 100);
@@ -237,24 +237,24 @@
     b.arrive(id, 100);
   std::size_t at_first = b.sends.size();
   EXPECT_LT(at_first, 6u);  // the rest wait
-  EXPECT_EQ(b.d.held(), 6 - at_first);
+  EXPECT_EQ(b.d.queued_requests(), 6 - at_first);
   // Timely service, again and again: more fit at once.
   RequestId next = 100;
   std::set<RequestId> started;
   std::size_t out = 0, most = 0;
   for (int round = 0; round < 400; ++round) {
-    std::vector<Send> fresh(b.sends.begin(), b.sends.end());
+    std::vector<SendAttempt> fresh(b.sends.begin(), b.sends.end());
     b.sends.clear();
     out += fresh.size();
     most = std::max(most, out);
-    for (const Send& x : fresh) {
+    for (const SendAttempt& x : fresh) {
       b.now += 1;
-      b.play(Started{x.request, 0});
+      b.play(AttemptStarted{x.request, 0});
     }
     b.advance(b.now + 5);
-    for (const Send& x : fresh)
-      --out, b.outcome(x.request, 0, Result::ok, true);
-    while (b.d.held() < 5)
+    for (const SendAttempt& x : fresh)
+      --out, b.outcome(x.request, 0, AttemptResult::ok, true);
+    while (b.d.queued_requests() < 5)
       b.arrive(next++, 100);
   }
   EXPECT_GT(most, at_first);
@@ -273,12 +273,12 @@
 
 TEST(Full, RequeuesAndIsNoFailure) {
   Settings s = basic_settings();
-  s.classes[0].effect = Effect::unsafe;
+  s.classes[0].idempotency = Idempotency::non_idempotent;
   Bench b(s);
   b.endpoints(4);
   b.arrive(1, 100);
   ASSERT_EQ(b.sends.size(), 1u);
-  b.outcome(1, 0, Result::full, false);
+  b.outcome(1, 0, AttemptResult::rejected, false);
   EXPECT_TRUE(b.answers.empty());
   ASSERT_EQ(b.sends.size(), 2u);
   EXPECT_NE(b.sends[1].endpoint, b.sends[0].endpoint);
@@ -290,8 +290,8 @@
     b.endpoints(3);
     b.arrive(1, 100);
     b.now += 1000;  // whoever was left alone is open again
-    b.outcome(1, 0, Result::cancelled, false);
-    b.outcome(1, 1, Result::cancelled, false);
+    b.outcome(1, 0, AttemptResult::cancelled, false);
+    b.outcome(1, 1, AttemptResult::cancelled, false);
     ASSERT_EQ(b.sends.size(), 3u);
     std::set<EndpointId> met{b.sends[0].endpoint, b.sends[1].endpoint, b.sends[2].endpoint};
     EXPECT_EQ(met.size(), 3u);
@@ -300,7 +300,7 @@
 
 TEST(Silence, ALongOneIsEndedAlsoWhereOneAttemptAtATimeIsAllowed) {
   Settings s = basic_settings();
-  s.parallel_tries = false;
+  s.concurrent_attempts = false;
   s.tick_ms = 4;
   Bench b(s);
   b.endpoints(2);
@@ -312,7 +312,7 @@
   b.advance(b.now + 300);
   EXPECT_EQ(b.recalls.size(), 1u);
   EXPECT_EQ(b.sends.size(), 1u);  // not while the first is out
-  b.outcome(2, 0, Result::cancelled, false);
+  b.outcome(2, 0, AttemptResult::cancelled, false);
   ASSERT_EQ(b.sends.size(), 2u);
   EXPECT_NE(b.sends[1].endpoint, b.sends[0].endpoint);
 }
@@ -320,7 +320,7 @@
 TEST(Faults, AWorkerThatFailsAtOnceIsTriedLessAndLessAndNotWithWorkThatMustNotRunTwice) {
   Settings s = basic_settings();
   s.classes.resize(2);
-  s.classes[1].effect = Effect::unsafe;
+  s.classes[1].idempotency = Idempotency::non_idempotent;
   Bench b(s);
   b.endpoints(1);
   serve(b, 1, 100, 100);  // the usual run
@@ -329,13 +329,13 @@
     std::size_t before = b.sends.size();
     b.arrive(id, 100);
     if (b.sends.size() == before) {
-      b.play(ClientGone{id});
+      b.play(ClientDisconnected{id});
       b.advance(b.now + 5);
       continue;
     }
     tried.push_back(b.now);
-    b.play(Started{id, 0});  // it starts what it is sent, and fails it at once
-    b.outcome(id, 0, Result::error, true);
+    b.play(AttemptStarted{id, 0});  // it starts what it is sent, and fails it at once
+    b.outcome(id, 0, AttemptResult::error, true);
   }
   ASSERT_GE(tried.size(), 8u);
   EXPECT_LT(tried.size(), 60u);
@@ -346,7 +346,7 @@
   EXPECT_TRUE(b.sends.empty());
   b.arrive(100002, 100, 0);
   ASSERT_EQ(b.sends.size(), 1u);
-  b.outcome(100002, 0, Result::ok, true);  // served: it is well again
+  b.outcome(100002, 0, AttemptResult::ok, true);  // served: it is well again
   ASSERT_EQ(b.sends.size(), 2u);
   EXPECT_EQ(b.sends[1].request, 100001u);
 }
@@ -355,7 +355,7 @@
   Bench b(basic_settings());
   b.endpoints(1);
   b.arrive(1, 100);
-  b.outcome(1, 0, Result::full, false);
+  b.outcome(1, 0, AttemptResult::rejected, false);
   EXPECT_EQ(b.sends.size(), 1u);
   b.advance(b.now + 3000);
   EXPECT_GE(b.sends.size(), 2u);
@@ -373,7 +373,7 @@
             2u);  // the fresh one is used at once, beside the attempt at its former life
   b.arrive(3, 100);
   EXPECT_EQ(b.sends.size(), 2u);  // but that one still counts
-  b.outcome(1, 0, Result::reset, false);
+  b.outcome(1, 0, AttemptResult::reset, false);
   EXPECT_GE(b.sends.size(), 2u);
   EXPECT_TRUE(b.answers.empty());
 }
@@ -406,13 +406,13 @@
     for (int i = 0; i < 300; ++i) {
       b.advance(b.now + 1);
       for (const auto& a : b.last)
-        recalled = recalled || std::holds_alternative<Recall>(a);
+        recalled = recalled || std::holds_alternative<CancelAttempt>(a);
     }
     EXPECT_EQ(recalled, key == 0);
   }
 }
 
-TEST(Homes, WithManyDispatchersEachSamplesItsOwnFewWorkersFirst) {
+TEST(SubsetChanged, WithManyDispatchersEachSamplesItsOwnFewWorkersFirst) {
   Settings s = basic_settings();
   s.dispatchers = 100;
   std::map<EndpointId, int> fleet;
@@ -423,9 +423,9 @@
     std::set<EndpointId> mine;
     for (RequestId id = 1; id <= 40; ++id) {
       b.arrive(id, 100);
-      b.play(Started{id, 0});
+      b.play(AttemptStarted{id, 0});
       b.advance(b.now + 20);
-      b.outcome(id, 0, Result::ok, true);
+      b.outcome(id, 0, AttemptResult::ok, true);
       mine.insert(b.sends.back().endpoint);
     }
     at_large += mine.size() > 15;
@@ -438,14 +438,17 @@
 
 // Two endpoints that this dispatcher shares with 19 others, and what those tell of the first.
 struct Shared : Bench {
-  static Settings settings(Effect effect) {
+  static Settings settings(Idempotency idempotency) {
     Settings s = basic_settings();
     s.dispatchers = 20;
     s.peers = true;
-    s.classes[0].effect = effect;
+    s.classes[0].idempotency = idempotency;
     return s;
   }
-  explicit Shared(Effect effect = Effect::safe) : Bench(settings(effect)) { endpoints(2); }
+  explicit Shared(Idempotency idempotency = Idempotency::idempotent)
+      : Bench(settings(idempotency)) {
+    endpoints(2);
+  }
   void hears(int peer, EndpointId endpoint, double load, Sign sign = Sign::none,
              Time started_at = 0) {
     play(PeerMessage{
@@ -457,8 +460,8 @@
     for (int i = 0; i < jobs; ++i) {
       sends.clear();
       arrive(++last_job, 100);
-      for (const Send& x : std::vector<Send>(sends))
-        count += x.endpoint == 100, outcome(x.request, 0, Result::ok, true);
+      for (const SendAttempt& x : std::vector<SendAttempt>(sends))
+        count += x.endpoint == 100, outcome(x.request, 0, AttemptResult::ok, true);
     }
     return count;
   }
@@ -494,8 +497,8 @@
 }
 
 TEST(Peers, AWorkerThatOthersCouldNotReachHasNoFaultsHere) {
-  Shared b(Effect::unsafe);  // which a endpoint with faults is not tried with, however long it was
-                             // left alone
+  Shared b(Idempotency::non_idempotent);  // which a endpoint with faults is not tried with, however
+                                          // long it was left alone
   for (int peer : {3, 4, 5})
     b.hears(peer, 100, 0, Sign::unreached);
   EXPECT_EQ(b.sent_to_first(40), 0);
@@ -522,12 +525,12 @@
   EXPECT_EQ(read_note(b.tells[0].bytes)->endpoint, b.sends[0].endpoint);
   EXPECT_EQ(read_note(b.tells[0].bytes)->load, 1);
   b.now += 100;
-  b.outcome(1, 0, Result::ok, true);
+  b.outcome(1, 0, AttemptResult::ok, true);
   ASSERT_EQ(b.tells.size(), 38u);
   Note last = read_note(b.tells.back().bytes).value();
   EXPECT_EQ(last.load, 0);
   EXPECT_EQ(last.sign, Sign::served);
-  EXPECT_NEAR(last.slow, 1, 0.05);
+  EXPECT_NEAR(last.service_time_ratio, 1, 0.05);
 }
 
 TEST(Slow, AWorkerThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
@@ -537,9 +540,9 @@
   for (RequestId id = 1; id <= 200; ++id) {
     b.arrive(id, 100);
     EndpointId w = b.sends.back().endpoint;
-    b.play(Started{id, 0});
+    b.play(AttemptStarted{id, 0});
     b.advance(b.now + (w == 100 ? 600 : 100));
-    b.outcome(id, 0, Result::ok, true);
+    b.outcome(id, 0, AttemptResult::ok, true);
     if (id > 50)
       ++all, slow += w == 100;
   }
@@ -558,9 +561,9 @@
     for (int round = 0; round < 3; ++round)
       for (std::uint64_t key = 1; key <= 60; ++key) {
         b.arrive(++id, 100, 0, 10000, key);
-        b.play(Started{id, 0});
+        b.play(AttemptStarted{id, 0});
         b.advance(b.now + 20);
-        b.outcome(id, 0, Result::ok, true);
+        b.outcome(id, 0, AttemptResult::ok, true);
         used[key].insert(b.sends.back().endpoint);
       }
   }
@@ -607,4 +610,4 @@
 }
 
 }  // namespace
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
--- a/tests/module_size.py
+++ b/tests/module_size.py
@@ -6,5 +6,5 @@
 code = re.sub(r'//[^\n]*|"(\\.|[^"\\])*"', "", text)
 statements = code.count(";") + code.count("{")
 print(f"{statements} statements")
-assert "reedlb/dispatcher.h" in text[:1000], "the top does not name the interface"
+assert "scheduler/dispatcher.h" in text[:1000], "the top does not name the interface"
 sys.exit(statements > 558)
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -510,9 +510,9 @@
 
 // A call-back names no attempt and comes again until it is answered.
 TEST(Crossing, AnEndToldOfTheAttemptBeforeAtTheSameExecutorEndsOnlyWhatIsCalledOff) {
-  for (const char* cls : {"sale", "price"}) {
-    bool unsafe = std::string(cls) == "sale";
-    play(std::string("open c\nsend c job A ") + cls + R"( 15000
+  for (const char* class_index : {"sale", "price"}) {
+    bool unsafe = std::string(class_index) == "sale";
+    play(std::string("open c\nsend c job A ") + class_index + R"( 15000
       accept b box
       expect b body
       send b ok 202
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -163,25 +163,26 @@
                 .tenants = {},
                 .zones = {"west"},
                 .kinds = {"slow", "fast"}};
-  reedlb::Knowledge k;
+  scheduler::LearnedState k;
   k.classes = {{9, 9, 9}, {2, 20, 10}, {3, 30, 10}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
   k.fleet = {{11, 22}, 150, 0.25};
   k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400}};
-  reedlb::Knowledge back = from_json(nlohmann::json::parse(to_json(k, elder).dump()), younger);
+  scheduler::LearnedState back =
+      from_json(nlohmann::json::parse(to_json(k, elder).dump()), younger);
   ASSERT_EQ(back.classes.size(), 3u);
   EXPECT_EQ(back.classes[0].factor, 2);
   EXPECT_EQ(back.classes[1].factor, 3);
   EXPECT_EQ(back.classes[1].hint_sum, 30);
   EXPECT_EQ(back.classes[2].factor, 1);
-  EXPECT_EQ(back.kinds[0].slow, 1.5);
-  EXPECT_EQ(back.kinds[1].cores, 4);
-  EXPECT_EQ(back.fleet.start_delay, std::vector<double>{22});
-  EXPECT_EQ(back.fleet.mean_run, 150);
+  EXPECT_EQ(back.kinds[0].service_time_ratio, 1.5);
+  EXPECT_EQ(back.kinds[1].observed_cores, 4);
+  EXPECT_EQ(back.fleet.start_delay_ms, std::vector<double>{22});
+  EXPECT_EQ(back.fleet.mean_run_ms, 150);
   ASSERT_EQ(back.endpoints.size(), 1u);
-  EXPECT_EQ(back.endpoints[0].of.cap, 5);
-  EXPECT_EQ(back.endpoints[0].of.faults, 2);
-  EXPECT_EQ(back.endpoints[0].cold_work, 400);
+  EXPECT_EQ(back.endpoints[0].health.concurrency_limit, 5);
+  EXPECT_EQ(back.endpoints[0].health.consecutive_failures, 2);
+  EXPECT_EQ(back.endpoints[0].slow_start_work_ms, 400);
   EXPECT_THROW(from_json(nlohmann::json::parse(R"({"mean_run":1})"), younger),
                nlohmann::json::exception);
 }
--- a/tests/node/host_test.cpp
+++ b/tests/node/host_test.cpp
@@ -52,7 +52,7 @@
   CallId ask() {
     wire::Request r;
     r.call = ++last;
-    r.now = 1000, r.id = "A", r.cls = "sale", r.tenant = "t";
+    r.now = 1000, r.id = "A", r.class_index = "sale", r.tenant = "t";
     return host->ask(last, r) ? last : 0;
   }
 
@@ -320,7 +320,7 @@
 }
 
 TEST(Wire, NoCutAndNoChangedByteOfAPacketIsMisread) {
-  Verdict v{.refuse = true, .come_back_ms = 5, .hold_ms = 6, .weigh = 2, .label = "label"};
+  Verdict v{.refuse = true, .come_back_ms = 5, .hold_ms = 6, .queue_weight = 2, .label = "label"};
   for (const wire::ToNode& message :
        {wire::ToNode(wire::Judged{7, v}), wire::ToNode(wire::Kept{"k", "v", 3}),
         wire::ToNode(wire::Line{"text", 2}),
--- a/tests/node/invariants_test.cpp
+++ b/tests/node/invariants_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using reedlb::Effect;
+using scheduler::Idempotency;
 
 const TimePoint kStart{1h};
 
@@ -23,11 +23,12 @@
         kStart);
     monitor_.request_read("A", 5s, kStart);
   }
-  void write(const std::string& host, TimePoint now, Effect effect = Effect::safe,
-             int expires_ms = 100, const std::string& id = "A") {
+  void write(const std::string& host, TimePoint now,
+             Idempotency idempotency = Idempotency::idempotent, int expires_ms = 100,
+             const std::string& id = "A") {
     std::string bytes = "POST /x HTTP/1.1\r\nHost: " + host + "\r\nX-Trace-Id: " + id +
                         "\r\nX-Expires-In-Ms: " + std::to_string(expires_ms) + "\r\n\r\n";
-    monitor_.attempt_written(host, bytes, true, effect, now);
+    monitor_.attempt_written(host, bytes, true, idempotency, now);
   }
   using Rules = std::vector<Rule>;
   Rules broken_;
@@ -70,17 +71,17 @@
 
 TEST_F(InvariantMonitor, StaleList) {
   monitor_.request_read("B", 60s, kStart);
-  write("box", kStart + 7s, Effect::safe, 100, "B");
+  write("box", kStart + 7s, Idempotency::idempotent, 100, "B");
   EXPECT_EQ(broken_, Rules{Rule::stale_list});
 }
 
 TEST_F(InvariantMonitor, AListIsNotStaleWhileDiscoveryIsAwayOrSpeaks) {
   monitor_.request_read("B", 60s, kStart);
   monitor_.discovery_unavailable(kStart + 5s);
-  write("box", kStart + 7s, Effect::safe, 100, "B");
+  write("box", kStart + 7s, Idempotency::idempotent, 100, "B");
   monitor_.attempt_over("B", "box", true);
   monitor_.heartbeat_received(kStart + 10s);
-  write("box", kStart + 12s, Effect::safe, 100, "B");
+  write("box", kStart + 12s, Idempotency::idempotent, 100, "B");
   EXPECT_EQ(broken_, Rules{});
 }
 
@@ -88,8 +89,8 @@
   Rules broken;
   Monitor fresh({.drain_grace = 500ms},
                 [&](Rule rule, const std::string&) { broken.push_back(rule); });
-  fresh.attempt_written("box", "POST /x HTTP/1.1\r\nX-Trace-Id: A\r\n\r\n", true, Effect::safe,
-                        kStart);
+  fresh.attempt_written("box", "POST /x HTTP/1.1\r\nX-Trace-Id: A\r\n\r\n", true,
+                        Idempotency::idempotent, kStart);
   EXPECT_EQ(broken, Rules{Rule::stale_list});
 }
 
@@ -109,12 +110,12 @@
 }
 
 TEST_F(InvariantMonitor, Repeat) {
-  write("box", kStart, Effect::unsafe);
+  write("box", kStart, Idempotency::non_idempotent);
   monitor_.attempt_over("A", "box", true);
-  write("box2", kStart, Effect::unsafe);
+  write("box2", kStart, Idempotency::non_idempotent);
   EXPECT_EQ(broken_, Rules{}) << "the first never ran";
   monitor_.attempt_over("A", "box2", false);
-  write("box", kStart, Effect::unsafe);
+  write("box", kStart, Idempotency::non_idempotent);
   EXPECT_EQ(broken_, Rules{Rule::repeat});
 }
 
@@ -128,10 +129,10 @@
 }
 
 TEST_F(InvariantMonitor, Deadline) {
-  write("box", kStart + 4s, Effect::safe, 1100);
+  write("box", kStart + 4s, Idempotency::idempotent, 1100);
   EXPECT_EQ(broken_, Rules{});
   monitor_.attempt_over("A", "box", true);
-  write("box", kStart + 4s, Effect::safe, 1200);
+  write("box", kStart + 4s, Idempotency::idempotent, 1200);
   EXPECT_EQ(broken_, Rules{Rule::deadline});
 }
 
--- a/tests/node/parts_test.cpp
+++ b/tests/node/parts_test.cpp
@@ -169,7 +169,7 @@
                           {"X-Customer", "oak lane"}};
   Names names{{"price", "hold"}, {"river", "oak lane"}, {}, {}};
   auto job = std::get<Job>(decode_job(request, names));
-  EXPECT_EQ(job.cls, 1);
+  EXPECT_EQ(job.class_index, 1);
   EXPECT_EQ(job.tenant, 1);
   EXPECT_EQ(job.hint, std::chrono::milliseconds(160));
   EXPECT_EQ(job.patience, std::chrono::milliseconds(480));
@@ -224,7 +224,7 @@
     Idle idle;
     UnixClock clock;
     Counters counters;
-    reedlb::Settings settings;
+    scheduler::Settings settings;
     settings.classes.resize(1);
     settings.tick_ms = 4;
     Engine engine(settings, 1, {100, 4ms}, idle, clock, counters);
@@ -248,7 +248,7 @@
   Idle idle;
   UnixClock clock;
   Counters counters;
-  reedlb::Settings settings;
+  scheduler::Settings settings;
   settings.classes.resize(1);
   Engine engine(settings, 1, {1, {}}, idle, clock, counters);
   engine.connect(idle);
--- a/tests/node/plugins_test.cpp
+++ b/tests/node/plugins_test.cpp
@@ -29,8 +29,8 @@
 }
 
 // A job that goes through: its client c, its box b.
-std::string served(const std::string& id, const std::string& cls = "price") {
-  return "send c job " + id + " " + cls + " 5000\nexpect b X-Trace-Id: " + id +
+std::string served(const std::string& id, const std::string& class_index = "price") {
+  return "send c job " + id + " " + class_index + " 5000\nexpect b X-Trace-Id: " + id +
          "\nexpect b body\nsend b ok 202\nnews " + id + " box done {\"result\":\"made " + id +
          "\"}\nexpect c made " + id + "\n";
 }
--- a/tests/node/scenario.cpp
+++ b/tests/node/scenario.cpp
@@ -304,21 +304,22 @@
 
 std::string Scenario::message(std::string text) const {
   std::istringstream in(text);
-  std::string word, id, cls, patience;
+  std::string word, id, class_index, patience;
   in >> word;
   if (word == "job" || word == "stream") {
-    in >> id >> cls >> patience;
+    in >> id >> class_index >> patience;
     std::string extra = unescape(rest_of(in));
     if (word == "stream")
       extra += "Accept: text/event-stream\r\n";
-    return "POST /" + cls + "/x?y=1 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id +
+    return "POST /" + class_index + "/x?y=1 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id +
            "\r\nX-Customer: river street\r\n" + "X-Expires-In-Ms: " + patience +
            "\r\nX-Size-Hint: 100000\r\nIdempotency-Key: k-" + id + "\r\n" + extra +
            "Content-Length: 4\r\n\r\nbody";
   }
   if (word == "ok") {
-    in >> cls;
-    return "HTTP/1.1 " + cls + " Status\r\n" + unescape(rest_of(in)) + "Content-Length: 0\r\n\r\n";
+    in >> class_index;
+    return "HTTP/1.1 " + class_index + " Status\r\n" + unescape(rest_of(in)) +
+           "Content-Length: 0\r\n\r\n";
   }
   if (word == "chunk") {
     std::string body = unescape(rest_of(in));
--- a/tests/node/traffic_test.cpp
+++ b/tests/node/traffic_test.cpp
@@ -24,7 +24,7 @@
                  {Names{{"price", "hold", "sale"}, {"a", "b"}, {"east"}, {"fast"}}, settings()},
                  counters_),
         destinations_(
-            loop_, {}, {}, [](reedlb::EndpointList) {}, counters_, 1) {
+            loop_, {}, {}, [](scheduler::EndpointList) {}, counters_, 1) {
     engine_.connect(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
@@ -37,11 +37,11 @@
   }
 
   std::vector<std::string> play(int events) {
-    list(reedlb::ListScope::full);
+    list(scheduler::ListScope::full);
     for (int i = 0; i < events; ++i) {
       advance(now_ + std::chrono::microseconds(random_() % 30'000));
       if (random_() % 50 == 0)
-        list(random_() % 3 == 0 ? reedlb::ListScope::full : reedlb::ListScope::delta);
+        list(random_() % 3 == 0 ? scheduler::ListScope::full : scheduler::ListScope::delta);
       else
         arrive(i);
     }
@@ -60,20 +60,21 @@
     int number;
   };
 
-  static reedlb::Settings settings() {
-    reedlb::Settings s;
+  static scheduler::Settings settings() {
+    scheduler::Settings s;
     s.classes.resize(3);
     for (auto& c : s.classes)
-      c.target_ms = 300, c.stretch = 2;
-    s.classes[1].effect = reedlb::Effect::keyed;
-    s.classes[1].window_ms = 3000;
-    s.classes[2].effect = reedlb::Effect::unsafe;
+      c.latency_objective_ms = 300, c.objective_runtime_factor = 2;
+    s.classes[1].idempotency = scheduler::Idempotency::idempotent_with_key;
+    s.classes[1].deduplication_window_ms = 3000;
+    s.classes[2].idempotency = scheduler::Idempotency::non_idempotent;
     s.tenant_quota = {20, 20};
-    s.over_share_worth = 0.2;
+    s.over_quota_weight = 0.2;
     s.tick_ms = 4;
-    s.try_limit = 3;
-    s.tells_start = true;
-    s.cold_from = 0.2, s.cold_ms = 5000, s.fall_multiple = 3, s.fall_ms = 1000;
+    s.max_attempts = 3;
+    s.reports_start = true;
+    s.slow_start_initial_fraction = 0.2, s.slow_start_ms = 5000, s.overload_multiple = 3,
+    s.overload_window_ms = 1000;
     return s;
   }
 
@@ -84,7 +85,7 @@
   void arrive(int n) {
     Job job;
     job.id = "r" + std::to_string(n);
-    job.cls = static_cast<int>(random_() % 3);
+    job.class_index = static_cast<int>(random_() % 3);
     job.tenant = static_cast<int>(random_() % 2);
     job.key = random_() % 2 ? random_() % 50 : 0;
     job.patience = std::chrono::milliseconds(200 + random_() % 2000);
@@ -93,13 +94,13 @@
     engine_.take(std::move(job), *clients_.back());
   }
 
-  void list(reedlb::ListScope scope) {
-    reedlb::EndpointList told;
+  void list(scheduler::ListScope scope) {
+    scheduler::EndpointList told;
     told.scope = scope;
-    for (reedlb::EndpointId w = 1; w <= 12; ++w)
-      if (scope == reedlb::ListScope::full ? random_() % 8 > 0 : random_() % 4 == 0) {
-        auto state =
-            random_() % 6 == 0 ? reedlb::EndpointState::draining : reedlb::EndpointState::ready;
+    for (scheduler::EndpointId w = 1; w <= 12; ++w)
+      if (scope == scheduler::ListScope::full ? random_() % 8 > 0 : random_() % 4 == 0) {
+        auto state = random_() % 6 == 0 ? scheduler::EndpointState::draining
+                                        : scheduler::EndpointState::ready;
         told.entries.push_back({w, 0, 0, static_cast<int>(w / 4), state, 1, 0});
       }
     traffic_.list(std::move(told));
@@ -205,12 +206,13 @@
 };
 
 TEST(Engine, WhatIsWeighedMoreIsQueuedAsIfLargerAndWhatIsScreenedIsNotTheModulesYet) {
-  reedlb::Settings settings;
+  scheduler::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].target_ms = 1000;
+  settings.classes[0].latency_objective_ms = 1000;
   Order order;
   Screen screen;
-  screen.says = {{"a", {.refuse = false, .come_back = {}, .weigh = 4, .label = {}}}, {"b", {}}};
+  screen.says = {{"a", {.refuse = false, .come_back = {}, .queue_weight = 4, .label = {}}},
+                 {"b", {}}};
   Counters counters;
   UnixClock clock;
   Engine engine(settings, 1, {1000, 0ms}, order, clock, counters);
@@ -231,13 +233,14 @@
   EXPECT_EQ(screen.forgotten, std::vector<RequestId>{gone});
   engine.screened(gone, {});  // too late: nothing comes of it
   EXPECT_EQ(engine.held(0), 2u);
-  reedlb::EndpointList list;
-  for (reedlb::EndpointId w = 1; w <= 10; ++w)
-    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
+  scheduler::EndpointList list;
+  for (scheduler::EndpointId w = 1; w <= 10; ++w)
+    list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
   engine.destinations(list);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"b", "a"}));
   engine.screened(late, {});
-  engine.screened(late, {.refuse = true, .come_back = {}, .weigh = 1, .label = {}});  // once is all
+  engine.screened(
+      late, {.refuse = true, .come_back = {}, .queue_weight = 1, .label = {}});  // once is all
   EXPECT_EQ(order.sent.back(), "late");
   EXPECT_EQ(counters.answers_refused, 0u);
   EXPECT_EQ(engine.open_requests(), 3u);
@@ -245,11 +248,11 @@
 }
 
 TEST(Traffic, ARequestThatIsRoutedAgainCountsOnceAgainstItsTenantsShare) {
-  reedlb::Settings settings;
+  scheduler::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].target_ms = 1000;
+  settings.classes[0].latency_objective_ms = 1000;
   settings.tenant_quota = {2};  // four may be saved up
-  settings.over_share_worth = 0.1;
+  settings.over_quota_weight = 0.1;
   Order order;
   Counters counters;
   UnixClock clock;
@@ -271,41 +274,45 @@
   engine.rehome(0);
   EXPECT_EQ(counters.requests_rehomed, 4u);
   take("large", -1, 300ms);  // behind what is within the share, before what is beyond it
-  reedlb::EndpointList list;
-  for (reedlb::EndpointId w = 1; w <= 10; ++w)
-    list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
+  scheduler::EndpointList list;
+  for (scheduler::EndpointId w = 1; w <= 10; ++w)
+    list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
   engine.destinations(list, 1);
   ASSERT_EQ(order.sent.size(), 5u);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"a", "b", "c", "d", "large"}));
 }
 
 TEST(Traffic, ATenantsShareIsTheSameHoweverItsRequestsAreSplit) {
-  reedlb::Settings settings;
+  scheduler::Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].target_ms = 1000;
+  settings.classes[0].latency_objective_ms = 1000;
   settings.tenant_quota = {2};  // four may be saved up
-  settings.over_share_worth = 0.1;
+  settings.over_quota_weight = 0.1;
   // Two Dispatchers are each given four requests of a tenant; one without a tenant, three times as
   // large, is held behind those within the share and before those beyond it. What is sent first
   // tells how many were within.
-  auto within = [&](std::shared_ptr<reedlb::TenantShares> shares) {
+  auto within = [&](std::shared_ptr<scheduler::TenantQuotas> shares) {
     int count = 0;
-    std::vector<reedlb::Dispatcher> pair;
+    std::vector<scheduler::Dispatcher> pair;
     for (std::uint64_t seed : {1, 2})
       pair.emplace_back(settings, seed, shares);
-    reedlb::Actions out;
-    for (reedlb::RequestId id = 1; id <= 8; ++id)
-      pair[id % 2].handle(1e6, reedlb::Arrival{.request = id, .ttl_ms = 60'000, .hint = 100}, out);
-    for (reedlb::Dispatcher& d : pair) {
-      d.handle(1e6, reedlb::Arrival{.request = 100, .tenant = -1, .ttl_ms = 60'000, .hint = 300},
+    scheduler::Actions out;
+    for (scheduler::RequestId id = 1; id <= 8; ++id)
+      pair[id % 2].handle(
+          1e6, scheduler::RequestArrived{.request = id, .client_timeout_ms = 60'000, .hint = 100},
+          out);
+    for (scheduler::Dispatcher& d : pair) {
+      d.handle(1e6,
+               scheduler::RequestArrived{
+                   .request = 100, .tenant = -1, .client_timeout_ms = 60'000, .hint = 300},
                out);
       out.clear();
-      reedlb::EndpointList list;
-      for (reedlb::EndpointId w = 1; w <= 10; ++w)
-        list.entries.push_back({w, 0, 0, 0, reedlb::EndpointState::ready, 1, 0});
+      scheduler::EndpointList list;
+      for (scheduler::EndpointId w = 1; w <= 10; ++w)
+        list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
       d.handle(1e6, list, out);
       for (const auto& action : out) {
-        const auto* send = std::get_if<reedlb::Send>(&action);
+        const auto* send = std::get_if<scheduler::SendAttempt>(&action);
         if (send && send->request == 100)
           break;
         count += send != nullptr;
@@ -313,7 +320,7 @@
     }
     return count;
   };
-  EXPECT_EQ(within(std::make_shared<reedlb::TenantShares>()), 4);
+  EXPECT_EQ(within(std::make_shared<scheduler::TenantQuotas>()), 4);
   EXPECT_EQ(within(nullptr), 8) << "each by itself grants the whole share";
 }
 
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -15,12 +15,12 @@
 namespace keelflow::replay {
 namespace {
 
-using reedlb::Actions;
-using reedlb::EndpointEntry;
-using reedlb::EndpointId;
-using reedlb::EndpointState;
-using reedlb::Event;
-using reedlb::RequestId;
+using scheduler::Actions;
+using scheduler::EndpointEntry;
+using scheduler::EndpointId;
+using scheduler::EndpointState;
+using scheduler::Event;
+using scheduler::RequestId;
 
 constexpr int kZones = 3;
 constexpr int kKinds = 2;
@@ -41,7 +41,7 @@
 };
 
 struct Node {
-  std::unique_ptr<reedlb::Dispatcher> dispatcher;
+  std::unique_ptr<scheduler::Dispatcher> dispatcher;
   std::optional<fleet::Homes> homes;
   std::optional<fleet::Turns> turns;
   std::uint64_t timer = 0;  // the latest
@@ -88,7 +88,7 @@
       happen(next);
     }
     for (Node& node : nodes_)
-      recording_.line("end " + text_of(Event(node.dispatcher->knowledge(now_))));
+      recording_.line("end " + text_of(Event(node.dispatcher->learned_state(now_))));
   }
 
  private:
@@ -101,34 +101,35 @@
     settings_.zones = kZones;
     settings_.kinds = kKinds;
     settings_.tick_ms = 2;
-    settings_.ask_list = plan_.poll_list;
+    settings_.polls_list = plan_.poll_list;
     settings_.cancel = plan_.cancel;
     settings_.peers = plan_.peers;
-    settings_.parallel_tries = plan_.parallel_attempts;
+    settings_.concurrent_attempts = plan_.parallel_attempts;
     settings_.retry_after = plan_.retry_after;
     settings_.max_retry_after_ms = plan_.retry_after ? 400 : 0;
-    settings_.try_limit = plan_.attempts;
-    settings_.tells_start = plan_.start_reports;
-    settings_.cold_from = 0.15;
-    settings_.cold_ms = 6000;
-    settings_.fall_multiple = 3;
-    settings_.fall_ms = 1500;
+    settings_.max_attempts = plan_.attempts;
+    settings_.reports_start = plan_.start_reports;
+    settings_.slow_start_initial_fraction = 0.15;
+    settings_.slow_start_ms = 6000;
+    settings_.overload_multiple = 3;
+    settings_.overload_window_ms = 1500;
     settings_.drain_grace_ms = 500;
-    settings_.over_share_worth = plan_.tenants ? 0.3 : 1;
+    settings_.over_quota_weight = plan_.tenants ? 0.3 : 1;
     if (plan_.tenants)
       settings_.tenant_quota = {8, 20, 60};
     settings_.classes.resize(plan_.several_classes ? 4 : 1);
-    for (reedlb::ClassSettings& c : settings_.classes) {
-      c.target_ms = draw_.between(200, 800);
-      c.stretch = draw_.between(1, 3);
-      c.value = draw_.between(0.5, 2);
+    for (scheduler::ClassSettings& c : settings_.classes) {
+      c.latency_objective_ms = draw_.between(200, 800);
+      c.objective_runtime_factor = draw_.between(1, 3);
+      c.priority_weight = draw_.between(0.5, 2);
     }
     if (!plan_.several_classes)
       return;
-    settings_.classes[1].effect = reedlb::Effect::keyed;
-    settings_.classes[1].scope = static_cast<reedlb::Scope>(draw_.below(3));
-    settings_.classes[1].window_ms = draw_.between(300, 3000);
-    settings_.classes[2].effect = reedlb::Effect::unsafe;
+    settings_.classes[1].idempotency = scheduler::Idempotency::idempotent_with_key;
+    settings_.classes[1].deduplication_scope =
+        static_cast<scheduler::DeduplicationScope>(draw_.below(3));
+    settings_.classes[1].deduplication_window_ms = draw_.between(300, 3000);
+    settings_.classes[2].idempotency = scheduler::Idempotency::non_idempotent;
     settings_.classes[3].kind = 1;
   }
 
@@ -143,7 +144,7 @@
                  1.0 + draw_.below(4),
                  0};
       e.slowness = draw_.between(0.7, 1.6);
-      e.cores = static_cast<int>(e.entry.nominal) + 1;
+      e.cores = static_cast<int>(e.entry.nominal_capacity) + 1;
       if (plan_.bad_endpoints && draw_.chance(0.25)) {
         e.fail = draw_.between(0.1, 0.9);
         e.hang = draw_.between(0, 0.2);
@@ -154,8 +155,8 @@
     }
   }
 
-  reedlb::EndpointList whole_list(reedlb::ListScope scope) const {
-    reedlb::EndpointList list;
+  scheduler::EndpointList whole_list(scheduler::ListScope scope) const {
+    scheduler::EndpointList list;
     list.scope = scope;
     for (const EndpointModel& e : endpoints_)
       if (e.entry.state != EndpointState::gone)
@@ -164,21 +165,23 @@
   }
 
   void start_node(int index) {
-    reedlb::Settings own = settings_;
+    scheduler::Settings own = settings_;
     own.rank = rank_of(index);
     if (static_cast<std::size_t>(index) >= nodes_.size())
       nodes_.emplace_back();
     Node& node = nodes_[static_cast<std::size_t>(index)];
-    node.dispatcher =
-        std::make_unique<reedlb::Dispatcher>(own, plan_.seed + static_cast<std::uint64_t>(index));
+    node.dispatcher = std::make_unique<scheduler::Dispatcher>(
+        own, plan_.seed + static_cast<std::uint64_t>(index));
     node.homes.emplace(own);
     node.turns.emplace(own, now_);
     if (plan_.sibling && rank_of(index) == 0)
-      give(index, reedlb::Twin{true});
-    give(index, whole_list(plan_.poll_list ? reedlb::ListScope::cached : reedlb::ListScope::full));
+      give(index, scheduler::SiblingProcess{true});
+    give(index,
+         whole_list(plan_.poll_list ? scheduler::ListScope::cached : scheduler::ListScope::full));
   }
 
-  void schedule(double when, int node, Happening::Kind kind, Event event = reedlb::Timer{}) {
+  void schedule(double when, int node, Happening::Kind kind,
+                Event event = scheduler::TimerFired{}) {
     queue_.push({when, ++order_, node, kind, std::move(event)});
   }
 
@@ -197,7 +200,7 @@
       case Happening::Kind::arrival:
         return arrive(next.node);
       case Happening::Kind::attempt_end:
-        return end_attempt(next.node, std::get<reedlb::Outcome>(next.event));
+        return end_attempt(next.node, std::get<scheduler::AttemptFinished>(next.event));
       case Happening::Kind::endpoint_change:
         return change_endpoint();
       case Happening::Kind::node_change:
@@ -206,12 +209,12 @@
   }
 
   void deliver(int node, Event event) {
-    if (const auto* timer = std::get_if<reedlb::Timer>(&event)) {
+    if (const auto* timer = std::get_if<scheduler::TimerFired>(&event)) {
       // Now and then an old timer comes too: it has to be passed over.
-      if (timer->name != nodes_[static_cast<std::size_t>(node)].timer && !draw_.chance(0.1))
+      if (timer->id != nodes_[static_cast<std::size_t>(node)].timer && !draw_.chance(0.1))
         return;
     }
-    if (const auto* started = std::get_if<reedlb::Started>(&event)) {
+    if (const auto* started = std::get_if<scheduler::AttemptStarted>(&event)) {
       auto& attempts = nodes_[static_cast<std::size_t>(node)].attempts[started->request];
       auto place = static_cast<std::size_t>(started->attempt);
       if (place >= attempts.size() || attempts[place].ended)
@@ -235,7 +238,7 @@
       recording_.line(head + "told " + text_of(one));
       node.dispatcher->handle(now_, one, actions);
     }
-    for (const reedlb::Action& action : actions) {
+    for (const scheduler::Action& action : actions) {
       recording_.line(head + "> " + text_of(action));
       std::visit([&](const auto& a) { carry_out(index, a); }, action);
     }
@@ -244,37 +247,38 @@
   void arrive(int index) {
     schedule_arrival(index);
     Node& node = nodes_[static_cast<std::size_t>(index)];
-    reedlb::Arrival a;
+    scheduler::RequestArrived a;
     a.request = ++last_request_;
-    a.cls = draw_.below(static_cast<int>(settings_.classes.size()));
+    a.class_index = draw_.below(static_cast<int>(settings_.classes.size()));
     a.tenant = plan_.tenants ? draw_.below(4) - 1 : 0;
     a.key = plan_.keys && draw_.chance(0.7)
                 ? 1 + static_cast<std::uint64_t>(40 * draw_.unit() * draw_.unit())
                 : 0;
-    a.ttl_ms = draw_.between(100, 3000);
+    a.client_timeout_ms = draw_.between(100, 3000);
     double work = kMeanWork * draw_.between(0.1, 1) * (draw_.chance(0.1) ? 5 : 1);
     a.hint = draw_.chance(0.1) ? 0 : work * draw_.between(0.5, 2);
     a.slots = draw_.chance(0.1) ? 2 : 1;
-    a.weigh = draw_.chance(0.1) ? 0.5 : 1;
+    a.queue_weight = draw_.chance(0.1) ? 0.5 : 1;
     node.work[a.request] = work;
-    schedule(now_ + a.ttl_ms, index, Happening::Kind::event, reedlb::ClientGone{a.request});
+    schedule(now_ + a.client_timeout_ms, index, Happening::Kind::event,
+             scheduler::ClientDisconnected{a.request});
     if (plan_.clients_leave && draw_.chance(0.15))
-      schedule(now_ + draw_.between(0, a.ttl_ms), index, Happening::Kind::event,
-               reedlb::ClientGone{a.request, draw_.chance(0.3)});
+      schedule(now_ + draw_.between(0, a.client_timeout_ms), index, Happening::Kind::event,
+               scheduler::ClientDisconnected{a.request, draw_.chance(0.3)});
     if (draw_.chance(0.05))
       schedule(now_ + draw_.between(0, 400), index, Happening::Kind::event,
-               reedlb::StreamBegun{a.request});
+               scheduler::ResponseStreamStarted{a.request});
     give(index, a);
   }
 
-  void carry_out(int index, const reedlb::Send& send) {
+  void carry_out(int index, const scheduler::SendAttempt& send) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[send.request];
     auto place = static_cast<std::size_t>((send.endpoint - 1000) / 37);
     EndpointModel& e = endpoints_[place];
     attempts.push_back({place, false});
     int attempt = static_cast<int>(attempts.size()) - 1;
-    reedlb::Outcome outcome;
+    scheduler::AttemptFinished outcome;
     outcome.request = send.request;
     outcome.attempt = attempt;
     double travel = draw_.between(0.3, 3);
@@ -284,51 +288,55 @@
     bool present = e.entry.state != EndpointState::gone;
     double ended = now_ + travel;
     if (!present || draw_.chance(0.01)) {
-      outcome.result = reedlb::Result::connect_failed;
+      outcome.result = scheduler::AttemptResult::connect_failed;
     } else if (draw_.chance(e.reject)) {
-      outcome.result = reedlb::Result::full;
+      outcome.result = scheduler::AttemptResult::rejected;
     } else if (draw_.chance(e.hang)) {
       return;  // nothing is heard of it until it is called off or the client leaves
     } else if (draw_.chance(e.fail)) {
-      outcome.result = draw_.chance(0.5) ? reedlb::Result::error : reedlb::Result::reset;
+      outcome.result =
+          draw_.chance(0.5) ? scheduler::AttemptResult::error : scheduler::AttemptResult::reset;
       ended += draw_.between(0, 30);
     } else {
       if (plan_.start_reports)
         schedule(now_ + travel + queued, index, Happening::Kind::event,
-                 reedlb::Started{send.request, attempt});
-      outcome.result = draw_.chance(0.01) ? reedlb::Result::moot : reedlb::Result::ok;
+                 scheduler::AttemptStarted{send.request, attempt});
+      outcome.result =
+          draw_.chance(0.01) ? scheduler::AttemptResult::withheld : scheduler::AttemptResult::ok;
       ended += queued + run;
     }
     outcome.elapsed_ms = ended - now_;
     schedule(ended, index, Happening::Kind::attempt_end, outcome);
   }
 
-  void end_attempt(int index, reedlb::Outcome outcome) {
+  void end_attempt(int index, scheduler::AttemptFinished outcome) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[outcome.request];
     auto place = static_cast<std::size_t>(outcome.attempt);
     if (place >= attempts.size() || std::exchange(attempts[place].ended, true))
       return;
     --endpoints_[attempts[place].endpoint].running;
-    outcome.final = outcome.result == reedlb::Result::ok;
+    outcome.request_finished = outcome.result == scheduler::AttemptResult::ok;
     give(index, outcome);
   }
 
-  void carry_out(int index, const reedlb::Recall& recall) {
-    reedlb::Outcome outcome;
+  void carry_out(int index, const scheduler::CancelAttempt& recall) {
+    scheduler::AttemptFinished outcome;
     outcome.request = recall.request;
     outcome.attempt = recall.attempt;
-    outcome.result = draw_.chance(0.1) ? reedlb::Result::timeout : reedlb::Result::cancelled;
+    outcome.result =
+        draw_.chance(0.1) ? scheduler::AttemptResult::timeout : scheduler::AttemptResult::cancelled;
     outcome.elapsed_ms = 1;
     schedule(now_ + draw_.between(0.5, 5), index, Happening::Kind::attempt_end, outcome);
   }
 
-  void carry_out(int index, const reedlb::SetTimer& timer) {
-    nodes_[static_cast<std::size_t>(index)].timer = timer.name;
-    schedule(std::max(timer.when, now_), index, Happening::Kind::event, reedlb::Timer{timer.name});
+  void carry_out(int index, const scheduler::SetTimer& timer) {
+    nodes_[static_cast<std::size_t>(index)].timer = timer.id;
+    schedule(std::max(timer.when, now_), index, Happening::Kind::event,
+             scheduler::TimerFired{timer.id});
   }
 
-  void carry_out(int index, const reedlb::Tell& tell) {
+  void carry_out(int index, const scheduler::SendPeerMessage& tell) {
     bool to_sibling = tell.peer == rank_of(index);
     int to = tell.peer;
     if (to_sibling) {
@@ -341,18 +349,18 @@
     if (!to_sibling && draw_.chance(0.1))
       return;  // lost
     schedule(now_ + draw_.between(0.2, 4), to, Happening::Kind::event,
-             reedlb::PeerMessage{rank_of(index), tell.bytes});
+             scheduler::PeerMessage{rank_of(index), tell.bytes});
   }
 
-  void carry_out(int index, const reedlb::Subscribe&) {
+  void carry_out(int index, const scheduler::PollEndpointList&) {
     bool fails = draw_.chance(0.3);
     schedule(now_ + draw_.between(1, 200), index, Happening::Kind::event,
-             whole_list(fails ? reedlb::ListScope::failed : reedlb::ListScope::full));
+             whole_list(fails ? scheduler::ListScope::failed : scheduler::ListScope::full));
   }
 
-  void carry_out(int, const reedlb::Refuse&) {}
-  void carry_out(int, const reedlb::Fail&) {}
-  void carry_out(int, const reedlb::Probe&) {}
+  void carry_out(int, const scheduler::RejectRequest&) {}
+  void carry_out(int, const scheduler::FailRequest&) {}
+  void carry_out(int, const scheduler::SendHealthCheck&) {}
 
   void change_endpoint() {
     schedule(now_ + draw_.between(300, 1500), 0, Happening::Kind::endpoint_change);
@@ -368,9 +376,9 @@
       if (plan_.cold_starts)
         e.entry.started_at = now_;
     }
-    reedlb::EndpointList list;
-    list.scope = draw_.chance(0.3) ? reedlb::ListScope::full : reedlb::ListScope::delta;
-    if (list.scope == reedlb::ListScope::full)
+    scheduler::EndpointList list;
+    list.scope = draw_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
+    if (list.scope == scheduler::ListScope::full)
       list = whole_list(list.scope);
     else
       list.entries.push_back(e.entry);
@@ -382,14 +390,14 @@
     schedule(now_ + draw_.between(400, 2000), 0, Happening::Kind::node_change);
     int index = draw_.below(count());
     if (plan_.sends_forbidden) {
-      give(index, reedlb::SendPermission{false});
+      give(index, scheduler::SendPermission{false});
       schedule(now_ + draw_.between(20, 600), index, Happening::Kind::event,
-               reedlb::SendPermission{true});
+               scheduler::SendPermission{true});
     }
     if (plan_.members_change) {
-      reedlb::Members members;
+      scheduler::MembershipChanged members;
       for (int rank = 0; rank < plan_.dispatchers; ++rank)
-        members.lives.push_back(!draw_.chance(0.2));
+        members.is_alive.push_back(!draw_.chance(0.2));
       for (int node = 0; node < count(); ++node)
         give(node, members);
     }
@@ -399,14 +407,14 @@
       change_settings();
     if (draw_.chance(0.2)) {
       auto& endpoint = endpoints_[static_cast<std::size_t>(draw_.below(plan_.endpoints))];
-      give(index, reedlb::ProbeResult{endpoint.entry.endpoint, draw_.chance(0.5), 3, {}});
+      give(index, scheduler::HealthCheckResult{endpoint.entry.endpoint, draw_.chance(0.5), 3, {}});
     }
   }
 
   // What was out at the former process is forgotten; its requests are its own.
   void restart(int index) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
-    reedlb::Knowledge knowledge = node.dispatcher->knowledge(now_);
+    scheduler::LearnedState knowledge = node.dispatcher->learned_state(now_);
     for (auto& [request, attempts] : node.attempts)
       for (AttemptModel& attempt : attempts)
         if (!std::exchange(attempt.ended, true))
@@ -418,25 +426,25 @@
   }
 
   void change_settings() {
-    settings_.try_limit = 1 + draw_.below(5);
+    settings_.max_attempts = 1 + draw_.below(5);
     settings_.tick_ms = draw_.chance(0.5) ? 2 : 5;
-    settings_.cold_ms = draw_.between(3000, 8000);
-    for (reedlb::ClassSettings& c : settings_.classes)
-      c.target_ms = draw_.between(200, 800);
+    settings_.slow_start_ms = draw_.between(3000, 8000);
+    for (scheduler::ClassSettings& c : settings_.classes)
+      c.latency_objective_ms = draw_.between(200, 800);
     std::vector<int> from;
     for (std::size_t i = 0; i < settings_.classes.size(); ++i)
       from.push_back(draw_.chance(0.2) ? -1 : static_cast<int>(i));
     for (int node = 0; node < count(); ++node) {
-      reedlb::Settings own = settings_;
+      scheduler::Settings own = settings_;
       own.rank = rank_of(node);
-      give(node, reedlb::Retune{own, from});
+      give(node, scheduler::SettingsChanged{own, from});
     }
   }
 
   const DayPlan& plan_;
   Recording& recording_;
   Draw draw_;
-  reedlb::Settings settings_;
+  scheduler::Settings settings_;
   std::vector<EndpointModel> endpoints_;
   std::vector<Node> nodes_;
   std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -157,9 +157,9 @@
   Recording recording("subsets");
   Draw draw(31);
   for (int i = 0; i < 60; ++i) {
-    std::vector<reedlb::EndpointId> endpoints;
+    std::vector<scheduler::EndpointId> endpoints;
     for (int e = 1 + draw.below(120); e > 0; --e)
-      endpoints.push_back(static_cast<reedlb::EndpointId>(draw.bits()));
+      endpoints.push_back(static_cast<scheduler::EndpointId>(draw.bits()));
     std::vector<int> dispatchers;
     for (int d = 0, all = 1 + draw.below(60); d < all; ++d)
       if (draw.chance(0.9))
@@ -224,27 +224,27 @@
   static routes::NameLists names() {
     return {{"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
   }
-  static std::vector<reedlb::ClassSettings> classes() {
-    std::vector<reedlb::ClassSettings> out(3);
-    out[1].effect = reedlb::Effect::keyed;
-    out[1].window_ms = 5000;
-    out[2].effect = reedlb::Effect::unsafe;
+  static std::vector<scheduler::ClassSettings> classes() {
+    std::vector<scheduler::ClassSettings> out(3);
+    out[1].idempotency = scheduler::Idempotency::idempotent_with_key;
+    out[1].deduplication_window_ms = 5000;
+    out[2].idempotency = scheduler::Idempotency::non_idempotent;
     return out;
   }
 
   void split() {
-    reedlb::EndpointList list;
-    list.scope = draw_.chance(0.3) ? reedlb::ListScope::full : reedlb::ListScope::delta;
+    scheduler::EndpointList list;
+    list.scope = draw_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
     for (int i = 0; i < 20; ++i)
-      if (draw_.chance(list.scope == reedlb::ListScope::full ? 0.8 : 0.1))
-        list.entries.push_back({static_cast<reedlb::EndpointId>(i), i % 2, i % 3 == 0, i / 4,
-                                static_cast<reedlb::EndpointState>(draw_.below(3)), 1.0 + i % 3,
+      if (draw_.chance(list.scope == scheduler::ListScope::full ? 0.8 : 0.1))
+        list.entries.push_back({static_cast<scheduler::EndpointId>(i), i % 2, i % 3 == 0, i / 4,
+                                static_cast<scheduler::EndpointState>(draw_.below(3)), 1.0 + i % 3,
                                 draw_.chance(0.3) ? now_ - draw_.between(0, 8000) : 0});
     hosts_.clear();
     for (int i = 0; i < 20; ++i)
       hosts_.push_back("host" + std::to_string(i));
     write(router_.split(
-        list, [this](reedlb::EndpointId id) { return std::string_view(hosts_[id]); }, now_));
+        list, [this](scheduler::EndpointId id) { return std::string_view(hosts_[id]); }, now_));
   }
 
   void replace() {
@@ -258,7 +258,7 @@
     std::string key = draw_.chance(0.5) ? "key" + std::to_string(draw_.below(200)) : "";
     std::string id = std::to_string(draw_.bits());
     routes::Query query;
-    query.cls = draw_.below(3);
+    query.class_index = draw_.below(3);
     query.tenant = draw_.below(2);
     query.path = draw_.chance(0.5) ? "/sale/x" : "/other";
     query.object = draw_.chance(0.5) ? 1 + static_cast<std::uint64_t>(draw_.below(100)) : 0;
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -20,8 +20,8 @@
 #include "handover/handover.h"
 #include "handover/knowledge_form.h"
 #include "net/event_loop.h"
-#include "peers.h"
 #include "recording.h"
+#include "scheduler/peers.h"
 
 namespace keelflow::replay {
 namespace {
@@ -65,38 +65,38 @@
   Draw draw(61);
   for (int sign = 0; sign <= 6; ++sign) {
     for (int i = 0; i < 3; ++i) {
-      reedlb::Note note;
-      note.endpoint = static_cast<reedlb::EndpointId>(draw.bits());
+      scheduler::Note note;
+      note.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
       note.life = static_cast<std::uint8_t>(draw.bits());
       note.load = i == 2 ? 1000 : draw.between(0, 12);
-      note.sign = static_cast<reedlb::Sign>(sign);
-      note.slow = draw.between(0.1, 9);
+      note.sign = static_cast<scheduler::Sign>(sign);
+      note.service_time_ratio = draw.between(0.1, 9);
       note.work = draw.between(0, 20000);
       expect_message("load-update-" + std::to_string(sign) + std::to_string(i),
-                     hex_of(reedlb::write_note(note)));
+                     hex_of(scheduler::write_note(note)));
     }
   }
   for (const std::string& bytes : recorded_bytes("load-update-")) {
-    auto read = reedlb::read_note(bytes);
+    auto read = scheduler::read_note(bytes);
     ASSERT_TRUE(read);
     // The last byte is read of two signals only.
-    bool has_detail = read->sign == reedlb::Sign::served || read->sign == reedlb::Sign::sent;
+    bool has_detail = read->sign == scheduler::Sign::served || read->sign == scheduler::Sign::sent;
     std::size_t read_bytes = has_detail ? bytes.size() : bytes.size() - 1;
-    EXPECT_EQ(hex_of(reedlb::write_note(*read).substr(0, read_bytes)),
+    EXPECT_EQ(hex_of(scheduler::write_note(*read).substr(0, read_bytes)),
               hex_of(bytes.substr(0, read_bytes)));
   }
-  EXPECT_FALSE(reedlb::read_note("1234567"));
+  EXPECT_FALSE(scheduler::read_note("1234567"));
 }
 
 TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
   Draw draw(62);
   for (int i = 0; i < 6; ++i) {
-    reedlb::EndpointEntry entry;
-    entry.endpoint = static_cast<reedlb::EndpointId>(draw.bits());
+    scheduler::EndpointEntry entry;
+    entry.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
     entry.started_at = i == 0 ? 0 : draw.between(0, 2e12);
-    expect_message(
-        "incarnation-" + std::to_string(i),
-        std::to_string(reedlb::life_of(entry)) + " " + std::to_string(reedlb::mark_of(entry)));
+    expect_message("incarnation-" + std::to_string(i),
+                   std::to_string(scheduler::life_of(entry)) + " " +
+                       std::to_string(scheduler::mark_of(entry)));
   }
 }
 
@@ -158,8 +158,8 @@
   }
 }
 
-reedlb::Knowledge some_knowledge() {
-  reedlb::Knowledge k;
+scheduler::LearnedState some_knowledge() {
+  scheduler::LearnedState k;
   k.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
   k.fleet = {{11, 22.125}, 150, 0.25};
@@ -180,9 +180,9 @@
   expect_message("learned-state", written);
   auto it = recorded_messages().find("learned-state");
   ASSERT_NE(it, recorded_messages().end());
-  reedlb::Knowledge read = from_json(nlohmann::json::parse(it->second), some_names());
+  scheduler::LearnedState read = from_json(nlohmann::json::parse(it->second), some_names());
   EXPECT_EQ(to_json(read, some_names()).dump(), it->second);
-  EXPECT_EQ(text_of(reedlb::Event(read)), text_of(reedlb::Event(some_knowledge())));
+  EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(some_knowledge())));
 }
 
 /// One side of a hand-over, and a plain socket in the place of the other process.
--- a/tests/replay/recording.cpp
+++ b/tests/replay/recording.cpp
@@ -20,116 +20,125 @@
   return out;
 }
 
-std::string entry_text(const reedlb::EndpointEntry& e) {
+std::string entry_text(const scheduler::EndpointEntry& e) {
   return " [" + std::to_string(e.endpoint) + " " + std::to_string(e.zone) + " " +
          std::to_string(e.kind) + " " + std::to_string(e.cell) + " " +
-         std::to_string(static_cast<int>(e.state)) + " " + text_of(e.nominal) + " " +
+         std::to_string(static_cast<int>(e.state)) + " " + text_of(e.nominal_capacity) + " " +
          text_of(e.started_at) + "]";
 }
 
-std::string subset_text(const reedlb::Homes::At& at) {
-  return " [" + std::to_string(at.endpoint) + " " + std::to_string(at.own) + joined(at.others) +
+std::string subset_text(const scheduler::SubsetEntry& at) {
+  return " [" + std::to_string(at.endpoint) + " " + std::to_string(at.is_own) + joined(at.peers) +
          "]";
 }
 
 /// One overload for each type of event.
 struct EventText {
-  std::string operator()(const reedlb::EndpointList& e) const { return replay::text_of(e); }
-  std::string operator()(const reedlb::Arrival& e) const {
-    return "arrival " + std::to_string(e.request) + " " + std::to_string(e.cls) + " " +
-           std::to_string(e.tenant) + " " + std::to_string(e.key) + " " + text_of(e.ttl_ms) + " " +
-           text_of(e.hint) + " " + text_of(e.slots) + " " + text_of(e.memory) + " " +
-           text_of(e.weigh) + " " + std::to_string(e.repeat);
-  }
-  std::string operator()(const reedlb::StreamBegun& e) const {
+  std::string operator()(const scheduler::EndpointList& e) const { return replay::text_of(e); }
+  std::string operator()(const scheduler::RequestArrived& e) const {
+    return "arrival " + std::to_string(e.request) + " " + std::to_string(e.class_index) + " " +
+           std::to_string(e.tenant) + " " + std::to_string(e.key) + " " +
+           text_of(e.client_timeout_ms) + " " + text_of(e.hint) + " " + text_of(e.slots) + " " +
+           text_of(e.memory) + " " + text_of(e.queue_weight) + " " +
+           std::to_string(e.is_client_retry);
+  }
+  std::string operator()(const scheduler::ResponseStreamStarted& e) const {
     return "stream " + std::to_string(e.request);
   }
-  std::string operator()(const reedlb::Started& e) const {
+  std::string operator()(const scheduler::AttemptStarted& e) const {
     return "started " + std::to_string(e.request) + " " + std::to_string(e.attempt);
   }
-  std::string operator()(const reedlb::ClientGone& e) const {
-    return "gone " + std::to_string(e.request) + " " + std::to_string(e.moved);
+  std::string operator()(const scheduler::ClientDisconnected& e) const {
+    return "gone " + std::to_string(e.request) + " " + std::to_string(e.is_rerouted);
   }
-  std::string operator()(const reedlb::Timer& e) const { return "timer " + std::to_string(e.name); }
-  std::string operator()(const reedlb::PeerMessage& e) const {
+  std::string operator()(const scheduler::TimerFired& e) const {
+    return "timer " + std::to_string(e.id);
+  }
+  std::string operator()(const scheduler::PeerMessage& e) const {
     return "peer " + std::to_string(e.peer) + " " + hex_of(e.bytes);
   }
-  std::string operator()(const reedlb::ProbeResult& e) const {
+  std::string operator()(const scheduler::HealthCheckResult& e) const {
     return "probe " + std::to_string(e.endpoint) + " " + std::to_string(e.ok) + " " +
            text_of(e.elapsed_ms);
   }
-  std::string operator()(const reedlb::Outcome& e) const {
+  std::string operator()(const scheduler::AttemptFinished& e) const {
     return "outcome " + std::to_string(e.request) + " " + std::to_string(e.attempt) + " " +
            std::to_string(static_cast<int>(e.result)) + " " + text_of(e.elapsed_ms) + " " +
-           std::to_string(e.final);
+           std::to_string(e.request_finished);
+  }
+  std::string operator()(const scheduler::SettingsChanged& e) const {
+    return "retune" + joined(e.learned_from);
   }
-  std::string operator()(const reedlb::Retune& e) const { return "retune" + joined(e.from); }
-  std::string operator()(const reedlb::Knowledge& k) const {
-    std::string out = "knowledge " + text_of(k.fleet.mean_run) + " " + text_of(k.fleet.crowding);
-    for (double delay : k.fleet.start_delay)
+  std::string operator()(const scheduler::LearnedState& k) const {
+    std::string out =
+        "knowledge " + text_of(k.fleet.mean_run_ms) + " " + text_of(k.fleet.congestion);
+    for (double delay : k.fleet.start_delay_ms)
       out += " z" + text_of(delay);
     for (const auto& c : k.classes)
       out += " c" + text_of(c.factor) + "/" + text_of(c.hint_sum) + "/" + text_of(c.hint_count);
     for (const auto& kind : k.kinds)
-      out += " k" + text_of(kind.cores) + "/" + text_of(kind.slow);
+      out += " k" + text_of(kind.observed_cores) + "/" + text_of(kind.service_time_ratio);
     for (const auto& w : k.endpoints)
       out += " w" + std::to_string(w.endpoint) + "/" + text_of(w.started_at) + "/" +
-             text_of(w.of.slow) + "/" + text_of(w.of.cap) + "/" + std::to_string(w.of.strikes) +
-             "/" + std::to_string(w.of.faults) + "/" + text_of(w.of.shut_until) + "/" +
-             text_of(w.load) + "/" + text_of(w.cold_work);
+             text_of(w.health.service_time_ratio) + "/" + text_of(w.health.concurrency_limit) +
+             "/" + std::to_string(w.health.outlier_signs) + "/" +
+             std::to_string(w.health.consecutive_failures) + "/" + text_of(w.health.ejected_until) +
+             "/" + text_of(w.in_flight) + "/" + text_of(w.slow_start_work_ms);
     return out;
   }
-  std::string operator()(const reedlb::Twin& e) const { return "twin " + std::to_string(e.here); }
-  std::string operator()(const reedlb::Members& e) const {
+  std::string operator()(const scheduler::SiblingProcess& e) const {
+    return "twin " + std::to_string(e.is_present);
+  }
+  std::string operator()(const scheduler::MembershipChanged& e) const {
     std::string out = "members ";
-    for (bool lives : e.lives)
+    for (bool lives : e.is_alive)
       out += lives ? '1' : '0';
     return out;
   }
-  std::string operator()(const reedlb::Homes& e) const {
-    std::string out = "homes " + std::to_string(e.talk);
+  std::string operator()(const scheduler::SubsetChanged& e) const {
+    std::string out = "homes " + std::to_string(e.shares_load);
     for (const auto& at : e.endpoints)
       out += subset_text(at);
     return out;
   }
-  std::string operator()(const reedlb::Turns& e) const {
+  std::string operator()(const scheduler::SlowStartShares& e) const {
     std::string out = "turns";
     for (const auto& at : e.endpoints)
-      out += subset_text(at.home) + "/" + text_of(at.started_at) + "/" + text_of(at.share);
+      out += subset_text(at.subset) + "/" + text_of(at.started_at) + "/" + text_of(at.fraction);
     return out;
   }
-  std::string operator()(const reedlb::Grant& e) const {
+  std::string operator()(const scheduler::SlowStartGrant& e) const {
     return "grant " + std::to_string(e.endpoint) + " " + text_of(e.started_at) + " " +
-           text_of(e.work) + " " + text_of(e.until) + " " + std::to_string(e.ours);
+           text_of(e.work_ms) + " " + text_of(e.until) + " " + std::to_string(e.is_received);
   }
-  std::string operator()(const reedlb::SendPermission& e) const {
-    return "permission " + std::to_string(e.allowed);
+  std::string operator()(const scheduler::SendPermission& e) const {
+    return "permission " + std::to_string(e.is_allowed);
   }
 };
 
 /// One overload for each type of action.
 struct ActionText {
-  std::string operator()(const reedlb::Send& a) const {
+  std::string operator()(const scheduler::SendAttempt& a) const {
     return "send " + std::to_string(a.request) + " " + std::to_string(a.endpoint) + " " +
            text_of(a.timeout_ms);
   }
-  std::string operator()(const reedlb::Refuse& a) const {
+  std::string operator()(const scheduler::RejectRequest& a) const {
     return "refuse " + std::to_string(a.request) + " " + text_of(a.retry_after_ms);
   }
-  std::string operator()(const reedlb::Fail& a) const {
+  std::string operator()(const scheduler::FailRequest& a) const {
     return "fail " + std::to_string(a.request);
   }
-  std::string operator()(const reedlb::Recall& a) const {
+  std::string operator()(const scheduler::CancelAttempt& a) const {
     return "recall " + std::to_string(a.request) + " " + std::to_string(a.attempt);
   }
-  std::string operator()(const reedlb::SetTimer& a) const {
-    return "set-timer " + std::to_string(a.name) + " " + text_of(a.when);
+  std::string operator()(const scheduler::SetTimer& a) const {
+    return "set-timer " + std::to_string(a.id) + " " + text_of(a.when);
   }
-  std::string operator()(const reedlb::Probe& a) const {
+  std::string operator()(const scheduler::SendHealthCheck& a) const {
     return "probe " + std::to_string(a.endpoint);
   }
-  std::string operator()(const reedlb::Subscribe&) const { return "subscribe"; }
-  std::string operator()(const reedlb::Tell& a) const {
+  std::string operator()(const scheduler::PollEndpointList&) const { return "subscribe"; }
+  std::string operator()(const scheduler::SendPeerMessage& a) const {
     return "tell " + std::to_string(a.peer) + " " + hex_of(a.bytes);
   }
 };
@@ -186,17 +195,17 @@
   return out;
 }
 
-std::string text_of(const reedlb::EndpointList& list) {
+std::string text_of(const scheduler::EndpointList& list) {
   std::string out = "list " + std::to_string(static_cast<int>(list.scope));
   for (const auto& entry : list.entries)
     out += entry_text(entry);
   return out;
 }
 
-std::string text_of(const reedlb::Event& event) {
+std::string text_of(const scheduler::Event& event) {
   return std::visit(EventText{}, event);
 }
-std::string text_of(const reedlb::Action& action) {
+std::string text_of(const scheduler::Action& action) {
   return std::visit(ActionText{}, action);
 }
 
--- a/tests/replay/recording.h
+++ b/tests/replay/recording.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "reedlb/dispatcher.h"
+#include "scheduler/dispatcher.h"
 
 namespace keelflow::replay {
 
@@ -36,9 +36,9 @@
 /// A number in the shortest decimal form that gives back every bit of it.
 std::string text_of(double value);
 std::string hex_of(std::string_view bytes);
-std::string text_of(const reedlb::Event& event);
-std::string text_of(const reedlb::Action& action);
-std::string text_of(const reedlb::EndpointList& list);
+std::string text_of(const scheduler::Event& event);
+std::string text_of(const scheduler::Action& action);
+std::string text_of(const scheduler::EndpointList& list);
 
 /// A generator of its own, so that the drawn days depend on no library and on no generator of the
 /// code under test.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -11,14 +11,15 @@
 
 #include "harness.h"
 
-namespace reedlb {
+namespace keelflow::scheduler {
 namespace {
 
-Settings with_effect(Effect effect, Scope scope = Scope::all, double window = 5000) {
+Settings with_effect(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::all,
+                     double window = 5000) {
   Settings s = basic_settings();
-  s.classes[0].effect = effect;
-  s.classes[0].scope = scope;
-  s.classes[0].window_ms = window;
+  s.classes[0].idempotency = idempotency;
+  s.classes[0].deduplication_scope = scope;
+  s.classes[0].deduplication_window_ms = window;
   return s;
 }
 
@@ -27,17 +28,17 @@
   b.arrive(1, 100, 0, 700);
   b.advance(1000 + 700);
   ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Refuse>(b.answers[0]));
+  EXPECT_TRUE(std::holds_alternative<RejectRequest>(b.answers[0]));
 }
 
 TEST(Rule1, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
-  Bench b(with_effect(Effect::unsafe));
+  Bench b(with_effect(Idempotency::non_idempotent));
   b.endpoints(2);
   b.arrive(1, 100, 0, 700);
   b.now += 700;
-  b.outcome(1, 0, Result::timeout, false);
+  b.outcome(1, 0, AttemptResult::timeout, false);
   ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Fail>(b.answers[0]));
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
 }
 
 TEST(Rule1, LateStaleAndUnknownEventsAreHarmless) {
@@ -46,16 +47,16 @@
   Bench b(s);
   b.endpoints(2);
   b.arrive(1, 100, 0, 700);
-  b.play(ClientGone{1});
-  b.outcome(1, 0, Result::ok, true);
-  b.outcome(1, 0, Result::ok, true);
-  b.outcome(99, 0, Result::error, false);
-  b.outcome(1, 7, Result::error, false);
-  b.play(Started{99, 3});
-  b.play(Timer{12345});
-  b.play(StreamBegun{99});
-  b.play(ClientGone{99});
-  b.play(ProbeResult{});
+  b.play(ClientDisconnected{1});
+  b.outcome(1, 0, AttemptResult::ok, true);
+  b.outcome(1, 0, AttemptResult::ok, true);
+  b.outcome(99, 0, AttemptResult::error, false);
+  b.outcome(1, 7, AttemptResult::error, false);
+  b.play(AttemptStarted{99, 3});
+  b.play(TimerFired{12345});
+  b.play(ResponseStreamStarted{99});
+  b.play(ClientDisconnected{99});
+  b.play(HealthCheckResult{});
   b.play(PeerMessage{});
   b.play(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
   EXPECT_TRUE(b.answers.empty());
@@ -66,20 +67,20 @@
 }
 
 TEST(Rule2, AnUnsafeJobThatMayHaveRunIsNotSentAgainAndFails) {
-  for (Result r : {Result::error, Result::reset}) {
-    Bench b(with_effect(Effect::unsafe));
+  for (AttemptResult r : {AttemptResult::error, AttemptResult::reset}) {
+    Bench b(with_effect(Idempotency::non_idempotent));
     b.endpoints(4);
     b.arrive(1, 100);
     b.outcome(1, 0, r, false);
     EXPECT_EQ(b.sends.size(), 1u);
     ASSERT_EQ(b.answers.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<Fail>(b.answers[0]));
+    EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
   }
 }
 
 TEST(Rule2, AKeyedJobIsRepeatedOnlyWithinItsGroup) {
-  for (Scope scope : {Scope::zone, Scope::cell}) {
-    Settings s = with_effect(Effect::keyed, scope);
+  for (DeduplicationScope scope : {DeduplicationScope::zone, DeduplicationScope::cell}) {
+    Settings s = with_effect(Idempotency::idempotent_with_key, scope);
     s.zones = 2;
     Bench b(s);
     EndpointList list;
@@ -89,23 +90,23 @@
     b.play(list);
     b.arrive(1, 100);
     EndpointId first = b.sends.at(0).endpoint;
-    b.outcome(1, 0, Result::reset, false);
+    b.outcome(1, 0, AttemptResult::reset, false);
     b.advance(b.now + 1000);
     ASSERT_EQ(b.sends.size(), 2u);
-    unsigned groups = scope == Scope::zone ? 2 : 4;
+    unsigned groups = scope == DeduplicationScope::zone ? 2 : 4;
     EXPECT_EQ(b.sends[1].endpoint % groups, first % groups);
   }
 }
 
 TEST(Rule2, AKeyedJobIsNotRepeatedAfterItsWindow) {
-  Bench b(with_effect(Effect::keyed, Scope::zone, 300));
+  Bench b(with_effect(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
   b.endpoints(4);
   b.arrive(1, 100);
   b.now += 300;
-  b.outcome(1, 0, Result::reset, false);
+  b.outcome(1, 0, AttemptResult::reset, false);
   EXPECT_EQ(b.sends.size(), 1u);
   ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Fail>(b.answers[0]));
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
 }
 
 TEST(Rule3, NothingGoesToAWorkerThatDrainsOrIsMissingFromAFullList) {
@@ -125,14 +126,14 @@
 
 TEST(Rule3, AskModeSubscribesAndAsksAgainOftenEnoughAfterFailures) {
   Settings s = basic_settings();
-  s.ask_list = true;
+  s.polls_list = true;
   s.dispatchers = 40;
   s.rank = 3;
   Bench b(s);
   std::vector<Time> asked;
   auto collect = [&] {
     for (const auto& a : b.last)
-      if (std::holds_alternative<Subscribe>(a))
+      if (std::holds_alternative<PollEndpointList>(a))
         asked.push_back(b.now);
   };
   b.play(EndpointList{ListScope::cached, {}});
@@ -147,9 +148,9 @@
     }
   }
   ASSERT_GE(asked.size(), 10u);
-  EXPECT_LE(asked[0] - 1000, 0.2 * s.ask_within_ms);
+  EXPECT_LE(asked[0] - 1000, 0.2 * s.poll_within_ms);
   for (std::size_t i = 1; i < asked.size(); ++i)
-    EXPECT_LE(asked[i] - asked[i - 1], s.ask_within_ms / 2);
+    EXPECT_LE(asked[i] - asked[i - 1], s.poll_within_ms / 2);
 }
 
 // The most that was sent to a endpoint within any window, in shares of what makes it fall over by
@@ -162,9 +163,11 @@
     std::sort(all.begin(), all.end());
     for (std::size_t i = 0; i < all.size(); ++i) {
       double sum = 0;
-      for (std::size_t k = i; k < all.size() && all[k].first < all[i].first + s.fall_ms; ++k) {
+      for (std::size_t k = i; k < all.size() && all[k].first < all[i].first + s.overload_window_ms;
+           ++k) {
         sum += all[k].second;
-        most = std::max(most, sum / (s.fall_multiple * capacity(all[k].first) * s.fall_ms));
+        most = std::max(
+            most, sum / (s.overload_multiple * capacity(all[k].first) * s.overload_window_ms));
       }
     }
   }
@@ -188,20 +191,21 @@
                               i < cold_workers ? started_at : 0});
     b.play(list);
     RequestId id = 0;
-    for (Time t = started_at; t < started_at + s.cold_ms; t += 50) {
+    for (Time t = started_at; t < started_at + s.slow_start_ms; t += 50) {
       b.advance(t);
       b.sends.clear();
       b.arrive(++id, hint);
-      for (const auto& x : std::vector<Send>(b.sends)) {
+      for (const auto& x : std::vector<SendAttempt>(b.sends)) {
         if (x.endpoint < static_cast<EndpointId>(cold_workers))
           sent[x.endpoint].emplace_back(b.now, hint);
-        b.play(Started{x.request, 0});
-        b.outcome(x.request, 0, Result::ok, true);
+        b.play(AttemptStarted{x.request, 0});
+        b.outcome(x.request, 0, AttemptResult::ok, true);
       }
     }
   }
   return fullest_window(s, sent, [&](Time t) {
-    return s.cold_from + (1 - s.cold_from) * (t - started_at) / s.cold_ms;
+    return s.slow_start_initial_fraction +
+           (1 - s.slow_start_initial_fraction) * (t - started_at) / s.slow_start_ms;
   });
 }
 
@@ -232,24 +236,26 @@
   auto turn = [&](Bench& b, Bench& other, Time t) {
     b.advance(t);
     b.arrive(++id, 60);
-    for (const Send& x : std::exchange(b.sends, {})) {
+    for (const SendAttempt& x : std::exchange(b.sends, {})) {
       sent[x.endpoint].emplace_back(b.now, 60);
-      b.play(Started{x.request, 0});
-      b.outcome(x.request, 0, Result::ok, true);
+      b.play(AttemptStarted{x.request, 0});
+      b.outcome(x.request, 0, AttemptResult::ok, true);
     }
-    for (const Tell& x : std::exchange(b.tells, {}))
+    for (const SendPeerMessage& x : std::exchange(b.tells, {}))
       other.now = b.now, other.play(PeerMessage{x.peer, x.bytes});
   };
-  const Time joins = started_at + s.fall_ms / 2;
+  const Time joins = started_at + s.overload_window_ms / 2;
   for (Time t = started_at; t < joins; t += 10)
     turn(elder, younger, t);
   younger.advance(joins);
   if (talk)
-    younger.play(elder.d.knowledge(joins)), younger.play(Twin{true}), elder.play(Twin{true});
-  for (Time t = joins; t < started_at + s.cold_ms; t += 10)
+    younger.play(elder.d.learned_state(joins)), younger.play(SiblingProcess{true}),
+        elder.play(SiblingProcess{true});
+  for (Time t = joins; t < started_at + s.slow_start_ms; t += 10)
     turn(elder, younger, t), turn(both ? younger : elder, elder, t);
   return fullest_window(s, sent, [&](Time t) {
-    return s.cold_from + (1 - s.cold_from) * (t - started_at) / s.cold_ms;
+    return s.slow_start_initial_fraction +
+           (1 - s.slow_start_initial_fraction) * (t - started_at) / s.slow_start_ms;
   });
 }
 
@@ -260,22 +266,22 @@
   EXPECT_GT(most_sent_by_twins(true, false), 1.4 * alone);  // so the test would notice
 }
 
-TEST(Twin, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
+TEST(SiblingProcess, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
   Settings s = basic_settings();
   Bench elder(s), younger(s);
   elder.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
     elder.arrive(id, 100);
-    elder.play(Started{id, 0});
+    elder.play(AttemptStarted{id, 0});
     elder.now += 300;
-    elder.outcome(id, 0, Result::ok, true);
+    elder.outcome(id, 0, AttemptResult::ok, true);
   }
   elder.arrive(41, 100);
   EndpointId busy = elder.sends.back().endpoint;
   younger.now = elder.now;
   younger.endpoints(2);
   EXPECT_EQ(younger.d.calibration(0), 1);
-  younger.play(elder.d.knowledge(elder.now));
+  younger.play(elder.d.learned_state(elder.now));
   EXPECT_EQ(younger.d.calibration(0), elder.d.calibration(0));
   EXPECT_GT(younger.d.calibration(0), 2.5);
   younger.arrive(1, 100);
@@ -283,45 +289,45 @@
   EXPECT_NE(younger.sends[0].endpoint, busy);
 }
 
-TEST(Retune, KeepsWhatWasLearnedAndTheClassOfJobsUnderWay) {
+TEST(SettingsChanged, KeepsWhatWasLearnedAndTheClassOfJobsUnderWay) {
   Settings s = basic_settings();
   Bench b(s);
   b.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
     b.arrive(id, 100);
-    b.play(Started{id, 0});
+    b.play(AttemptStarted{id, 0});
     b.now += 300;
-    b.outcome(id, 0, Result::ok, true);
+    b.outcome(id, 0, AttemptResult::ok, true);
   }
   double learned = b.d.calibration(0);
   b.arrive(50, 100);
   Settings stricter = s;
   stricter.classes.push_back(s.classes[0]);
-  stricter.classes[1].effect = Effect::unsafe;
-  b.play(Retune{stricter, {0, 0}});
+  stricter.classes[1].idempotency = Idempotency::non_idempotent;
+  b.play(SettingsChanged{stricter, {0, 0}});
   EXPECT_EQ(b.d.calibration(1), learned);
   b.arrive(51, 100, 1);
   std::size_t before = b.sends.size();
-  b.outcome(50, 0, Result::reset, false);  // came as safe work, and is repeated
+  b.outcome(50, 0, AttemptResult::reset, false);  // came as safe work, and is repeated
   EXPECT_EQ(b.sends.size(), before + 1);
-  b.outcome(51, 0, Result::reset, false);  // came as unsafe work
+  b.outcome(51, 0, AttemptResult::reset, false);  // came as unsafe work
   EXPECT_EQ(b.sends.size(), before + 1);
   ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<Fail>(b.answers[0]));
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
 }
 
-TEST(Retune, AHeldJobThatHasUsedUpAStricterLimitEndsAtOnce) {
+TEST(SettingsChanged, AHeldJobThatHasUsedUpAStricterLimitEndsAtOnce) {
   Settings s = basic_settings();
   Bench b(s);
   b.endpoints(1);
   b.arrive(1, 100);
-  b.outcome(1, 0, Result::connect_failed, false);  // the only endpoint is left alone now
+  b.outcome(1, 0, AttemptResult::connect_failed, false);  // the only endpoint is left alone now
   ASSERT_TRUE(b.answers.empty());
-  ASSERT_EQ(b.d.held(), 1u);
-  s.try_limit = 1;
-  b.play(Retune{s, {0}});
+  ASSERT_EQ(b.d.queued_requests(), 1u);
+  s.max_attempts = 1;
+  b.play(SettingsChanged{s, {0}});
   EXPECT_EQ(b.answers.size(), 1u);
-  EXPECT_EQ(b.d.held(), 0u);
+  EXPECT_EQ(b.d.queued_requests(), 0u);
 }
 
 // One that was restarted while it was out by hand comes back cold: however slow it must be believed
@@ -329,7 +335,7 @@
 // cases among four endpoints.
 TEST(Cold, AWorkerCalledBackIsTriedBeforeItsPaceCounts) {
   Settings s = basic_settings();
-  s.classes[0].stretch = 10;  // in time even there
+  s.classes[0].objective_runtime_factor = 10;  // in time even there
   int tried = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Bench b(s, seed);
@@ -364,8 +370,8 @@
              unsigned every = 67) {
     std::mt19937 rng(seed);
     s.dispatchers = 100;
-    s.parallel_tries = false;
-    s.classes[0].stretch = 2.5;
+    s.concurrent_attempts = false;
+    s.classes[0].objective_runtime_factor = 2.5;
     s.peers = peers;
     std::vector<std::unique_ptr<Bench>> nodes;
     EndpointList list;
@@ -377,7 +383,7 @@
       nodes.back()->play(list);
     }
     std::map<RequestId, std::pair<Time, double>> jobs;  // when each came, and its hint
-    for (Time t = kBorn; t < kBorn + s.cold_ms; t += 5) {
+    for (Time t = kBorn; t < kBorn + s.slow_start_ms; t += 5) {
       for (; !coming.empty() && coming.begin()->first <= t; coming.erase(coming.begin()))
         coming.begin()->second();
       for (std::size_t n = 0; n < nodes.size(); ++n) {
@@ -387,9 +393,9 @@
           jobs[static_cast<RequestId>(++all)] = {t, rng() % 10 == 0 ? 1600 : 200};
           node.arrive(static_cast<RequestId>(all), jobs[static_cast<RequestId>(all)].second);
         }
-        for (const Send& x : std::exchange(node.sends, {}))
+        for (const SendAttempt& x : std::exchange(node.sends, {}))
           run(node, x, t, jobs[x.request]);
-        for (Tell& x : std::exchange(node.tells, {}))
+        for (SendPeerMessage& x : std::exchange(node.tells, {}))
           if (n >= mute && rng() % 100 >= lost)
             coming.emplace(t + 2 + rng() % 20,
                            [&to = *nodes[static_cast<std::size_t>(x.peer)], n, bytes = x.bytes] {
@@ -399,20 +405,21 @@
     }
   }
 
-  void run(Bench& node, const Send& x, Time t, std::pair<Time, double> job) {
+  void run(Bench& node, const SendAttempt& x, Time t, std::pair<Time, double> job) {
     (x.endpoint < kCold ? fresh : warm)[x.endpoint].emplace_back(t, job.second);
     Time& free = *std::min_element(cores[x.endpoint].begin(), cores[x.endpoint].end());
     Time start = std::max(free, t);
     free = start + job.second / (x.endpoint < kCold ? warmth(start) : 1);
-    coming.emplace(start + 1, [&node, id = x.request] { node.play(Started{id, 0}); });
+    coming.emplace(start + 1, [&node, id = x.request] { node.play(AttemptStarted{id, 0}); });
     coming.emplace(free + 1, [this, &node, id = x.request, job, end = free] {
-      node.outcome(id, 0, Result::ok, true);
+      node.outcome(id, 0, AttemptResult::ok, true);
       in_time += end - job.first < 500 + 2.5 * job.second;
     });
   }
 
   double warmth(Time t) const {
-    return std::min(1.0, s.cold_from + (1 - s.cold_from) * (t - kBorn) / s.cold_ms);
+    return std::min(1.0, s.slow_start_initial_fraction +
+                             (1 - s.slow_start_initial_fraction) * (t - kBorn) / s.slow_start_ms);
   }
   double fullest() const {
     return fullest_window(s, fresh, [&](Time t) { return 2 * warmth(t); });
@@ -457,7 +464,7 @@
 struct Checked {
   bool ended = false, answered = false;
   Time deadline = 0;
-  int zone = 0, cell = 0, cls = 0;
+  int zone = 0, cell = 0, class_index = 0;
   struct Try {
     EndpointId endpoint;
     Time sent = 0;
@@ -475,14 +482,16 @@
   Settings s = basic_settings();
   s.zones = 2;
   s.kinds = 2;
-  s.parallel_tries = seed % 3 != 0;
-  s.try_limit = 1 + pick(5);
+  s.concurrent_attempts = seed % 3 != 0;
+  s.max_attempts = 1 + pick(5);
   s.classes.resize(4, s.classes[0]);
-  s.classes[1].effect = Effect::unsafe;
-  s.classes[2].effect = Effect::keyed, s.classes[2].scope = Scope::zone,
-  s.classes[2].window_ms = 800;
-  s.classes[3].effect = Effect::keyed, s.classes[3].scope = Scope::cell,
-  s.classes[3].window_ms = 400;
+  s.classes[1].idempotency = Idempotency::non_idempotent;
+  s.classes[2].idempotency = Idempotency::idempotent_with_key,
+  s.classes[2].deduplication_scope = DeduplicationScope::zone,
+  s.classes[2].deduplication_window_ms = 800;
+  s.classes[3].idempotency = Idempotency::idempotent_with_key,
+  s.classes[3].deduplication_scope = DeduplicationScope::cell,
+  s.classes[3].deduplication_window_ms = 400;
   s.classes[3].kind = pick(2);
   Dispatcher d(s, seed);
   std::map<EndpointId, EndpointEntry> fleet;
@@ -497,39 +506,41 @@
     for (const auto& action : actions) {
       if (const auto* t = std::get_if<SetTimer>(&action))
         timers.push_back(*t);
-      if (const auto* x = std::get_if<Send>(&action)) {
+      if (const auto* x = std::get_if<SendAttempt>(&action)) {
         Checked& c = all.at(x->request);
         ASSERT_FALSE(c.ended) << "sent after its end";
-        ASSERT_LT(static_cast<int>(c.tries.size()), s.try_limit);
+        ASSERT_LT(static_cast<int>(c.tries.size()), s.max_attempts);
         const EndpointEntry& w = fleet.at(x->endpoint);
         ASSERT_EQ(w.state, EndpointState::ready);
-        const ClassSettings& k = s.classes[static_cast<std::size_t>(c.cls)];
+        const ClassSettings& k = s.classes[static_cast<std::size_t>(c.class_index)];
         if (k.kind >= 0) {
           ASSERT_EQ(w.kind, k.kind);
         }
         for (const auto& t : c.tries) {
           if (t.fate == 1)
             continue;
-          if (!s.parallel_tries) {
+          if (!s.concurrent_attempts) {
             ASSERT_NE(t.fate, 0);
           }
-          ASSERT_NE(k.effect, Effect::unsafe);
-          if (k.effect == Effect::keyed) {
+          ASSERT_NE(k.idempotency, Idempotency::non_idempotent);
+          if (k.idempotency == Idempotency::idempotent_with_key) {
             const EndpointEntry& before = fleet.at(t.endpoint);
-            ASSERT_TRUE(k.scope == Scope::zone ? before.zone == w.zone : before.cell == w.cell);
-            ASSERT_LE(now, t.sent + k.window_ms);
+            ASSERT_TRUE(k.deduplication_scope == DeduplicationScope::zone ? before.zone == w.zone
+                                                                          : before.cell == w.cell);
+            ASSERT_LE(now, t.sent + k.deduplication_window_ms);
           }
         }
         c.tries.push_back({x->endpoint, now});
       }
-      const auto* refuse = std::get_if<Refuse>(&action);
-      const auto* fail = std::get_if<Fail>(&action);
+      const auto* refuse = std::get_if<RejectRequest>(&action);
+      const auto* fail = std::get_if<FailRequest>(&action);
       if (refuse || fail) {
         Checked& c = all.at(refuse ? refuse->request : fail->request);
         ASSERT_FALSE(c.ended) << "answered twice";
         c.ended = c.answered = true;
         ASSERT_LE(now, c.deadline + s.grace_to_answer_ms);
-        if (refuse && s.classes[static_cast<std::size_t>(c.cls)].effect != Effect::safe)
+        if (refuse && s.classes[static_cast<std::size_t>(c.class_index)].idempotency !=
+                          Idempotency::idempotent)
           for (const auto& t : c.tries) {
             ASSERT_EQ(t.fate, 1) << "refused though it may have run";
           }
@@ -546,20 +557,20 @@
       }
       SetTimer t = timers[i];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(i));
-      act(Timer{t.name});
+      act(TimerFired{t.id});
     }
     int what = pick(10);
     if (what < 3 && step < 2500) {
-      Arrival a;
+      RequestArrived a;
       a.request = ++next;
-      a.cls = pick(4);
+      a.class_index = pick(4);
       a.hint = pick(3) ? 20 + pick(500) : 0;
-      a.ttl_ms = 20 + pick(1500);
+      a.client_timeout_ms = 20 + pick(1500);
       a.slots = 1 + pick(2);
       a.key = static_cast<std::uint64_t>(pick(5));
       Checked& c = all[a.request];
-      c.deadline = now + a.ttl_ms;
-      c.cls = a.cls;
+      c.deadline = now + a.client_timeout_ms;
+      c.class_index = a.class_index;
       act(a);
     } else if (what == 3) {
       EndpointList list;
@@ -591,23 +602,29 @@
       auto& t = c.tries[static_cast<std::size_t>(i)];
       if (!t.started && pick(3) == 0) {
         t.started = true;
-        act(Started{id, i});
+        act(AttemptStarted{id, i});
         continue;
       }
-      Outcome o;
+      AttemptFinished o;
       o.request = id;
       o.attempt = i;
-      const Result results[] = {
-          Result::ok,    Result::ok,   Result::error,     Result::full, Result::connect_failed,
-          Result::reset, Result::moot, Result::cancelled, Result::full};
-      o.result = now >= c.deadline ? Result::timeout : results[pick(9)];
-      t.fate =
-          o.result == Result::full || o.result == Result::connect_failed || o.result == Result::moot
-              ? 1
-              : 2;
-      if (o.result == Result::ok)
+      const AttemptResult results[] = {AttemptResult::ok,
+                                       AttemptResult::ok,
+                                       AttemptResult::error,
+                                       AttemptResult::rejected,
+                                       AttemptResult::connect_failed,
+                                       AttemptResult::reset,
+                                       AttemptResult::withheld,
+                                       AttemptResult::cancelled,
+                                       AttemptResult::rejected};
+      o.result = now >= c.deadline ? AttemptResult::timeout : results[pick(9)];
+      t.fate = o.result == AttemptResult::rejected || o.result == AttemptResult::connect_failed ||
+                       o.result == AttemptResult::withheld
+                   ? 1
+                   : 2;
+      if (o.result == AttemptResult::ok)
         c.ended = true;
-      o.final = c.ended;
+      o.request_finished = c.ended;
       act(o);
     }
     if (::testing::Test::HasFatalFailure())
@@ -622,7 +639,7 @@
       }
       SetTimer t = timers[k];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(k));
-      act(Timer{t.name});
+      act(TimerFired{t.id});
     }
   }
   for (const auto& [id, c] : all)
@@ -638,4 +655,4 @@
 }
 
 }  // namespace
-}  // namespace reedlb
+}  // namespace keelflow::scheduler
