--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -26,7 +26,7 @@
 
 enum class Kind { none, pools, moving };
 
-class World final : EndpointPort, TimerPort, Asker {
+class World final : EndpointPort, TimerPort, ResponseSink {
  public:
   explicit World(Kind kind)
       : now_(Clock::now()),
@@ -71,8 +71,9 @@
     now_ += 1ms;
     engine_.take(std::move(job), *this);
     for (auto ref = std::exchange(sent_, {}); ref.request;) {
-      engine_.attempt_ended(ref,
-                            {.ending = Ending::served, .reach = Reach::accepted, .result = "x"});
+      engine_.attempt_ended(
+          ref,
+          {.outcome = AttemptOutcome::served, .delivery = DeliveryState::accepted, .result = "x"});
       break;
     }
     timers_.run(now_);
--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -26,7 +26,7 @@
   void begin() {
     const ClassPlan& class_index = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
     began_ = owner_.world_.loop.now();
-    deadline_ = began_ + class_settings.patience;
+    deadline_ = began_ + class_index.patience;
     bool leaves = job_.leaves_after > Duration::zero();
     timer_ = leaves ? owner_.world_.loop.at(began_ + job_.leaves_after, [this] { leave(); })
                     : owner_.world_.loop.at(deadline_ + kSlack, [this] { silent(); });
@@ -44,11 +44,11 @@
   void on_connected() override {
     const ClassPlan& class_index = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
     std::string request =
-        "POST /" + class_settings.name + "/x HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id_ +
+        "POST /" + class_index.name + "/x HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id_ +
         "\r\nX-Customer: t" + std::to_string(job_.tenant) + "\r\nX-Object: " + job_.object +
         "\r\nX-Expires-In-Ms: " +
         std::to_string(
-            std::chrono::floor<std::chrono::milliseconds>(class_settings.patience).count()) +
+            std::chrono::floor<std::chrono::milliseconds>(class_index.patience).count()) +
         "\r\nX-Size-Hint: " + std::to_string(static_cast<std::int64_t>(1000 * job_.hint_ms)) +
         "\r\nIdempotency-Key: " + job_.key + (job_.tries > 0 ? "\r\nX-Second-Try: 1" : "") +
         "\r\nContent-Length: 2\r\n\r\nhi";
@@ -132,7 +132,7 @@
 }
 
 void Crowd::load(double factor, const std::string& class_index) {
-  if (class_settings.empty())
+  if (class_index.empty())
     factor_ = factor;
   for (std::size_t i = 0; i < shares_.size(); ++i)
     if (plan_.classes[i].name == class_index)
@@ -211,24 +211,24 @@
                   1 + random_(static_cast<std::uint32_t>(plan_.objects)));
     job.object = object;
     job.tenant = static_cast<int>(random_(static_cast<std::uint32_t>(plan_.tenants)));
-    double usual = to_ms(class_settings.run);
+    double usual = to_ms(class_index.run);
     job.core_ms = usual * std::lognormal_distribution<double>(
-                              -class_settings.spread * class_settings.spread / 2,
-                              class_settings.spread)(random_);
+                              -class_index.spread * class_index.spread / 2,
+                              class_index.spread)(random_);
     job.hint_ms = job.core_ms * std::lognormal_distribution<double>(0, 0.2)(random_);
     job.rude = std::bernoulli_distribution(plan_.rude)(random_);
     if (plan_.quitters > 0 && std::bernoulli_distribution(plan_.quitters)(random_))
       job.leaves_after = std::chrono::duration_cast<Duration>(
-          std::uniform_real_distribution<double>(0.01, 0.9)(random_) * class_settings.patience);
+          std::uniform_real_distribution<double>(0.01, 0.9)(random_) * class_index.patience);
     job.first = world_.loop.now();
     ClassFigures& f = figures_[static_cast<std::size_t>(job.class_index)];
     ++f.jobs;
-    f.worth_asked += class_settings.value;
+    f.worth_asked += class_index.value;
     auto second = static_cast<std::size_t>(
         std::chrono::floor<std::chrono::seconds>(job.first - began_).count());
     if (seconds_.size() <= second)
       seconds_.resize(second + 1);
-    seconds_[second].first += class_settings.value;
+    seconds_[second].first += class_index.value;
     ask(std::move(job));
     if (!stopped_)
       next();
@@ -240,9 +240,9 @@
   std::string id = job.key + "." + std::to_string(job.tries);
   std::size_t node = choose_node();
   ++figures_[static_cast<std::size_t>(job.class_index)].tries;
-  world_.works[id] = {job.key, class_settings.idempotency, class_settings.window, job.core_ms,
-                      class_settings.checkpoint};
-  world_.rules.asked(id, job.key, class_settings.idempotency, class_settings.window);
+  world_.works[id] = {job.key, class_index.idempotency, class_index.window, job.core_ms,
+                      class_index.checkpoint};
+  world_.rules.asked(id, job.key, class_index.idempotency, class_index.window);
   auto call = std::make_unique<Call>(*this, std::move(job), std::move(id), node);
   Call* raw = call.get();
   calls_.emplace(raw, std::move(call));
@@ -259,13 +259,13 @@
     ++f.served;
     latencies_(elapsed);
     if (elapsed >
-        to_ms(class_settings.target) + class_settings.objective_runtime_factor * job.core_ms)
+        to_ms(class_index.target) + class_index.objective_runtime_factor * job.core_ms)
       return;
     ++f.in_time;
-    f.worth_in_time += class_settings.value;
+    f.worth_in_time += class_index.value;
     seconds_[static_cast<std::size_t>(
                  std::chrono::floor<std::chrono::seconds>(job.first - began_).count())]
-        .second += class_settings.value;
+        .second += class_index.value;
     return;
   }
   if (status == kLeft)
@@ -275,9 +275,9 @@
   // A keyed try that failed may have run in its group; the next could come to a node that knows
   // nothing of it.
   bool may =
-      refused || (status != 0 && class_settings.idempotency == scheduler::Idempotency::idempotent);
-  if (!may || job.tries >= class_settings.retries ||
-      (stopped_ && elapsed > to_ms(class_settings.patience)))
+      refused || (status != 0 && class_index.idempotency == scheduler::Idempotency::idempotent);
+  if (!may || job.tries >= class_index.retries ||
+      (stopped_ && elapsed > to_ms(class_index.patience)))
     return;
   ++job.tries;
   ++retries_;
--- a/logic/overlay/by_hand.cpp
+++ b/logic/admin_overrides/admin_overrides.cpp
@@ -1,19 +1,19 @@
-#include "overlay/by_hand.h"
+#include "admin_overrides/admin_overrides.h"
 
 #include <utility>
 
-namespace keelflow::overlay {
+namespace keelflow::admin_overrides {
 
 using scheduler::EndpointList;
 using scheduler::EndpointState;
 using scheduler::ListScope;
 
-void ByHand::lay_over(scheduler::EndpointEntry& entry) const {
-  if (entry.state == EndpointState::ready && is_out(entry.endpoint))
+void AdminOverrides::lay_over(scheduler::EndpointEntry& entry) const {
+  if (entry.state == EndpointState::ready && is_disabled(entry.endpoint))
     entry.state = EndpointState::draining;
 }
 
-EndpointList ByHand::laid_over(EndpointList list) {
+EndpointList AdminOverrides::apply(EndpointList list) {
   if (list.scope == ListScope::failed)
     return list;
   if (list.scope != ListScope::delta)
@@ -28,19 +28,20 @@
   return list;
 }
 
-std::optional<EndpointList> ByHand::out(scheduler::EndpointId endpoint, const std::string& host) {
+std::optional<EndpointList> AdminOverrides::out(scheduler::EndpointId endpoint,
+                                                const std::string& host) {
   if (!out_.emplace(endpoint, host).second)
     return std::nullopt;
   return told_anew(endpoint);
 }
 
-std::optional<EndpointList> ByHand::back(scheduler::EndpointId endpoint) {
+std::optional<EndpointList> AdminOverrides::back(scheduler::EndpointId endpoint) {
   if (out_.erase(endpoint) == 0)
     return std::nullopt;
   return told_anew(endpoint);
 }
 
-std::optional<EndpointList> ByHand::told_anew(scheduler::EndpointId endpoint) const {
+std::optional<EndpointList> AdminOverrides::told_anew(scheduler::EndpointId endpoint) const {
   auto it = listed_.find(endpoint);
   if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
@@ -52,18 +53,19 @@
   return told;
 }
 
-std::vector<std::string> ByHand::hosts() const {
+std::vector<std::string> AdminOverrides::hosts() const {
   std::vector<std::string> all;
   for (const auto& [endpoint, host] : out_)
     all.push_back(host);
   return all;
 }
 
-std::size_t ByHand::unavailable(const std::function<bool(scheduler::EndpointId)>& avoided) const {
+std::size_t AdminOverrides::unavailable(
+    const std::function<bool(scheduler::EndpointId)>& avoided) const {
   std::size_t count = 0;
   for (const auto& [endpoint, entry] : listed_)
-    count += entry.state != EndpointState::ready || is_out(endpoint) || avoided(endpoint);
+    count += entry.state != EndpointState::ready || is_disabled(endpoint) || avoided(endpoint);
   return count;
 }
 
-}  // namespace keelflow::overlay
+}  // namespace keelflow::admin_overrides
--- a/logic/overlay/by_hand.h
+++ b/logic/admin_overrides/admin_overrides.h
@@ -12,12 +12,12 @@
 
 #include "scheduler/dispatcher.h"
 
-namespace keelflow::overlay {
+namespace keelflow::admin_overrides {
 
-class ByHand {
+class AdminOverrides {
  public:
   // What is to be told instead of discovery's word. Keeps that word, to restore it later.
-  scheduler::EndpointList laid_over(scheduler::EndpointList list);
+  scheduler::EndpointList apply(scheduler::EndpointList list);
 
   // Out, or back. The list to be told for it, a complete one as if from memory: empty where nothing
   // changes for anyone, as for a second call of the same kind or an endpoint that is not listed.
@@ -25,7 +25,7 @@
                                              const std::string& host);
   std::optional<scheduler::EndpointList> back(scheduler::EndpointId endpoint);
 
-  bool is_out(scheduler::EndpointId endpoint) const { return out_.contains(endpoint); }
+  bool is_disabled(scheduler::EndpointId endpoint) const { return out_.contains(endpoint); }
   std::vector<std::string> hosts() const;  // of all that are out, listed or not
 
   std::size_t listed() const { return listed_.size(); }
@@ -42,4 +42,4 @@
       out_;  // with the host's name; as many as operators have called out
 };
 
-}  // namespace keelflow::overlay
+}  // namespace keelflow::admin_overrides
--- a/logic/discovery/outage_presumption.cpp
+++ b/logic/discovery/outage_presumption.cpp
@@ -40,11 +40,11 @@
   return now < until ? std::optional(until) : std::nullopt;
 }
 
-std::string write_watch_message(const WatchMessage& message) {
+std::string encode(const WatchMessage& message) {
   return {kTag, kVersion, static_cast<char>(message.kind)};
 }
 
-std::optional<WatchMessage> read_watch_message(std::string_view bytes) {
+std::optional<WatchMessage> decode_watch_message(std::string_view bytes) {
   if (bytes.size() != 3 || bytes[0] != kTag || bytes[1] != kVersion)
     return std::nullopt;
   if (bytes[2] < 1 || bytes[2] > 3)
--- a/logic/discovery/outage_presumption.h
+++ b/logic/discovery/outage_presumption.h
@@ -37,8 +37,8 @@
     has_none = 3
   } kind = Kind::question;
 };
-std::string write_watch_message(const WatchMessage& message);
+std::string encode(const WatchMessage& message);
 // Empty: it is another message. A process of an earlier release takes it for none of its own.
-std::optional<WatchMessage> read_watch_message(std::string_view bytes);
+std::optional<WatchMessage> decode_watch_message(std::string_view bytes);
 
 }  // namespace keelflow::discovery
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -27,11 +27,11 @@
                  kBudgetRate = 0.04;  // news passed on at once: most saved up, and a ms
 constexpr Time kAlone = 3;            // periods without a word from anyone
 
-std::uint32_t mark_of(int m, const Membership::Member& of) {
-  if (of.life == Life::unknown)
+std::uint32_t incarnation_tag(int m, const Membership::Member& of) {
+  if (of.state == MemberState::unknown)
     return 0;
   return static_cast<std::uint32_t>(mix(static_cast<std::uint64_t>(m) << 33 |
-                                        std::uint64_t{of.life == Life::dead} << 32 |
+                                        std::uint64_t{of.state == MemberState::dead} << 32 |
                                         of.incarnation));
 }
 
@@ -53,7 +53,7 @@
       budget_(kBudget),
       living_(settings.members) {
   Output none;
-  set(settings.self, Life::alive, incarnation, "", none);
+  set(settings.self, MemberState::alive, incarnation, "", none);
   spread(settings.self);
   // Spread over the period, so that not all look at once.
   double phase = std::fmod(settings.self * 0.6180339887, 1.0) * settings.period;
@@ -80,62 +80,62 @@
 
 // ---- what is held of each ----
 
-void Membership::set(int m, Life life, std::uint32_t incarnation, std::string evidence,
+void Membership::set(int m, MemberState state, std::uint32_t incarnation, std::string evidence,
                      Output& out) {
   Member& of = member(m);
-  Life before = of.life;
-  digest_ ^= mark_of(m, of);
-  living_ += (life != Life::dead) - (before != Life::dead);
-  suspects_ += (life == Life::suspect) - (before == Life::suspect);
-  of.life = life;
+  MemberState before = of.state;
+  digest_ ^= incarnation_tag(m, of);
+  living_ += (state != MemberState::dead) - (before != MemberState::dead);
+  suspects_ += (state == MemberState::suspect) - (before == MemberState::suspect);
+  of.state = state;
   of.incarnation = incarnation;
   of.left = false;
-  if (life != Life::suspect)
+  if (state != MemberState::suspect)
     of.accusers.clear();
-  digest_ ^= mark_of(m, of);
-  if (life == before)
+  digest_ ^= incarnation_tag(m, of);
+  if (state == before)
     return;
   of.since = now_;
-  figures_.deaths += life == Life::dead;
+  figures_.deaths += state == MemberState::dead;
   if (m != settings_.self)
-    out.changes.push_back({m, before, life, incarnation, std::move(evidence)});
+    out.changes.push_back({m, before, state, incarnation, std::move(evidence)});
 }
 
 void Membership::spread(int m) {
   to_tell_[m] = static_cast<int>(std::ceil(kTellings * std::log2(settings_.members + 1)));
 }
 
-std::vector<Rumour> Membership::rumours_of(int m) const {
+std::vector<MemberUpdate> Membership::rumours_of(int m) const {
   const Member& of = at(m);
-  if (of.life == Life::unknown)
+  if (of.state == MemberState::unknown)
     return {};
-  if (of.life == Life::alive)
-    return {{m, Life::alive, of.incarnation, m}};
+  if (of.state == MemberState::alive)
+    return {{m, MemberState::alive, of.incarnation, m}};
   if (of.left)
-    return {{m, Life::dead, of.incarnation, m}};
-  std::vector<Rumour> out;
+    return {{m, MemberState::dead, of.incarnation, m}};
+  std::vector<MemberUpdate> out;
   for (int by : of.accusers)
-    out.push_back({m, of.life, of.incarnation, by});
+    out.push_back({m, of.state, of.incarnation, by});
   if (out.empty())
-    out.push_back({m, of.life, of.incarnation, settings_.self});
+    out.push_back({m, of.state, of.incarnation, settings_.self});
   return out;
 }
 
 // ---- words ----
 
-void Membership::send(int to, Word word, Output& out, bool all) {
+void Membership::send(int to, MembershipMessage word, Output& out, bool all) {
   word.incarnation = incarnation_;
   word.digest = digest_;
   auto add = [&](int m) {
-    for (const Rumour& r : rumours_of(m))
-      if (std::find(word.rumours.begin(), word.rumours.end(), r) == word.rumours.end())
-        word.rumours.push_back(r);
+    for (const MemberUpdate& r : rumours_of(m))
+      if (std::find(word.updates.begin(), word.updates.end(), r) == word.updates.end())
+        word.updates.push_back(r);
   };
-  if (at(to).life == Life::suspect || at(to).life == Life::dead)
+  if (at(to).state == MemberState::suspect || at(to).state == MemberState::dead)
     add(to);  // it is the one who can clear itself
   // In turn: with much to tell, what stands first must not be told over and over before the rest is
   // told once.
-  for (std::size_t left = to_tell_.size(); left > 0 && word.rumours.size() < kMostRumours; --left) {
+  for (std::size_t left = to_tell_.size(); left > 0 && word.updates.size() < kMostRumours; --left) {
     auto it = to_tell_.upper_bound(told_last_);
     if (it == to_tell_.end())
       it = to_tell_.begin();
@@ -144,19 +144,19 @@
     if (--it->second <= 0)
       to_tell_.erase(it);
   }
-  for (int i = 0; all && i < settings_.members && word.rumours.size() < kMostRumours; ++i) {
-    if (auto rumours = rumours_of(cursor_); !rumours.empty())
-      word.rumours.push_back(rumours.front());
+  for (int i = 0; all && i < settings_.members && word.updates.size() < kMostRumours; ++i) {
+    if (auto updates = rumours_of(cursor_); !updates.empty())
+      word.updates.push_back(updates.front());
     cursor_ = (cursor_ + 1) % settings_.members;
   }
-  if (word.rumours.size() > kMostRumours)
-    word.rumours.resize(kMostRumours);
-  out.letters.push_back({to, write_word(word)});
+  if (word.updates.size() > kMostRumours)
+    word.updates.resize(kMostRumours);
+  out.letters.push_back({to, encode(word)});
   ++figures_.letters;
   figures_.bytes += out.letters.back().bytes.size();
 }
 
-// News goes on at once, within a budget: whatever happens, it cannot fill the network.
+// StatusCallback goes on at once, within a budget: whatever happens, it cannot fill the network.
 void Membership::pass_on(int m, Output& out) {
   spread(m);
   budget_ = std::min(kBudget, budget_ + (now_ - budget_at_) * kBudgetRate);
@@ -169,12 +169,12 @@
       return;
     budget_ -= 1;
     send(to,
-         {.kind = Word::Kind::tell,
+         {.kind = MembershipMessage::Kind::tell,
           .number = 0,
           .incarnation = 0,
           .digest = 0,
           .about = settings_.self,
-          .rumours = rumours_of(m)},
+          .updates = rumours_of(m)},
          out);
   }
 }
@@ -183,10 +183,10 @@
   now_ = std::max(now_, now);
   if (!is_other(from))
     return false;
-  auto word = read_word(bytes);
+  auto word = decode_membership_message(bytes);
   met(from, word ? word->incarnation : 0, out);
   if (word) {
-    for (const Rumour& r : word->rumours)
+    for (const MemberUpdate& r : word->updates)
       if (r.member >= 0 && r.member < settings_.members && r.by >= 0 && r.by < settings_.members)
         take(r, out);
     answer(from, *word, out);
@@ -195,37 +195,38 @@
   return word.has_value();
 }
 
-void Membership::answer(int from, const Word& word, Output& out) {
+void Membership::answer(int from, const MembershipMessage& word, Output& out) {
   bool differs = word.digest != digest_;
-  if (word.kind == Word::Kind::ping)
+  if (word.kind == MembershipMessage::Kind::ping)
     return send(from,
-                {.kind = Word::Kind::ack,
+                {.kind = MembershipMessage::Kind::ack,
                  .number = word.number,
                  .incarnation = 0,
                  .digest = 0,
                  .about = settings_.self,
-                 .rumours = {}},
+                 .updates = {}},
                 out, differs);
-  if (word.kind == Word::Kind::ask && is_other(word.about) && errands_.size() < kMostErrands)
+  if (word.kind == MembershipMessage::Kind::ask && is_other(word.about) &&
+      errands_.size() < kMostErrands)
     errands_.push_back(
         {from, word.about, word.number, now_ + kVerdict * settings_.period / 2, now_});
   auto look = looks_.find(word.about);
   bool mine = look != looks_.end() && look->second.number == word.number;
-  if (word.kind == Word::Kind::nack && mine)
+  if (word.kind == MembershipMessage::Kind::nack && mine)
     look->second.nacked = true;
-  if (word.kind == Word::Kind::ack && mine) {  // through another
+  if (word.kind == MembershipMessage::Kind::ack && mine) {  // through another
     looks_.erase(look);
     doubt_ = std::max(0, doubt_ - 1);
   }
   // What they hold differs: the one who asked sends a part of its own, as the one who answered has.
-  if (word.kind == Word::Kind::ack && differs)
+  if (word.kind == MembershipMessage::Kind::ack && differs)
     send(from,
-         {.kind = Word::Kind::tell,
+         {.kind = MembershipMessage::Kind::tell,
           .number = 0,
           .incarnation = 0,
           .digest = 0,
           .about = settings_.self,
-          .rumours = {}},
+          .updates = {}},
          out, true);
 }
 
@@ -243,77 +244,77 @@
   m.heard = now_;
   if (looks_.erase(from) > 0)
     doubt_ = std::max(0, doubt_ - 1);
-  bool of_before =
-      incarnation == 0 && m.life == Life::dead && m.worded < m.since && now_ > m.since + kRemind;
+  bool of_before = incarnation == 0 && m.state == MemberState::dead && m.worded < m.since &&
+                   now_ > m.since + kRemind;
   if (incarnation > 0)
     m.worded = now_;
-  if (m.life == Life::dead && (incarnation > m.incarnation || of_before))
+  if (m.state == MemberState::dead && (incarnation > m.incarnation || of_before))
     came_back_ = true, dead_due_ = now_;
-  if (m.life == Life::unknown || incarnation > m.incarnation) {
-    set(from, Life::alive, std::max(incarnation, m.incarnation), "it was heard", out);
+  if (m.state == MemberState::unknown || incarnation > m.incarnation) {
+    set(from, MemberState::alive, std::max(incarnation, m.incarnation), "it was heard", out);
     return spread(from);
   }
-  if (m.life == Life::alive)
+  if (m.state == MemberState::alive)
     return;
   if (incarnation > 0)
     send(from,
-         {.kind = Word::Kind::tell,
+         {.kind = MembershipMessage::Kind::tell,
           .number = 0,
           .incarnation = 0,
           .digest = 0,
           .about = settings_.self,
-          .rumours = rumours_of(from)},
+          .updates = rumours_of(from)},
          out);
   if (of_before)
-    set(from, Life::alive, m.incarnation, "it was heard itself", out);
+    set(from, MemberState::alive, m.incarnation, "it was heard itself", out);
 }
 
 // Nobody could be heard until now: what was concluded from that says nothing of the others.
 void Membership::forgive(Output& out) {
   for (int m = 0; m < settings_.members; ++m)
     if (is_other(m) && !at(m).left && at(m).since >= last_heard_ &&
-        (at(m).life == Life::suspect || at(m).life == Life::dead))
-      set(m, Life::alive, at(m).incarnation, "this node had heard nobody", out);
+        (at(m).state == MemberState::suspect || at(m).state == MemberState::dead))
+      set(m, MemberState::alive, at(m).incarnation, "this node had heard nobody", out);
   looks_.clear();
 }
 
-void Membership::take(const Rumour& r, Output& out) {
+void Membership::take(const MemberUpdate& r, Output& out) {
   if (r.member == settings_.self)
     return take_of_self(r, out);
   Member& m = member(r.member);
-  if (m.life != Life::unknown && r.incarnation < m.incarnation)
+  if (m.state != MemberState::unknown && r.incarnation < m.incarnation)
     return;
-  bool newer = m.life == Life::unknown || r.incarnation > m.incarnation;
-  if (r.life == Life::alive) {
+  bool newer = m.state == MemberState::unknown || r.incarnation > m.incarnation;
+  if (r.state == MemberState::alive) {
     if (!newer)
       return;
-    set(r.member, Life::alive, r.incarnation, "others heard it", out);
+    set(r.member, MemberState::alive, r.incarnation, "others heard it", out);
     return spread(r.member);
   }
-  if (r.life == Life::dead && r.by == r.member) {
+  if (r.state == MemberState::dead && r.by == r.member) {
     if (m.left)
       return;
-    set(r.member, Life::dead, r.incarnation, "it said that it ends", out);
+    set(r.member, MemberState::dead, r.incarnation, "it said that it ends", out);
     m.left = true;
     return pass_on(r.member, out);
   }
   if (newer)
-    set(r.member, Life::alive, r.incarnation, "others heard it", out);
-  if (m.life == Life::alive)
+    set(r.member, MemberState::alive, r.incarnation, "others heard it", out);
+  if (m.state == MemberState::alive)
     accuse(r.member, r.by, out);
-  else if (m.life == Life::suspect && m.accusers.size() <= kMediators &&
+  else if (m.state == MemberState::suspect && m.accusers.size() <= kMediators &&
            m.accusers.insert(r.by).second)
     pass_on(r.member, out);
 }
 
-void Membership::take_of_self(const Rumour& r, Output& out) {
+void Membership::take_of_self(const MemberUpdate& r, Output& out) {
   if (leaving_ || r.incarnation < incarnation_ ||
-      (r.life == Life::alive && r.incarnation == incarnation_))
+      (r.state == MemberState::alive && r.incarnation == incarnation_))
     return;
   incarnation_ = r.incarnation + 1;
-  set(settings_.self, Life::alive, incarnation_, "", out);
+  set(settings_.self, MemberState::alive, incarnation_, "", out);
   ++figures_.refutations;
-  if (r.life != Life::alive)
+  if (r.state != MemberState::alive)
     doubt_ = std::min(kMostDoubt, doubt_ + 1);
   pass_on(settings_.self, out);
 }
@@ -321,7 +322,7 @@
 void Membership::accuse(int m, int by, Output& out) {
   ++figures_.accusations;
   member(m).accusers = {by};
-  set(m, Life::suspect, at(m).incarnation,
+  set(m, MemberState::suspect, at(m).incarnation,
       by == settings_.self ? "it does not answer" : name(by) + " says that it does not answer",
       out);
   bool own = by == settings_.self;
@@ -357,7 +358,7 @@
   ++figures_.stalls;
   doubt_ = std::min(kMostDoubt, doubt_ + static_cast<int>(late / settings_.period));
   for (Member& m : members_)
-    if (m.life == Life::suspect)
+    if (m.state == MemberState::suspect)
       m.since += late;
   looks_.clear();
   errands_.clear();
@@ -383,14 +384,14 @@
   // Who is accused is told so as long as it lasts: it may clear itself.
   int reminded = 0;
   for (int s = 0; s < settings_.members && reminded < kMediators; ++s)
-    if (at(s).life == Life::suspect && !looks_.contains(s)) {
+    if (at(s).state == MemberState::suspect && !looks_.contains(s)) {
       send(s,
-           {.kind = Word::Kind::ping,
+           {.kind = MembershipMessage::Kind::ping,
             .number = ++last_number_,
             .incarnation = 0,
             .digest = 0,
             .about = settings_.self,
-            .rumours = {}},
+            .updates = {}},
            out);
       ++reminded;
     }
@@ -415,21 +416,22 @@
     if (look.asked_others && !look.nacked)
       doubt_ = std::min(kMostDoubt, doubt_ + 1);
     Member& of = member(m);
-    if (of.life == Life::alive)
+    if (of.state == MemberState::alive)
       accuse(m, settings_.self, out);
-    else if (of.life == Life::suspect && !alone() && of.accusers.insert(settings_.self).second)
+    else if (of.state == MemberState::suspect && !alone() &&
+             of.accusers.insert(settings_.self).second)
       pass_on(m, out);
     return true;
   }
   if (look.tries < kPings && now_ >= look.begun + look.tries * kPingGap * period) {
     ++look.tries;
     send(m,
-         {.kind = Word::Kind::ping,
+         {.kind = MembershipMessage::Kind::ping,
           .number = look.number,
           .incarnation = 0,
           .digest = 0,
           .about = settings_.self,
-          .rumours = {}},
+          .updates = {}},
          out);
   }
   if (!look.asked_others && now_ >= look.begun + kAskOthers * period) {
@@ -437,12 +439,12 @@
     for (int i = 0; i < kMediators; ++i)
       if (int other = random_living(m); other >= 0)
         send(other,
-             {.kind = Word::Kind::ask,
+             {.kind = MembershipMessage::Kind::ask,
               .number = look.number,
               .incarnation = 0,
               .digest = 0,
               .about = m,
-              .rumours = {}},
+              .updates = {}},
              out);
   }
   look.next = verdict;
@@ -459,24 +461,24 @@
          over = now_ >= it->until;
     if (heard || over) {
       send(it->asker,
-           {.kind = heard ? Word::Kind::ack : Word::Kind::nack,
+           {.kind = heard ? MembershipMessage::Kind::ack : MembershipMessage::Kind::nack,
             .number = it->number,
             .incarnation = 0,
             .digest = 0,
             .about = it->target,
-            .rumours = {}},
+            .updates = {}},
            out);
       it = errands_.erase(it);
       continue;
     }
     if (now_ >= it->next) {
       send(it->target,
-           {.kind = Word::Kind::ping,
+           {.kind = MembershipMessage::Kind::ping,
             .number = ++last_number_,
             .incarnation = 0,
             .digest = 0,
             .about = settings_.self,
-            .rumours = {}},
+            .updates = {}},
            out);
       it->next = now_ + kPingGap * settings_.period;
     }
@@ -497,13 +499,13 @@
 void Membership::bury(Output& out) {
   for (int m = 0; m < settings_.members; ++m) {
     Member& of = member(m);
-    if (of.life != Life::suspect || now_ < of.since + patience(of))
+    if (of.state != MemberState::suspect || now_ < of.since + patience(of))
       continue;
     std::string evidence = "no answer to";
     for (int by : of.accusers)
       evidence += " " + name(by);
     std::set<int> accusers = of.accusers;
-    set(m, Life::dead, of.incarnation, evidence, out);
+    set(m, MemberState::dead, of.incarnation, evidence, out);
     of.accusers = std::move(accusers);
     looks_.erase(m);
     if (!alone())
@@ -519,12 +521,12 @@
     if (!is_other(m) || lives(m))
       continue;
     send(m,
-         {.kind = Word::Kind::ping,
+         {.kind = MembershipMessage::Kind::ping,
           .number = ++last_number_,
           .incarnation = 0,
           .digest = 0,
           .about = settings_.self,
-          .rumours = {}},
+          .updates = {}},
          out);
     --left;
   }
@@ -536,7 +538,7 @@
   leaving_ = true;
   Member& me = member(settings_.self);
   me.left = true;
-  me.life = Life::dead;
+  me.state = MemberState::dead;
   pass_on(settings_.self, out);
 }
 
@@ -549,7 +551,7 @@
         std::min({next_, e.until,
                   at(e.target).heard >= e.until - kVerdict * settings_.period / 2 ? now_ : e.next});
   for (std::size_t i = 0; suspects_ > 0 && i < members_.size(); ++i)
-    if (const Member& m = members_[i]; m.life == Life::suspect)
+    if (const Member& m = members_[i]; m.state == MemberState::suspect)
       next_ = std::min(next_, m.since + patience(m));
 }
 
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -39,7 +39,7 @@
   };
   struct Change {
     int member = 0;
-    Life from = Life::unknown, to = Life::unknown;
+    MemberState from = MemberState::unknown, to = MemberState::unknown;
     std::uint32_t incarnation = 0;
     std::string evidence;  // in words
   };
@@ -52,7 +52,7 @@
     std::vector<Change> changes;
   };
   struct Member {
-    Life life = Life::unknown;
+    MemberState state = MemberState::unknown;
     std::uint32_t incarnation = 0;
     Time since = 0;  // its life is this one
     Time heard = -1e18,
@@ -75,7 +75,7 @@
   Time next() const { return next_; }
   void leave(Time now, Output& out);  // it ends by itself: the others need not wait for it
 
-  bool lives(int member) const { return at(member).life != Life::dead; }
+  bool lives(int member) const { return at(member).state != MemberState::dead; }
   int living() const { return living_; }  // this one among them
   const Member& at(int member) const { return members_[static_cast<std::size_t>(member)]; }
   int members() const { return settings_.members; }
@@ -98,11 +98,11 @@
   Member& member(int m) { return members_[static_cast<std::size_t>(m)]; }
   bool is_other(int m) const { return m >= 0 && m < settings_.members && m != settings_.self; }
   void met(int from, std::uint32_t incarnation, Output& out);
-  void take(const Rumour& rumour, Output& out);
-  void take_of_self(const Rumour& rumour, Output& out);
+  void take(const MemberUpdate& rumour, Output& out);
+  void take_of_self(const MemberUpdate& rumour, Output& out);
   void accuse(int m, int by, Output& out);
-  void set(int m, Life life, std::uint32_t incarnation, std::string evidence, Output& out);
-  void answer(int from, const Word& word, Output& out);
+  void set(int m, MemberState state, std::uint32_t incarnation, std::string evidence, Output& out);
+  void answer(int from, const MembershipMessage& word, Output& out);
   void forgive(Output& out);
   void notice_stall();
   void begin_round(Output& out);
@@ -117,8 +117,8 @@
   bool heard_of_late(int m) const { return now_ - at(m).heard < settings_.period; }
   void spread(int m);
   void pass_on(int m, Output& out);
-  std::vector<Rumour> rumours_of(int m) const;
-  void send(int to, Word word, Output& out, bool all = false);
+  std::vector<MemberUpdate> rumours_of(int m) const;
+  void send(int to, MembershipMessage word, Output& out, bool all = false);
   double random();
   int random_living(int but);
   void plan();
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -101,13 +101,13 @@
   return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, endpoints);
 }
 
-Homes::Homes(const scheduler::Settings& s)
+Subsets::Subsets(const scheduler::Settings& s)
     : dispatchers_(s.dispatchers),
       self_(s.rank),
       peers_(s.peers),
       lives_(static_cast<std::size_t>(std::max(1, s.dispatchers)), true) {}
 
-std::optional<scheduler::SubsetChanged> Homes::after(const scheduler::Event& event) {
+std::optional<scheduler::SubsetChanged> Subsets::after(const scheduler::Event& event) {
   if (const auto* list = std::get_if<scheduler::EndpointList>(&event)) {
     if (!take(*list))
       return std::nullopt;
@@ -126,7 +126,7 @@
   return told_ = divide();
 }
 
-bool Homes::take(const scheduler::EndpointList& list) {
+bool Subsets::take(const scheduler::EndpointList& list) {
   if (list.scope == scheduler::ListScope::failed)
     return false;
   std::set<scheduler::EndpointId> now;
@@ -143,7 +143,7 @@
   return true;
 }
 
-scheduler::SubsetChanged Homes::divide() const {
+scheduler::SubsetChanged Subsets::divide() const {
   std::vector<scheduler::EndpointId> endpoints(endpoints_.begin(), endpoints_.end());
   std::vector<int> living;
   for (int d = 0; d < dispatchers_; ++d)
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -32,9 +32,9 @@
 int homes_for_each(double wanted, int dispatchers, int endpoints);
 
 // Tells one Dispatcher who is at home at the endpoints that it knows, whenever that changes.
-class Homes {
+class Subsets {
  public:
-  explicit Homes(const scheduler::Settings& settings);
+  explicit Subsets(const scheduler::Settings& settings);
   // For each event that the Dispatcher was given, right after it: what it is to be told then.
   std::optional<scheduler::SubsetChanged> after(const scheduler::Event& event);
   const scheduler::SubsetChanged& told() const { return told_; }  // last
--- a/logic/fleet/turns.cpp
+++ b/logic/fleet/turns.cpp
@@ -29,7 +29,7 @@
 std::uint64_t seed_of(const EndpointEntry& e) {
   return mix(e.endpoint ^ mix(static_cast<std::uint64_t>(std::max(0.0, e.started_at) * 1000)));
 }
-std::uint32_t life_of(const EndpointEntry& e) {
+std::uint32_t incarnation_of(const EndpointEntry& e) {
   return static_cast<std::uint32_t>(seed_of(e));
 }
 
@@ -51,24 +51,24 @@
 
 }  // namespace
 
-std::string write_turn(const TurnWord& w) {
+std::string encode(const SlowStartMessage& w) {
   std::string out{kMark, kVersion, static_cast<char>(w.kind), '\0'};
   for (std::uint32_t v : {w.endpoint, w.life, w.asker, w.number, w.work, w.least})
     put(out, v);
   return out;
 }
 
-std::optional<TurnWord> read_turn(std::string_view bytes) {
+std::optional<SlowStartMessage> decode_slow_start_message(std::string_view bytes) {
   if (bytes.size() != kSize || bytes[0] != kMark || bytes[1] != kVersion || bytes[2] < 0 ||
       bytes[2] > 2)
     return std::nullopt;
-  return TurnWord{static_cast<TurnWord::Kind>(bytes[2]),
-                  get(bytes, 4),
-                  get(bytes, 8),
-                  get(bytes, 12),
-                  get(bytes, 16),
-                  get(bytes, 20),
-                  get(bytes, 24)};
+  return SlowStartMessage{static_cast<SlowStartMessage::Kind>(bytes[2]),
+                          get(bytes, 4),
+                          get(bytes, 8),
+                          get(bytes, 12),
+                          get(bytes, 16),
+                          get(bytes, 20),
+                          get(bytes, 24)};
 }
 
 std::vector<int> order_at(const EndpointEntry& endpoint, int dispatchers) {
@@ -88,13 +88,13 @@
   return place < owners ? 1.0 / owners : 0;
 }
 
-Turns::Figures& Turns::Figures::operator+=(const Figures& o) {
+SlowStartLeases::Statistics& SlowStartLeases::Statistics::operator+=(const Statistics& o) {
   asked += o.asked, got += o.got, granted += o.granted, denied += o.denied,
       came_back += o.came_back, late += o.late;
   return *this;
 }
 
-Turns::Turns(const scheduler::Settings& s, scheduler::Time started)
+SlowStartLeases::SlowStartLeases(const scheduler::Settings& s, scheduler::Time started)
     : dispatchers_(std::max(1, s.dispatchers)),
       self_(s.rank),
       peers_(s.peers),
@@ -106,8 +106,8 @@
       lives_(static_cast<std::size_t>(dispatchers_), true),
       silent_(lives_.size(), -1e18) {}
 
-void Turns::after(scheduler::Time now, const Event& event, const Dispatcher& dispatcher,
-                  std::vector<Event>& told, scheduler::Actions& out) {
+void SlowStartLeases::after(scheduler::Time now, const Event& event, const Dispatcher& dispatcher,
+                            std::vector<Event>& told, scheduler::Actions& out) {
   now_ = std::max(now_, now);
   if (const auto* list = std::get_if<scheduler::EndpointList>(&event)) {
     if (take(*list))
@@ -142,7 +142,7 @@
 }
 
 // True: an endpoint came or went, or started again.
-bool Turns::take(const scheduler::EndpointList& list) {
+bool SlowStartLeases::take(const scheduler::EndpointList& list) {
   if (list.scope == scheduler::ListScope::failed)
     return false;
   std::map<scheduler::EndpointId, EndpointEntry> now;
@@ -163,7 +163,7 @@
   return !same;
 }
 
-void Turns::order() {
+void SlowStartLeases::order() {
   std::erase_if(turns_, [&](const auto& t) {
     auto it = endpoints_.find(t.first);
     return it == endpoints_.end() || it->second.started_at != t.second.entry.started_at;
@@ -173,7 +173,7 @@
   for (const auto& [id, entry] : endpoints_) {
     if (entry.started_at <= 0 || now_ >= entry.started_at + cold_ms_)
       continue;
-    Turn& turn = turns_[id];
+    EndpointLease& turn = turns_[id];
     if (turn.order.size() != lives_.size())
       turn.order = order_at(entry, dispatchers_);
     turn.entry = entry;
@@ -187,16 +187,16 @@
 
 // Until all is out of the window that a former life may have sent, or granted to others who sent it
 // at the grant's end.
-bool Turns::waits(const Turn& turn) const {
+bool SlowStartLeases::waits(const EndpointLease& turn) const {
   double over = started_ + window_ + (peers_ ? (1 + kDrift) * length_ : 0);
   return turn.entry.started_at <= started_ && now_ < over;
 }
 
-double Turns::share(const Turn& turn) const {
+double SlowStartLeases::share(const EndpointLease& turn) const {
   return waits(turn) ? 0 : share_at(turn.place, dispatchers_);
 }
 
-void Turns::tell_shares(std::vector<Event>& told) {
+void SlowStartLeases::tell_shares(std::vector<Event>& told) {
   scheduler::SlowStartShares turns;
   int homes = homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
                             static_cast<int>(endpoints_.size()));
@@ -216,12 +216,13 @@
 }
 
 // What has ended: grants held, owners that did not answer, endpoints that are warm by now.
-void Turns::age(const Dispatcher& dispatcher, std::vector<Event>& told, scheduler::Actions& out) {
+void SlowStartLeases::age(const Dispatcher& dispatcher, std::vector<Event>& told,
+                          scheduler::Actions& out) {
   if (now_ < next_)
     return;
   next_ = now_ + length_;
   for (auto it = turns_.begin(); it != turns_.end();) {
-    Turn& turn = it->second;
+    EndpointLease& turn = it->second;
     if (now_ >= turn.entry.started_at + cold_ms_) {
       it = turns_.erase(it);
       continue;
@@ -235,19 +236,20 @@
   }
 }
 
-void Turns::give_back(Turn& turn, double left, std::vector<Event>& told, scheduler::Actions& out) {
+void SlowStartLeases::give_back(EndpointLease& turn, double left, std::vector<Event>& told,
+                                scheduler::Actions& out) {
   turn.until = 0;
   told.emplace_back(
       scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at, 0, 0, true});
   if (whole(left) == 0)
     return;
   out.emplace_back(scheduler::SendPeerMessage{
-      turn.owner, write_turn({TurnWord::Kind::back, turn.entry.endpoint, life_of(turn.entry), life_,
-                              turn.number, whole(left), 0})});
+      turn.owner, encode({SlowStartMessage::Kind::back, turn.entry.endpoint,
+                          incarnation_of(turn.entry), life_, turn.number, whole(left), 0})});
 }
 
-void Turns::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told,
-                    scheduler::Actions& out) {
+void SlowStartLeases::ask_all(const Dispatcher& dispatcher, std::vector<Event>& told,
+                              scheduler::Actions& out) {
   for (auto& [id, turn] : turns_) {
     if (!turn.own || turn.entry.state != scheduler::EndpointState::ready)
       continue;
@@ -266,7 +268,7 @@
   }
 }
 
-int Turns::next_owner(const Turn& turn) const {
+int SlowStartLeases::next_owner(const EndpointLease& turn) const {
   int owners = 0;
   while (owners < dispatchers_ && share_at(owners, dispatchers_) > 0)
     ++owners;
@@ -281,7 +283,8 @@
   return -1;
 }
 
-void Turns::ask(Turn& turn, const SlowStartBudget& room, scheduler::Actions& out) {
+void SlowStartLeases::ask(EndpointLease& turn, const SlowStartBudget& room,
+                          scheduler::Actions& out) {
   int owner = next_owner(turn);
   if (owner < 0)
     return;
@@ -292,23 +295,23 @@
   ++figures_.asked;
   double lacks = std::max(1.0, room.typical - std::max(0.0, room.own));
   out.emplace_back(scheduler::SendPeerMessage{
-      owner,
-      write_turn({TurnWord::Kind::ask, turn.entry.endpoint, life_of(turn.entry), life_, turn.number,
-                  whole(std::max(lacks, kWanted * room.typical)), whole(std::ceil(lacks))})});
+      owner, encode({SlowStartMessage::Kind::ask, turn.entry.endpoint, incarnation_of(turn.entry),
+                     life_, turn.number, whole(std::max(lacks, kWanted * room.typical)),
+                     whole(std::ceil(lacks))})});
 }
 
-void Turns::hear(const scheduler::PeerMessage& message, const Dispatcher& dispatcher,
-                 std::vector<Event>& told, scheduler::Actions& out) {
-  auto word = read_turn(message.bytes);
+void SlowStartLeases::hear(const scheduler::PeerMessage& message, const Dispatcher& dispatcher,
+                           std::vector<Event>& told, scheduler::Actions& out) {
+  auto word = decode_slow_start_message(message.bytes);
   if (!word || message.peer < 0 || message.peer >= dispatchers_ || message.peer == self_)
     return;
   auto it = turns_.find(word->endpoint);
-  if (it == turns_.end() || life_of(it->second.entry) != word->life)
+  if (it == turns_.end() || incarnation_of(it->second.entry) != word->life)
     return;
-  Turn& turn = it->second;
-  if (word->kind == TurnWord::Kind::ask)
+  EndpointLease& turn = it->second;
+  if (word->kind == SlowStartMessage::Kind::ask)
     return grant(message.peer, *word, turn, dispatcher, told, out);
-  if (word->kind == TurnWord::Kind::back) {
+  if (word->kind == SlowStartMessage::Kind::back) {
     auto given = turn.given.find(message.peer);
     if (given == turn.given.end() || given->second.back || given->second.asker != word->asker ||
         given->second.number != word->number)
@@ -337,9 +340,10 @@
                                               static_cast<double>(word->work), turn.until, true});
 }
 
-void Turns::grant(int asker, const TurnWord& word, Turn& turn, const Dispatcher& dispatcher,
-                  std::vector<Event>& told, scheduler::Actions& out) {
-  Turn::Given& last = turn.given[asker];
+void SlowStartLeases::grant(int asker, const SlowStartMessage& word, EndpointLease& turn,
+                            const Dispatcher& dispatcher, std::vector<Event>& told,
+                            scheduler::Actions& out) {
+  EndpointLease::Given& last = turn.given[asker];
   // Repeated, or overtaken by a later one. A new life of the asker numbers anew, and is a later
   // one.
   bool newer = word.asker > last.asker || (word.asker == last.asker && word.number > last.number);
@@ -355,8 +359,8 @@
   told.emplace_back(scheduler::SlowStartGrant{turn.entry.endpoint, turn.entry.started_at,
                                               static_cast<double>(work), until, false});
   out.emplace_back(
-      scheduler::SendPeerMessage{asker, write_turn({TurnWord::Kind::grant, turn.entry.endpoint,
-                                                    word.life, word.asker, word.number, work, 0})});
+      scheduler::SendPeerMessage{asker, encode({SlowStartMessage::Kind::grant, turn.entry.endpoint,
+                                                word.life, word.asker, word.number, work, 0})});
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/turns.h
+++ b/logic/fleet/turns.h
@@ -25,7 +25,7 @@
 // What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; endpoint (4), its life
 // (4), the asker's life (4), number (4), work and least work in ms (4 each). Of another version,
 // size or kind it is none.
-struct TurnWord {
+struct SlowStartMessage {
   enum class Kind : std::uint8_t { ask, grant, back } kind = Kind::ask;
   scheduler::EndpointId endpoint = 0;
   std::uint32_t life = 0;   // of the endpoint
@@ -34,8 +34,8 @@
   std::uint32_t work = 0,
                 least = 0;  // ms: wanted and the least that is of use, granted, or given back
 };
-std::string write_turn(const TurnWord& word);
-std::optional<TurnWord> read_turn(std::string_view bytes);
+std::string encode(const SlowStartMessage& word);
+std::optional<SlowStartMessage> decode_slow_start_message(std::string_view bytes);
 
 // The order of all nodes at one life of an endpoint.
 std::vector<int> order_at(const scheduler::EndpointEntry& endpoint, int dispatchers);
@@ -45,13 +45,13 @@
 constexpr double kDrift = 0.1;  // clocks may run apart by so much
 
 // Beside one Dispatcher: tells it its parts and its grants, and asks and grants for it.
-class Turns {
+class SlowStartLeases {
  public:
-  struct Figures {
+  struct Statistics {
     std::uint64_t asked = 0, got = 0, granted = 0, denied = 0, came_back = 0, late = 0;
-    Figures& operator+=(const Figures& o);
+    Statistics& operator+=(const Statistics& o);
   };
-  struct Turn {  // at one cold endpoint
+  struct EndpointLease {  // at one cold endpoint
     scheduler::EndpointEntry entry;
     std::vector<int> order;
     int place = 0;  // of this node
@@ -72,7 +72,7 @@
   };
 
   // `started`: when this node did, on the Dispatcher's clock.
-  Turns(const scheduler::Settings& settings, scheduler::Time started);
+  SlowStartLeases(const scheduler::Settings& settings, scheduler::Time started);
   // For each event that the Dispatcher was given, right after it. `told`: what it is to be told
   // then.
   void after(scheduler::Time now, const scheduler::Event& event,
@@ -81,29 +81,30 @@
 
   void grants(bool on) { grants_ = on; }  // off: it asks for nothing and grants nothing from now on
 
-  const std::map<scheduler::EndpointId, Turn>& turns() const { return turns_; }
-  const Figures& figures() const { return figures_; }
+  const std::map<scheduler::EndpointId, EndpointLease>& turns() const { return turns_; }
+  const Statistics& figures() const { return figures_; }
   double length() const { return length_; }  // of a grant, ms
 
  private:
   bool take(const scheduler::EndpointList& list);
   void begin(const scheduler::EndpointEntry& entry);
   void order();
-  double share(const Turn& turn) const;
-  bool waits(const Turn& turn) const;
+  double share(const EndpointLease& turn) const;
+  bool waits(const EndpointLease& turn) const;
   void tell_shares(std::vector<scheduler::Event>& told);
   void age(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
            scheduler::Actions& out);
   void hear(const scheduler::PeerMessage& message, const scheduler::Dispatcher& dispatcher,
             std::vector<scheduler::Event>& told, scheduler::Actions& out);
-  void grant(int asker, const TurnWord& word, Turn& turn, const scheduler::Dispatcher& dispatcher,
-             std::vector<scheduler::Event>& told, scheduler::Actions& out);
-  void ask(Turn& turn, const scheduler::SlowStartBudget& room, scheduler::Actions& out);
+  void grant(int asker, const SlowStartMessage& word, EndpointLease& turn,
+             const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
+             scheduler::Actions& out);
+  void ask(EndpointLease& turn, const scheduler::SlowStartBudget& room, scheduler::Actions& out);
   void ask_all(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
                scheduler::Actions& out);
-  void give_back(Turn& turn, double left, std::vector<scheduler::Event>& told,
+  void give_back(EndpointLease& turn, double left, std::vector<scheduler::Event>& told,
                  scheduler::Actions& out);
-  int next_owner(const Turn& turn) const;
+  int next_owner(const EndpointLease& turn) const;
   bool grants() const { return grants_ && peers_ && dispatchers_ > 1 && !twin_; }
 
   int dispatchers_, self_;
@@ -112,10 +113,10 @@
   double cold_ms_, window_, length_;
   std::uint32_t life_, number_ = 0;
   std::map<scheduler::EndpointId, scheduler::EndpointEntry> endpoints_;
-  std::map<scheduler::EndpointId, Turn> turns_;
+  std::map<scheduler::EndpointId, EndpointLease> turns_;
   std::vector<bool> lives_;
   std::vector<scheduler::Time> silent_;  // by node: it did not answer; it is asked last until then
-  Figures figures_;
+  Statistics figures_;
 };
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/words.cpp
+++ b/logic/fleet/words.cpp
@@ -25,54 +25,54 @@
 
 }  // namespace
 
-std::string write_word(const Word& w) {
+std::string encode(const MembershipMessage& w) {
   std::string out;
   put(out, kMark, 1);
   put(out, kVersion, 1);
   put(out, static_cast<std::uint8_t>(w.kind), 1);
-  std::size_t count = std::min(w.rumours.size(), kMostRumours);
+  std::size_t count = std::min(w.updates.size(), kMostRumours);
   put(out, count, 1);
   put(out, w.number, 2);
   put(out, static_cast<std::uint64_t>(w.about), 2);
   put(out, w.incarnation, 4);
   put(out, w.digest, 4);
   for (std::size_t i = 0; i < count; ++i) {
-    const Rumour& r = w.rumours[i];
+    const MemberUpdate& r = w.updates[i];
     put(out, static_cast<std::uint64_t>(r.member), 2);
-    put(out, static_cast<std::uint8_t>(r.life), 1);
+    put(out, static_cast<std::uint8_t>(r.state), 1);
     put(out, r.incarnation, 4);
     put(out, static_cast<std::uint64_t>(r.by), 2);
   }
   return out;
 }
 
-std::optional<Word> read_word(std::string_view bytes) {
+std::optional<MembershipMessage> decode_membership_message(std::string_view bytes) {
   if (bytes.size() < kHeadSize || bytes.size() > kMostBytes)
     return std::nullopt;
   Reader in{bytes};
   if (in.take(1) != kMark || in.take(1) != kVersion)
     return std::nullopt;
   std::uint64_t kind = in.take(1), count = in.take(1);
-  if (kind > static_cast<std::uint8_t>(Word::Kind::tell) ||
+  if (kind > static_cast<std::uint8_t>(MembershipMessage::Kind::tell) ||
       bytes.size() != kHeadSize + count * kRumourSize)
     return std::nullopt;
-  Word w;
-  w.kind = static_cast<Word::Kind>(kind);
+  MembershipMessage w;
+  w.kind = static_cast<MembershipMessage::Kind>(kind);
   w.number = static_cast<std::uint16_t>(in.take(2));
   w.about = static_cast<int>(in.take(2));
   w.incarnation = static_cast<std::uint32_t>(in.take(4));
   w.digest = static_cast<std::uint32_t>(in.take(4));
   for (std::uint64_t i = 0; i < count; ++i) {
-    Rumour r;
+    MemberUpdate r;
     r.member = static_cast<int>(in.take(2));
-    std::uint64_t life = in.take(1);
-    if (life < static_cast<std::uint8_t>(Life::alive) ||
-        life > static_cast<std::uint8_t>(Life::dead))
+    std::uint64_t state = in.take(1);
+    if (state < static_cast<std::uint8_t>(MemberState::alive) ||
+        state > static_cast<std::uint8_t>(MemberState::dead))
       return std::nullopt;
-    r.life = static_cast<Life>(life);
+    r.state = static_cast<MemberState>(state);
     r.incarnation = static_cast<std::uint32_t>(in.take(4));
     r.by = static_cast<int>(in.take(2));
-    w.rumours.push_back(r);
+    w.updates.push_back(r);
   }
   return w;
 }
--- a/logic/fleet/words.h
+++ b/logic/fleet/words.h
@@ -13,17 +13,17 @@
 
 namespace keelflow::fleet {
 
-enum class Life : std::uint8_t { unknown, alive, suspect, dead };
+enum class MemberState : std::uint8_t { unknown, alive, suspect, dead };
 
-struct Rumour {
+struct MemberUpdate {
   int member = 0;
-  Life life = Life::alive;
+  MemberState state = MemberState::alive;
   std::uint32_t incarnation = 0;  // which life of it, and which word of its own about that life
   int by = 0;                     // who found out; of `alive` the member itself
-  bool operator==(const Rumour&) const = default;
+  bool operator==(const MemberUpdate&) const = default;
 };
 
-struct Word {
+struct MembershipMessage {
   // ping wants ack; ask wants the receiver to ping `about` and to pass on whether it answers (ack)
   // or not (nack); tell wants nothing.
   enum class Kind : std::uint8_t { ping, ack, ask, nack, tell } kind = Kind::tell;
@@ -32,15 +32,15 @@
   std::uint32_t digest =
       0;          // of all that the sender holds of who lives; equal ones need no telling
   int about = 0;  // the member that was asked after; the sender itself where nobody asked
-  std::vector<Rumour> rumours;
-  bool operator==(const Word&) const = default;
+  std::vector<MemberUpdate> updates;
+  bool operator==(const MembershipMessage&) const = default;
 };
 
 constexpr std::size_t kMostBytes = 256, kHeadSize = 16, kRumourSize = 9;
 constexpr std::size_t kMostRumours = (kMostBytes - kHeadSize) / kRumourSize;
 
-std::string write_word(const Word& word);
+std::string encode(const MembershipMessage& word);
 // Empty: not such a word, or one that is not whole.
-std::optional<Word> read_word(std::string_view bytes);
+std::optional<MembershipMessage> decode_membership_message(std::string_view bytes);
 
 }  // namespace keelflow::fleet
--- a/node/admin/operator_calls.cpp
+++ b/node/admin/operator_calls.cpp
@@ -39,7 +39,7 @@
     return error(verb + " takes no " + quoted(words.back()));
   if (verb == "STATS")
     return figures();
-  std::string why = hand ? deeds_.by_hand(words[1], verb == "DISABLE") : deeds_.not_ready();
+  std::string why = hand ? callbacks_.by_hand(words[1], verb == "DISABLE") : callbacks_.not_ready();
   return why.empty() ? "done\n" : error(why);
 }
 
@@ -61,7 +61,7 @@
   count("upstream_requests", counters_.attempts_written);
   count("config_reloads", counters_.reloads);
   count("config_reload_errors", counters_.reloads_failed);
-  Gauges now = deeds_.gauges();
+  Gauges now = callbacks_.gauges();
   gauge("pending", now.pending);
   gauge("members", now.members);
   gauge("members_unavailable", now.members_unavailable);
--- a/node/admin/operator_calls.h
+++ b/node/admin/operator_calls.h
@@ -20,20 +20,20 @@
 
 class OperatorCalls {
  public:
-  struct Deeds {
+  struct Callbacks {
     std::function<std::string()> not_ready;  // why; empty: it is ready
     std::function<Gauges()> gauges;
     std::function<std::string(const std::string& host, bool out)> by_hand;  // why not; empty: done
   };
-  OperatorCalls(Deeds deeds, const Counters& counters)
-      : deeds_(std::move(deeds)), counters_(counters) {}
+  OperatorCalls(Callbacks deeds, const Counters& counters)
+      : callbacks_(std::move(deeds)), counters_(counters) {}
 
   std::string answer(std::string_view line) const;
 
  private:
   std::string figures() const;
 
-  Deeds deeds_;
+  Callbacks callbacks_;
   const Counters& counters_;
 };
 
--- a/node/config/own_config.cpp
+++ b/node/config/own_config.cpp
@@ -212,7 +212,7 @@
 
   void fleet(const Node& node) {
     Form form(node, 0, file_, faults_);
-    Members::Settings& m = own_.members;
+    MembershipAgent::Settings& m = own_.members;
     form.flag("members", m.on);
     form.flag("turns", own_.turns);
     form.span("period", m.period, 50ms, 10s);
--- a/node/config/own_config.h
+++ b/node/config/own_config.h
@@ -32,7 +32,7 @@
   log::Settings log;
   Progress progress;
   plugins::Settings plugins;
-  Members::Settings members;
+  MembershipAgent::Settings members;
   bool turns = true;  // nodes grant one another of their parts in cold endpoints
 };
 
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -13,20 +13,21 @@
 
 // Whether an attempt that broke may have run depends on one thing: had its last byte been written?
 AttemptResult result_of(const AttemptEnd& end) {
-  switch (end.ending) {
-    case Ending::served:
+  switch (end.outcome) {
+    case AttemptOutcome::served:
       return AttemptResult::ok;
-    case Ending::error:
+    case AttemptOutcome::error:
       return AttemptResult::error;
-    case Ending::turned_away:
+    case AttemptOutcome::rejected:
       return AttemptResult::rejected;
-    case Ending::cancelled:
-    case Ending::unheard:
+    case AttemptOutcome::cancelled:
+    case AttemptOutcome::cancel_undelivered:
       return AttemptResult::cancelled;
-    case Ending::broken:
+    case AttemptOutcome::broken:
       break;
   }
-  return end.reach < Reach::fully_written ? AttemptResult::connect_failed : AttemptResult::reset;
+  return end.delivery < DeliveryState::fully_written ? AttemptResult::connect_failed
+                                                     : AttemptResult::reset;
 }
 
 }  // namespace
@@ -81,7 +82,7 @@
 
 bool Engine::client_waits(RequestId id) const {
   auto it = requests_.find(id);
-  return it != requests_.end() && it->second.asker;
+  return it != requests_.end() && it->second.sink;
 }
 
 void Engine::twin(std::function<void(const std::string&)> tell) {
@@ -141,14 +142,14 @@
 // What stands beside the module and tells it values: those come before whatever else waits.
 void Engine::after(int lane, const scheduler::Event& event) {
   Lane& of = *lanes_.at(static_cast<std::size_t>(lane));
-  std::vector<scheduler::Event> told;
+  std::vector<scheduler::Event> follow_ups;
   scheduler::Actions words;
   if (auto homes = of.homes.after(event))
-    told.emplace_back(std::move(*homes));
-  of.turns.after(clock_.unix_ms(timers_.now()), event, of.dispatcher, told, words);
+    follow_ups.emplace_back(std::move(*homes));
+  of.turns.after(clock_.unix_ms(timers_.now()), event, of.dispatcher, follow_ups, words);
   for (const scheduler::Action& word : words)
     carry_out(lane, word);
-  for (auto it = told.rbegin(); it != told.rend(); ++it)
+  for (auto it = follow_ups.rbegin(); it != follow_ups.rend(); ++it)
     inbox_.emplace_front(lane, std::move(*it));
 }
 
@@ -197,7 +198,7 @@
   post(pool, scheduler::TimerFired{name});
 }
 
-std::optional<RequestId> Engine::take(Job job, Asker& asker) {
+std::optional<RequestId> Engine::take(Job job, ResponseSink& sink) {
   if (by_name_.contains(job.id))
     return std::nullopt;
   RequestId id = next_id_++;
@@ -208,14 +209,14 @@
     refusals_.count(operation_guard::Operation::start, verdict.reason());
     ++counters_.answers_refused;
     ++figures_.at(static_cast<std::size_t>(job.class_index))->rejected;
-    asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
+    sink.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
     return id;
   }
   if (by_name_.size() >=
       limits_.most_held) {  // the platform's own cap; the module never sees these
     ++counters_.answers_refused;
     ++figures_.at(static_cast<std::size_t>(job.class_index))->rejected;
-    asker.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
+    sink.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = std::chrono::seconds(1)});
     return id;
   }
   ++counters_.requests_taken;
@@ -225,16 +226,17 @@
     monitor_->request_read(job.id, job.patience, now);
   if (job.patience > last_answer_ - now)
     job.patience = std::max(Duration::zero(), last_answer_ - now);
-  job.once = settings_.classes.at(static_cast<std::size_t>(job.class_index)).idempotency !=
-             scheduler::Idempotency::idempotent;
+  job.limits_retries =
+      settings_.classes.at(static_cast<std::size_t>(job.class_index)).idempotency !=
+      scheduler::Idempotency::idempotent;
   by_name_.emplace(job.id, id);
   Request& request = requests_[id];
   request.taken = now;
   request.deadline = now + job.patience;
-  request.asker = &asker;
+  request.sink = &sink;
   request.job = std::move(job);
   request.screening = screen_ != nullptr;
-  std::optional<ScreenPort::Said> said;
+  std::optional<RequestFilter::Decision> said;
   if (!screen_)
     admit(id, request);
   else if ((said = screen_->screen(id, request.job, request.deadline)))
@@ -242,7 +244,7 @@
   return id;
 }
 
-void Engine::screened(RequestId id, const ScreenPort::Said& said) {
+void Engine::screened(RequestId id, const RequestFilter::Decision& said) {
   auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.screening)
     return;
@@ -256,7 +258,7 @@
   request.screening = false;
   request.queue_weight = said.queue_weight;
   if (!said.label.empty())
-    request.asker->on_label(said.label);
+    request.sink->on_label(said.label);
   admit(id, request);
 }
 
@@ -290,7 +292,7 @@
     return;
   std::vector<RequestId> held;
   for (const auto& [id, request] : requests_)
-    if (request.pool == pool && request.attempts.empty() && request.asker && !request.screening)
+    if (request.pool == pool && request.attempts.empty() && request.sink && !request.screening)
       held.push_back(id);
   std::sort(held.begin(), held.end());  // the order in which they came
   for (RequestId id : held) {
@@ -305,7 +307,7 @@
   }
 }
 
-void Engine::tell_end(const Request& request, RoutePort::End how) {
+void Engine::tell_end(const Request& request, PoolSelector::End how) {
   if (routes_ && !request.screening)
     routes_->ended(request.job, request.pool, request.admitted, how);
   if (screen_)
@@ -314,13 +316,13 @@
 
 void Engine::client_gone(RequestId id) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.asker)
+  if (it == requests_.end() || !it->second.sink)
     return;
   std::vector<AttemptRef> unsent;
   ++counters_.clients_gone;
   --pending_;
-  it->second.asker = nullptr;
-  tell_end(it->second, RoutePort::End::gone);
+  it->second.sink = nullptr;
+  tell_end(it->second, PoolSelector::End::gone);
   if (monitor_)
     monitor_->client_left(it->second.job.id, timers_.now()),
         monitor_->request_over(it->second.job.id);
@@ -348,7 +350,7 @@
   if (send.timeout_ms != 0)
     until = std::min(until, now + from_ms(std::max(0.0, send.timeout_ms)));
   bool again = std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& a) {
-    return a.endpoint == send.endpoint && (a.out || a.may_tell);
+    return a.endpoint == send.endpoint && (a.out || a.may_send_callbacks);
   });
   TimePoint by = write_by(request);
   Attempt attempt{.endpoint = send.endpoint, .sent = now};
@@ -361,8 +363,9 @@
     refusals_.count(operation_guard::Operation::repeat, verdict.reason());
     log::warning(log::Subsystem::node, "repeat-forbidden",
                  {{"id", request.job.id}, {"why", operation_guard::to_string(verdict.reason())}});
-    return attempt_ended(
-        ref, {.ending = Ending::cancelled, .reach = Reach::never_written, .withheld = true});
+    return attempt_ended(ref, {.outcome = AttemptOutcome::cancelled,
+                               .delivery = DeliveryState::never_written,
+                               .withheld = true});
   }
   endpoints_->start(
       ref, send.endpoint, request.job,
@@ -425,16 +428,16 @@
   Attempt* attempt = out(ref);
   if (!attempt || std::exchange(attempt->started, true))
     return;
-  if (Asker* asker = requests_.at(ref.request).asker)
-    asker->on_progress({.kind = Progress::Kind::started, .attempt = ref.attempt});
+  if (ResponseSink* sink = requests_.at(ref.request).sink)
+    sink->on_progress({.kind = Progress::Kind::started, .attempt = ref.attempt});
   post(requests_.at(ref.request).pool, scheduler::AttemptStarted{ref.request, ref.attempt});
 }
 
 void Engine::attempt_progress(AttemptRef ref, double share) {
   if (!out(ref))
     return;
-  if (Asker* asker = requests_.at(ref.request).asker)
-    asker->on_progress({.kind = Progress::Kind::running, .share = share, .attempt = ref.attempt});
+  if (ResponseSink* sink = requests_.at(ref.request).sink)
+    sink->on_progress({.kind = Progress::Kind::running, .share = share, .attempt = ref.attempt});
 }
 
 void Engine::attempt_ended(AttemptRef ref, AttemptEnd end) {
@@ -442,7 +445,7 @@
   if (!attempt)
     return;
   attempt->out = false;
-  attempt->may_tell = end.may_tell;
+  attempt->may_send_callbacks = end.may_send_callbacks;
   --attempts_out_;
   timers_.cancel(attempt->timer);
   Request& request = requests_.at(ref.request);
@@ -451,7 +454,8 @@
   outcome.attempt = ref.attempt;
   outcome.result = result_of(end);
   // Where one attempt at a time is allowed, none may follow one that may run yet.
-  bool may_run_yet = end.ending == Ending::unheard && !settings_.concurrent_attempts;
+  bool may_run_yet =
+      end.outcome == AttemptOutcome::cancel_undelivered && !settings_.concurrent_attempts;
   if (outcome.result == AttemptResult::cancelled && (attempt->timed_out || may_run_yet))
     outcome.result = AttemptResult::timeout;
   if (end.withheld)
@@ -486,7 +490,7 @@
   }
   bool served = outcome.result == AttemptResult::ok;
   int pool = request.pool;
-  outcome.request_finished = served || !request.asker;
+  outcome.request_finished = served || !request.sink;
   if (served)  // the first result concludes the request by itself; `request` may be gone after this
     finish(ref.request, {.kind = FinalAnswer::Kind::served, .result = std::move(end.result)});
   post(pool, outcome);
@@ -499,7 +503,7 @@
     post(static_cast<int>(i), scheduler::HealthCheckResult{endpoint, ok, to_ms(elapsed), report});
 }
 
-void Engine::told(int peer, const std::string& bytes) {
+void Engine::on_peer_message(int peer, const std::string& bytes) {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     post(static_cast<int>(i), scheduler::PeerMessage{peer, bytes});
 }
@@ -510,23 +514,24 @@
     post(static_cast<int>(i), scheduler::MembershipChanged{lives});
 }
 
-void Engine::each_home(
+void Engine::for_each_subset_entry(
     const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const {
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     for (const auto& at : lanes_[i]->homes.told().endpoints)
       look(static_cast<int>(i), at);
 }
 
-void Engine::each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
-                                                const scheduler::SlowStartBudget&)>& look) const {
+void Engine::for_each_lease(
+    const std::function<void(int pool, const fleet::SlowStartLeases::EndpointLease&,
+                             const scheduler::SlowStartBudget&)>& look) const {
   double now = clock_.unix_ms(timers_.now());
   for (std::size_t i = 0; i < lanes_.size(); ++i)
     for (const auto& [endpoint, turn] : lanes_[i]->turns.turns())
       look(static_cast<int>(i), turn, lanes_[i]->dispatcher.slow_start_budget(endpoint, now));
 }
 
-fleet::Turns::Figures Engine::turn_figures() const {
-  fleet::Turns::Figures all;
+fleet::SlowStartLeases::Statistics Engine::lease_statistics() const {
+  fleet::SlowStartLeases::Statistics all;
   for (const auto& lane : lanes_)
     all += lane->turns.figures();
   return all;
@@ -557,23 +562,23 @@
 
 void Engine::finish(RequestId id, FinalAnswer answer) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.asker)
+  if (it == requests_.end() || !it->second.sink)
     return;
   count_end(it->second, answer.kind);
-  Asker* asker = it->second.asker;
-  it->second.asker = nullptr;
-  tell_end(it->second, answer.kind == FinalAnswer::Kind::served    ? RoutePort::End::served
-                       : answer.kind == FinalAnswer::Kind::refused ? RoutePort::End::refused
-                                                                   : RoutePort::End::failed);
+  ResponseSink* sink = it->second.sink;
+  it->second.sink = nullptr;
+  tell_end(it->second, answer.kind == FinalAnswer::Kind::served    ? PoolSelector::End::served
+                       : answer.kind == FinalAnswer::Kind::refused ? PoolSelector::End::refused
+                                                                   : PoolSelector::End::failed);
   if (monitor_)
     monitor_->request_over(it->second.job.id);
-  asker->on_final(std::move(answer));
+  sink->on_final(std::move(answer));
   forget_if_over(id);
 }
 
 void Engine::forget_if_over(RequestId id) {
   auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.asker)
+  if (it == requests_.end() || it->second.sink)
     return;
   for (const Attempt& attempt : it->second.attempts)
     if (attempt.out)
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -27,15 +27,17 @@
          const UnixClock& clock, Counters& counters);
   void connect(EndpointPort& endpoints) { endpoints_ = &endpoints; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
-  void peers(PeerPort* peers) {
+  void peers(PeerSender* peers) {
     peers_ = peers;
   }  // null: what the module would tell them is dropped
   // Pools: each has a lane, a Dispatcher that sees its endpoints and its requests only. There is
   // one from the start.
-  void route(RoutePort* routes) { routes_ = routes; }
-  void lanes(int count);                                 // at least so many
-  void screen(ScreenPort* screen) { screen_ = screen; }  // null: requests go to the module at once
-  void screened(RequestId id, const ScreenPort::Said& said);
+  void route(PoolSelector* routes) { routes_ = routes; }
+  void lanes(int count);  // at least so many
+  void screen(RequestFilter* screen) {
+    screen_ = screen;
+  }  // null: requests go to the module at once
+  void screened(RequestId id, const RequestFilter::Decision& said);
   // By class number; whose figures its requests count under.
   void name_classes(const std::vector<std::string>& names);
   // Another process of this node: what the modules tell one another goes through `tell`. Null: it
@@ -61,7 +63,7 @@
   // From the inbound side. Takes the request over: `asker` hears its final answer, perhaps before
   // this returns, and must live until then or until client_gone. Empty: an open request has that id
   // already.
-  std::optional<RequestId> take(Job job, Asker& asker);
+  std::optional<RequestId> take(Job job, ResponseSink& sink);
   void client_gone(RequestId id);
   // The node will be gone after that: to requests taken from now on it is their latest deadline.
   void answer_all_by(TimePoint last) { last_answer_ = last; }
@@ -75,14 +77,16 @@
   // Which nodes of the tier live, by rank.
   void members(const std::vector<bool>& lives);
 
-  void each_home(const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const;
-  void each_turn(const std::function<void(int pool, const fleet::Turns::Turn&,
-                                          const scheduler::SlowStartBudget&)>& look) const;
-  fleet::Turns::Figures turn_figures() const;  // of all lanes
+  void for_each_subset_entry(
+      const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const;
+  void for_each_lease(
+      const std::function<void(int pool, const fleet::SlowStartLeases::EndpointLease&,
+                               const scheduler::SlowStartBudget&)>& look) const;
+  fleet::SlowStartLeases::Statistics lease_statistics() const;  // of all lanes
   void grants(bool on);  // whether nodes grant one another of their parts; else each keeps its own
 
   // From another node of the tier: to every lane, as each knows its own endpoints only.
-  void told(int peer, const std::string& bytes);
+  void on_peer_message(int peer, const std::string& bytes);
 
   // From discovery.
   void destinations(scheduler::EndpointList list, int pool = 0);
@@ -102,12 +106,12 @@
     EndpointId endpoint = 0;
     TimePoint sent;
     TimerId timer = 0;
-    bool out = true, started = false, timed_out = false, giving_up = false, may_tell = false,
-         may_have_run = false;
+    bool out = true, started = false, timed_out = false, giving_up = false,
+         may_send_callbacks = false, may_have_run = false;
   };
   struct Request {
     Job job;
-    Asker* asker = nullptr;  // null once answered or gone
+    ResponseSink* sink = nullptr;  // null once answered or gone
     TimePoint taken, admitted, deadline;
     int pool = 0;
     bool screening = false;  // the module has not seen it yet
@@ -123,8 +127,8 @@
           homes(settings),
           turns(settings, started) {}
     scheduler::Dispatcher dispatcher;
-    fleet::Homes homes;
-    fleet::Turns turns;
+    fleet::Subsets homes;
+    fleet::SlowStartLeases turns;
     TimePoint last_bell{};
   };
 
@@ -134,7 +138,7 @@
   void carry_out(int pool, const scheduler::Action& action);
   scheduler::RequestArrived arrival_of(RequestId id, const Request& request) const;
   void admit(RequestId id, Request& request);
-  void tell_end(const Request& request, RoutePort::End how);
+  void tell_end(const Request& request, PoolSelector::End how);
   void count_end(const Request& request, FinalAnswer::Kind kind);
   void send(const scheduler::SendAttempt& send);
   TimePoint write_by(const Request& request) const;
@@ -149,8 +153,8 @@
   std::shared_ptr<scheduler::TenantQuotas> shares_ = std::make_shared<scheduler::TenantQuotas>();
   std::vector<std::unique_ptr<Lane>> lanes_;
   std::vector<bool> lives_;  // by rank, as told last; empty: never
-  RoutePort* routes_ = nullptr;
-  ScreenPort* screen_ = nullptr;
+  PoolSelector* routes_ = nullptr;
+  RequestFilter* screen_ = nullptr;
   Limits limits_;
   std::vector<ClassFigures*> figures_;  // by class number
   TimerPort& timers_;
@@ -158,7 +162,7 @@
   Counters& counters_;
   EndpointPort* endpoints_ = nullptr;
   invariants::Monitor* monitor_ = nullptr;
-  PeerPort* peers_ = nullptr;
+  PeerSender* peers_ = nullptr;
   std::function<void(const std::string&)> twin_;
   std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<std::string, RequestId> by_name_;  // of all in requests_
--- a/node/core/ports.h
+++ b/node/core/ports.h
@@ -29,7 +29,7 @@
   double slots = 1, memory = 0;
   bool repeat = false;
   bool wants_progress = false;
-  bool once = false;  // its class limits what may be repeated once it may have run
+  bool limits_retries = false;  // its class limits what may be repeated once it may have run
   std::string_view path, idempotency_key;  // these stand in the payload
   std::size_t bytes = 0;                   // of the payload, about
   std::shared_ptr<const Payload> payload;
@@ -43,22 +43,24 @@
 
 // How far an attempt had come when it ended. Up to `partly_written` the endpoint cannot have run
 // it.
-enum class Reach : std::uint8_t { never_written, partly_written, fully_written, accepted };
+enum class DeliveryState : std::uint8_t { never_written, partly_written, fully_written, accepted };
 
-enum class Ending : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   served,
-  error,        // the endpoint says that it failed
-  turned_away,  // the endpoint says that it never ran
-  broken,       // the connection or the process went; `reach` tells whether it may have run
-  cancelled,    // given up on the Engine's word
-  unheard,      // so too, but the endpoint has taken it and could not be told: it may run yet
+  error,               // the endpoint says that it failed
+  rejected,            // the endpoint says that it never ran
+  broken,              // the connection or the process went; `reach` tells whether it may have run
+  cancelled,           // given up on the Engine's word
+  cancel_undelivered,  // so too, but the endpoint has taken it and could not be told: it may run
+                       // yet
 };
 
 struct AttemptEnd {
-  Ending ending = Ending::broken;
-  Reach reach = Reach::never_written;
+  AttemptOutcome outcome = AttemptOutcome::broken;
+  DeliveryState delivery = DeliveryState::never_written;
   bool withheld = false;  // it waited for a list to be sent by, and nothing of it was written
-  bool may_tell = false;  // the endpoint may have taken it, so that call-backs of it may still come
+  bool may_send_callbacks =
+      false;  // the endpoint may have taken it, so that call-backs of it may still come
   std::string result = {};  // of `served`
   scheduler::LoadReport report = {};
 };
@@ -78,9 +80,9 @@
 
 // The client's side of one request. `on_final` comes exactly once, unless the client has gone
 // before.
-class Asker {
+class ResponseSink {
  public:
-  virtual ~Asker() = default;
+  virtual ~ResponseSink() = default;
   virtual void on_progress(const Progress&) {}
   virtual void on_label(const std::string&) {}  // given by a plug-in, before anything else is told
   virtual void on_final(FinalAnswer answer) = 0;
@@ -88,10 +90,10 @@
 
 // Splits requests over pools, each of which has a Dispatcher of its own. Where there is none, all
 // is one pool.
-class RoutePort {
+class PoolSelector {
  public:
   enum class End : std::uint8_t { served, refused, failed, gone };
-  virtual ~RoutePort() = default;
+  virtual ~PoolSelector() = default;
   virtual int choose(const Job& job) = 0;  // the number of a pool that the Engine has a lane for
   // How a request ended that had been given to that pool.
   virtual void ended(const Job& job, int pool, TimePoint taken, End how) = 0;
@@ -99,19 +101,19 @@
 
 // Looks at requests before the module sees them. It may refuse one, hold it back for a while, or
 // queue_weight it; all that it lets pass is the module's to decide.
-class ScreenPort {
+class RequestFilter {
  public:
-  struct Said {
+  struct Decision {
     bool refuse = false;
     Duration come_back{};
     double queue_weight = 1;
     std::string label;
   };
-  virtual ~ScreenPort() = default;
+  virtual ~RequestFilter() = default;
   // Empty: Engine::screened follows, in any case before the deadline.
-  virtual std::optional<Said> screen(RequestId id, const Job& job, TimePoint deadline) = 0;
+  virtual std::optional<Decision> screen(RequestId id, const Job& job, TimePoint deadline) = 0;
   virtual void forget(RequestId id) = 0;  // its client has gone
-  virtual void ended(const Job& job, Duration elapsed, RoutePort::End how) = 0;
+  virtual void ended(const Job& job, Duration elapsed, PoolSelector::End how) = 0;
 };
 
 // The endpoints' side. Every attempt started ends with one Engine::attempt_ended.
@@ -133,9 +135,9 @@
 };
 
 // The other nodes of the tier, by rank. Messages may come late or never.
-class PeerPort {
+class PeerSender {
  public:
-  virtual ~PeerPort() = default;
+  virtual ~PeerSender() = default;
   virtual void tell(int peer, std::string_view bytes) = 0;
 };
 
--- a/node/discovery/destination_set.cpp
+++ b/node/discovery/destination_set.cpp
@@ -202,8 +202,8 @@
             {{"call", call.number()}, {"after_ms", to_ms(loop_.now() - call.began())}});
   if (!watch_)
     answered_without_list();
-  if (on_watching)
-    on_watching();
+  if (on_watch_established)
+    on_watch_established();
 }
 
 // The first call that brings something is the watch. Those that began before it have failed to;
--- a/node/discovery/destination_set.h
+++ b/node/discovery/destination_set.h
@@ -36,9 +36,9 @@
                  Counters& counters, std::uint64_t seed);
   ~DestinationSet() override;
 
-  void known(const HostList& list);  // what this process had last; passed on as cached
-  std::function<void()>
-      on_watching;  // discovery has taken a call: what has changed comes next, if anything has
+  void known(const HostList& list);            // what this process had last; passed on as cached
+  std::function<void()> on_watch_established;  // discovery has taken a call: what has changed comes
+                                               // next, if anything has
   std::function<bool()> on_pressure;  // called when descriptors are short; true if it freed one
 
   void start(const discovery::CallPolicy& policy, const discovery::LeaseTerms& terms);
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -23,7 +23,7 @@
   loop_.cancel(timer_);
 }
 
-void WatchSurvey::connect(PeerPort* peers, int count, int rank) {
+void WatchSurvey::connect(PeerSender* peers, int count, int rank) {
   peers_ = peers;
   count_ = count;
   rank_ = rank;
@@ -44,17 +44,16 @@
   int peer = std::uniform_int_distribution<int>(0, count_ - 2)(random_);
   if (peer >= rank_)
     ++peer;
-  peers_->tell(peer, discovery::write_watch_message({Kind::question}));
+  peers_->tell(peer, discovery::encode({Kind::question}));
 }
 
 bool WatchSurvey::hear(int peer, std::string_view bytes) {
-  auto message = discovery::read_watch_message(bytes);
+  auto message = discovery::decode_watch_message(bytes);
   if (!message)
     return false;
   if (message->kind == Kind::question) {
     if (peers_)
-      peers_->tell(
-          peer, discovery::write_watch_message({has_watch_() ? Kind::has_watch : Kind::has_none}));
+      peers_->tell(peer, discovery::encode({has_watch_() ? Kind::has_watch : Kind::has_none}));
     return true;
   }
   if (message->kind == Kind::has_watch)
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -18,9 +18,9 @@
               std::function<void()> changed);
   ~WatchSurvey();
 
-  void connect(PeerPort* peers, int count, int rank);  // null: processes may not talk
-  void run(bool on);                                   // whether peers are asked
-  bool hear(int peer, std::string_view bytes);         // false: the message is of another kind
+  void connect(PeerSender* peers, int count, int rank);  // null: processes may not talk
+  void run(bool on);                                     // whether peers are asked
+  bool hear(int peer, std::string_view bytes);           // false: the message is of another kind
   discovery::OutagePresumption& presumption() { return presumption_; }
   const discovery::OutagePresumption& presumption() const { return presumption_; }
 
@@ -31,7 +31,7 @@
   std::minstd_rand random_;
   std::function<bool()> has_watch_;
   std::function<void()> changed_;
-  PeerPort* peers_ = nullptr;
+  PeerSender* peers_ = nullptr;
   int count_ = 0, rank_ = 0;
   TimerId timer_ = 0;
   bool running_ = false;
--- a/node/fleet/members.cpp
+++ b/node/fleet/members.cpp
@@ -7,18 +7,18 @@
 namespace keelflow {
 namespace {
 
-using fleet::Life;
+using fleet::MemberState;
 using nlohmann::json;
 
-std::string_view word(Life life) {
-  switch (life) {
-    case Life::unknown:
+std::string_view word(MemberState state) {
+  switch (state) {
+    case MemberState::unknown:
       return "unknown";
-    case Life::alive:
+    case MemberState::alive:
       return "alive";
-    case Life::suspect:
+    case MemberState::suspect:
       return "suspect";
-    case Life::dead:
+    case MemberState::dead:
       return "dead";
   }
   return "";
@@ -26,11 +26,11 @@
 
 }  // namespace
 
-Members::~Members() {
+MembershipAgent::~MembershipAgent() {
   timers_.cancel(timer_);
 }
 
-void Members::start(const Settings& s, int members, int self) {
+void MembershipAgent::start(const Settings& s, int members, int self) {
   if (!s.on || membership_ || members < 2)
     return;
   double now = now_ms();
@@ -43,7 +43,7 @@
   arm();
 }
 
-void Members::leave() {
+void MembershipAgent::leave() {
   if (!membership_)
     return;
   fleet::Membership::Output out;
@@ -51,9 +51,9 @@
   carry(out);
 }
 
-bool Members::hear(int from, const std::string& bytes) {
+bool MembershipAgent::hear(int from, const std::string& bytes) {
   if (!membership_)
-    return fleet::read_word(bytes).has_value();  // off here, on there
+    return fleet::decode_membership_message(bytes).has_value();  // off here, on there
   fleet::Membership::Output out;
   bool word = membership_->hear(now_ms(), from, bytes, out);
   carry(out);
@@ -61,7 +61,7 @@
   return word;
 }
 
-void Members::arm() {
+void MembershipAgent::arm() {
   if (timer_ != 0 && armed_ <= membership_->next())
     return;
   timers_.cancel(timer_);
@@ -75,7 +75,7 @@
   });
 }
 
-void Members::carry(fleet::Membership::Output& out) {
+void MembershipAgent::carry(fleet::Membership::Output& out) {
   for (const auto& letter : out.letters) {
     ++counters_.fleet_words_sent;
     counters_.fleet_bytes_sent += letter.bytes.size();
@@ -83,13 +83,13 @@
   }
   bool living = false;
   for (const auto& c : out.changes) {
-    counters_.members_suspected += c.to == Life::suspect;
-    counters_.members_dead += c.to == Life::dead;
-    living = living || c.to == Life::dead || c.from == Life::dead;
+    counters_.members_suspected += c.to == MemberState::suspect;
+    counters_.members_dead += c.to == MemberState::dead;
+    living = living || c.to == MemberState::dead || c.from == MemberState::dead;
     // Whom it hears of for the first time is no news.
-    log::Level level = c.to == Life::dead        ? log::Level::warning
-                       : c.from == Life::unknown ? log::Level::debug
-                                                 : log::Level::info;
+    log::Level level = c.to == MemberState::dead        ? log::Level::warning
+                       : c.from == MemberState::unknown ? log::Level::debug
+                                                        : log::Level::info;
     log::write(log::Subsystem::fleet, level, "member",
                {{"member", c.member},
                 {"from", word(c.from)},
@@ -105,7 +105,7 @@
   engine_.members(lives);
 }
 
-json Members::status() const {
+json MembershipAgent::status() const {
   if (!membership_)
     return nullptr;
   json members = json::array();
@@ -113,7 +113,7 @@
   for (int m = 0; m < membership_->members(); ++m) {
     const auto& of = membership_->at(m);
     json one = {{"member", m},
-                {"life", word(of.life)},
+                {"life", word(of.state)},
                 {"incarnation", of.incarnation},
                 {"accusers", of.accusers}};
     one["since_s"] = of.since > 0 ? json((now - of.since) / 1000) : json(nullptr);
--- a/node/fleet/members.h
+++ b/node/fleet/members.h
@@ -14,7 +14,7 @@
 
 namespace keelflow {
 
-class Members {
+class MembershipAgent {
  public:
   struct Settings {
     bool on = false;
@@ -23,10 +23,10 @@
              most_suspicion = std::chrono::milliseconds(1200);
   };
 
-  Members(TimerPort& timers, const UnixClock& clock, PeerPort& peers, Engine& engine,
-          Counters& counters)
+  MembershipAgent(TimerPort& timers, const UnixClock& clock, PeerSender& peers, Engine& engine,
+                  Counters& counters)
       : timers_(timers), clock_(clock), peers_(peers), engine_(engine), counters_(counters) {}
-  ~Members();
+  ~MembershipAgent();
 
   // From here on it takes part. `members` and `self` as in the platform's settings.
   void start(const Settings& settings, int members, int self);
@@ -42,7 +42,7 @@
 
   TimerPort& timers_;
   const UnixClock& clock_;
-  PeerPort& peers_;
+  PeerSender& peers_;
   Engine& engine_;
   Counters& counters_;
   std::optional<fleet::Membership> membership_;
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -101,9 +101,9 @@
   std::string in_;
 };
 
-Handover::Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds,
-                   Counters& counters)
-    : loop_(loop), node_(node), deeds_(std::move(deeds)), counters_(counters) {
+Handover::Handover(net::EventLoop& loop, std::string folder, const std::string& node,
+                   Callbacks deeds, Counters& counters)
+    : loop_(loop), node_(node), callbacks_(std::move(deeds)), counters_(counters) {
   char name[32];
   std::snprintf(name, sizeof name, "/keelflow-%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(node.data(), node.size())));
@@ -166,7 +166,7 @@
     return nullptr;
   links_.emplace(next_, std::move(link));
   if (links_.size() == 1)
-    deeds_.partner(true);
+    callbacks_.partner(true);
   return raw;
 }
 
@@ -177,7 +177,7 @@
   loop_.dispose(std::move(it->second));
   links_.erase(it);
   if (links_.empty())
-    deeds_.partner(false);
+    callbacks_.partner(false);
 }
 
 void Handover::take(Link& link, const json& message) {
@@ -188,22 +188,22 @@
       throw std::runtime_error("another release, or another node");
     link.welcomed = true;
     if (say == "hello") {
-      json welcome = deeds_.welcome();
+      json welcome = callbacks_.welcome();
       welcome.update({{"say", "welcome"}, {"version", kVersion}, {"node", node_}});
       link.tell(welcome);
     } else {
-      deeds_.welcomed(message);
+      callbacks_.welcomed(message);
     }
   } else if (say == "ready") {
     if (!link.elder())
-      deeds_.successor_ready();
+      callbacks_.successor_ready();
   } else if (say == "by-hand") {
-    deeds_.by_hand(message.at("host").get<std::string>(), message.at("out").get<bool>());
+    callbacks_.by_hand(message.at("host").get<std::string>(), message.at("out").get<bool>());
     tell(message, &link);
   } else if (say == "note") {
-    deeds_.note(unhex(message.at("note").get<std::string>()));
+    callbacks_.note(unhex(message.at("note").get<std::string>()));
   } else if (say == "news") {
-    if (!deeds_.news(message.at("body").get<std::string>()))
+    if (!callbacks_.news(message.at("body").get<std::string>()))
       tell(message, &link);
   }
 }
@@ -216,22 +216,22 @@
   return all;
 }
 
-void Handover::tell_by_hand(const std::string& host, bool out) {
+void Handover::send_admin_override(const std::string& host, bool out) {
   tell({{"say", "by-hand"}, {"host", host}, {"out", out}});
 }
 
-void Handover::tell_note(std::string_view note) {
+void Handover::send_load_update(std::string_view note) {
   tell({{"say", "note"}, {"note", hex(note)}});
 }
 
-bool Handover::pass_news(std::string_view body) {
+bool Handover::forward_status_callback(std::string_view body) {
   if (links_.empty())
     return true;
   ++counters_.news_passed;
   return tell({{"say", "news"}, {"body", body}});
 }
 
-bool Handover::elder_here() const {
+bool Handover::has_old_process() const {
   for (const auto& [number, link] : links_)
     if (link->elder())
       return true;
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -23,7 +23,7 @@
  public:
   static constexpr int kVersion = 1;
 
-  struct Deeds {
+  struct Callbacks {
     std::function<nlohmann::json()> welcome;              // what the younger is to know
     std::function<void(const nlohmann::json&)> welcomed;  // throws what nlohmann-json throws
     std::function<void(bool here)> partner;               // the first came, the last went
@@ -34,21 +34,21 @@
     std::function<bool(const std::string& body)>
         news;  // a call-back that reached the other; true: it is ours
   };
-  Handover(net::EventLoop& loop, std::string folder, const std::string& node, Deeds deeds,
+  Handover(net::EventLoop& loop, std::string folder, const std::string& node, Callbacks deeds,
            Counters& counters);
   ~Handover() override;
 
   bool ask();     // calls the elder; false: there is none
   void listen();  // takes the name over, and tells the elder that this process serves
 
-  void tell_by_hand(const std::string& host, bool out);
-  void tell_note(std::string_view note);
+  void send_admin_override(const std::string& host, bool out);
+  void send_load_update(std::string_view note);
   // A call-back that is not of this process. False: somebody there could not be told, so it must
   // come again.
-  bool pass_news(std::string_view body);
+  bool forward_status_callback(std::string_view body);
   bool partner() const { return !links_.empty(); }
   bool flushed() const;
-  bool elder_here() const;  // one that others reach through this process
+  bool has_old_process() const;  // one that others reach through this process
 
  private:
   class Link;
@@ -61,7 +61,7 @@
   net::EventLoop& loop_;
   std::string path_;
   std::string node_;
-  Deeds deeds_;
+  Callbacks callbacks_;
   Counters& counters_;
   int fd_ = -1;
   std::uint64_t registration_ = 0, next_ = 0;
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -48,7 +48,7 @@
   }
 }
 
-class PlainExchange final : public Exchange, public Asker {
+class PlainExchange final : public Exchange, public ResponseSink {
  public:
   PlainExchange(Engine& engine, InboundConnection& connection)
       : engine_(engine), connection_(connection) {}
@@ -124,12 +124,12 @@
   return job;
 }
 
-std::optional<News> decode_news(std::string_view body,
-                                const std::vector<std::string>& report_names) {
+std::optional<StatusCallback> decode_status_callback(std::string_view body,
+                                                     const std::vector<std::string>& report_names) {
   auto json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object())
     return std::nullopt;
-  News news;
+  StatusCallback news;
   for (auto [key, into] :
        {std::pair{"id", &news.id}, {"from", &news.from}, {"state", &news.state}}) {
     if (!json.contains(key) || !json[key].is_string())
@@ -234,13 +234,13 @@
 void PlatformFront::take_news(InboundConnection& connection, const HttpRequest& request) {
   if (request.head.method != "POST")
     return connection.respond(405, "call-backs are posted\n");
-  auto news = decode_news(request.body, config_.report_names);
+  auto news = decode_status_callback(request.body, config_.report_names);
   if (!news) {
     ++counters_.requests_rejected;
     return connection.respond(400, "malformed call-back\n");
   }
   // Answered only when it is in good hands: what is not answered comes again.
-  if (!outbound_.news(*news) && pass_news && !pass_news(request.body))
+  if (!outbound_.news(*news) && forward_status_callback && !forward_status_callback(request.body))
     return connection.abandon();
   connection.respond(200, "");
 }
--- a/node/inbound/platform_front.h
+++ b/node/inbound/platform_front.h
@@ -19,8 +19,8 @@
 std::variant<Job, Rejection> decode_job(HttpRequest request, const Names& names);
 
 // A call-back's body. Nothing: it is malformed.
-std::optional<News> decode_news(std::string_view body,
-                                const std::vector<std::string>& report_names);
+std::optional<StatusCallback> decode_status_callback(std::string_view body,
+                                                     const std::vector<std::string>& report_names);
 
 // Status, body and headers of a final answer that is a plain one.
 void respond_final(InboundConnection& connection, const FinalAnswer& answer);
@@ -36,7 +36,7 @@
   std::function<bool()> ready;  // whether `GET /up` says so; empty: it does
   // Of a call-back that fits no attempt here: whether whoever may own it has been told, or there is
   // nobody else.
-  std::function<bool(const std::string& body)> pass_news;
+  std::function<bool(const std::string& body)> forward_status_callback;
   // The limit on connections: what comes over it is refused before the Engine sees it.
   bool turned_away(InboundConnection& connection);
   // Its client has gone before its request was read, as happens where the loop was held up: nobody
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -13,6 +13,7 @@
 #include "admin/admin_front.h"
 #include "admin/line_server.h"
 #include "admin/operator_calls.h"
+#include "admin_overrides/admin_overrides.h"
 #include "config/retune.h"
 #include "core/engine.h"
 #include "discovery/destination_set.h"
@@ -24,7 +25,6 @@
 #include "inbound/server.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
-#include "overlay/by_hand.h"
 #include "peers/peers.h"
 #include "plugins/plugins.h"
 #include "progress/progress_front.h"
@@ -113,11 +113,11 @@
         peers_(
             loop_, config_.peers, config_.settings.rank,
             [this](int peer, const std::string& bytes) {
-              if (!destinations_.survey().hear(peer, bytes) && !members_.hear(peer, bytes))
-                engine_.told(peer, bytes);
+              if (!destinations_.survey().hear(peer, bytes) && !membership_agent_.hear(peer, bytes))
+                engine_.on_peer_message(peer, bytes);
             },
             counters_),
-        members_(loop_, clock_, peers_, engine_, counters_),
+        membership_agent_(loop_, clock_, peers_, engine_, counters_),
         plugins_({.loop = loop_,
                   .clock = clock_,
                   .names = config_.names,
@@ -155,7 +155,7 @@
     server_.on_pressure = [this] {
       return pool_.free_one();
     };
-    destinations_.on_watching = [this] {
+    destinations_.on_watch_established = [this] {
       watching();
     };
     destinations_.known(config_.known);
@@ -174,8 +174,8 @@
     front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
       return was_ready_ || loop_.now() >= latest;
     };
-    front_.pass_news = [this](const std::string& body) {
-      return !handover_ || handover_->pass_news(body);
+    front_.forward_status_callback = [this](const std::string& body) {
+      return !handover_ || handover_->forward_status_callback(body);
     };
     if (config_.listen_fd >= 0)
       take_over_from_elder();
@@ -319,17 +319,19 @@
     else
       handover_ = std::make_unique<Handover>(
           loop_, folder, config_.name,
-          Handover::Deeds{
+          Handover::Callbacks{
               .welcome = [this] { return welcome(); },
               .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
               .partner = [this](bool here) { partner(here); },
               .successor_ready = [this] { successor_ready(); },
               .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
               .note =
-                  [this](const std::string& note) { engine_.told(config_.settings.rank, note); },
+                  [this](const std::string& note) {
+                    engine_.on_peer_message(config_.settings.rank, note);
+                  },
               .news =
                   [this](const std::string& body) {
-                    auto news = decode_news(body, config_.report_names);
+                    auto news = decode_status_callback(body, config_.report_names);
                     return news && outbound_.news(*news);
                   }},
           counters_);
@@ -346,7 +348,7 @@
     nlohmann::json knowledge = nlohmann::json::array();
     for (const scheduler::LearnedState& k : engine_.knowledge())
       knowledge.push_back(to_json(k, config_.names));
-    return {{"out", by_hand_.hosts()}, {"knowledge", knowledge}};
+    return {{"out", admin_overrides_.hosts()}, {"knowledge", knowledge}};
   }
 
   void welcomed(const nlohmann::json& word) {
@@ -363,7 +365,7 @@
   }
 
   void take_list(scheduler::EndpointList list) {
-    traffic_.list(by_hand_.laid_over(std::move(list)));
+    traffic_.list(admin_overrides_.apply(std::move(list)));
     if (!serving_ && !learned_.empty())
       engine_.learn(learned_);
   }
@@ -402,7 +404,7 @@
     server_.limit(handover::part(budget_.inbound, here));
     pool_.most_idle(handover::part(budget_.idle_outbound, here));
     if (here) {
-      engine_.twin([this](const std::string& note) { handover_->tell_note(note); });
+      engine_.twin([this](const std::string& note) { handover_->send_load_update(note); });
     } else {
       engine_.twin(nullptr);
       successor_ = false;
@@ -422,7 +424,8 @@
   // While the process before us lives the address is its own.
   void open_peers() {
     if (peers_.open(*config_.peer_listen))
-      return members_.start(own_.members, config_.settings.dispatchers, config_.settings.rank);
+      return membership_agent_.start(own_.members, config_.settings.dispatchers,
+                                     config_.settings.rank);
     if (handover_ && errno == EADDRINUSE)
       return void(loop_.at(loop_.now() + kRetryAddress, [this] { open_peers(); }));
     log::error(Subsystem::node, "peers-unheard",
@@ -442,27 +445,28 @@
   }
 
   Gauges gauges() const {
-    std::size_t away =
-        by_hand_.unavailable([this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
-    return {
-        .pending = engine_.pending(), .members = by_hand_.listed(), .members_unavailable = away};
+    std::size_t away = admin_overrides_.unavailable(
+        [this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
+    return {.pending = engine_.pending(),
+            .members = admin_overrides_.listed(),
+            .members_unavailable = away};
   }
 
   std::string by_hand(const std::string& host, bool out) {
     EndpointId endpoint = endpoint_id(host);
     const Destination* known = destinations_.find(endpoint);
-    if (!(known && known->host == host) && !by_hand_.is_out(endpoint))
+    if (!(known && known->host == host) && !admin_overrides_.is_disabled(endpoint))
       return "no executor '" + host + "' was ever listed";
     lay_over(host, out);
     if (handover_)
-      handover_->tell_by_hand(host, out);
+      handover_->send_admin_override(host, out);
     return "";
   }
 
   void lay_over(const std::string& host, bool out) {
     EndpointId endpoint = endpoint_id(host);
     destinations_.disable(endpoint, out);
-    auto told = out ? by_hand_.out(endpoint, host) : by_hand_.back(endpoint);
+    auto told = out ? admin_overrides_.out(endpoint, host) : admin_overrides_.back(endpoint);
     if (told)
       traffic_.list(std::move(*told));
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
@@ -509,23 +513,23 @@
   nlohmann::json turns() {
     nlohmann::json at = nlohmann::json::array();
     double now = clock_.unix_ms(loop_.now());
-    engine_.each_turn(
-        [&](int pool, const fleet::Turns::Turn& turn, const scheduler::SlowStartBudget& room) {
-          const Destination* known = destinations_.find(turn.entry.endpoint);
-          double granted = 0;
-          for (const auto& [node, given] : turn.given)
-            granted += given.until > now && !given.back ? given.work : 0;
-          at.push_back(
-              {{"pool", pool},
-               {"executor", known ? known->host : ""},
-               {"age_s", (now - turn.entry.started_at) / 1000},
-               {"share", turn.told_share},
-               {"left_ms", room.own},
-               {"held_ms", room.granted},
-               {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-               {"granted_ms", granted}});
-        });
-    fleet::Turns::Figures f = engine_.turn_figures();
+    engine_.for_each_lease([&](int pool, const fleet::SlowStartLeases::EndpointLease& turn,
+                               const scheduler::SlowStartBudget& room) {
+      const Destination* known = destinations_.find(turn.entry.endpoint);
+      double granted = 0;
+      for (const auto& [node, given] : turn.given)
+        granted += given.until > now && !given.back ? given.work : 0;
+      at.push_back(
+          {{"pool", pool},
+           {"executor", known ? known->host : ""},
+           {"age_s", (now - turn.entry.started_at) / 1000},
+           {"share", turn.told_share},
+           {"left_ms", room.own},
+           {"held_ms", room.granted},
+           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
+           {"granted_ms", granted}});
+    });
+    fleet::SlowStartLeases::Statistics f = engine_.lease_statistics();
     return {{"on", own_.turns && config_.settings.peers},
             {"executors", at},
             {"asked", f.asked},
@@ -538,7 +542,7 @@
 
   nlohmann::json fleet() {
     nlohmann::json homes = nlohmann::json::array();
-    engine_.each_home([&](int pool, const scheduler::SubsetEntry& at) {
+    engine_.for_each_subset_entry([&](int pool, const scheduler::SubsetEntry& at) {
       const Destination* known = destinations_.find(at.endpoint);
       homes.push_back({{"pool", pool},
                        {"executor", known ? known->host : ""},
@@ -547,7 +551,7 @@
     });
     return {{"self", config_.settings.rank},
             {"nodes", config_.settings.dispatchers},
-            {"membership", members_.status()},
+            {"membership", membership_agent_.status()},
             {"homes", homes},
             {"turns", turns()}};
   }
@@ -631,7 +635,7 @@
     if (successor_)
       server_.accepting(false);
     else
-      members_.leave();
+      membership_agent_.leave();
     server_.drain();
     if (progress_server_)
       progress_server_->drain();
@@ -646,7 +650,7 @@
                 server_.busy() == 0 && (!progress_server_ || progress_server_->busy() == 0);
     // One in the middle passes call-backs from its successor to its elder; without a successor the
     // elder accepts again.
-    bool passes = handover_ && successor_ && handover_->elder_here();
+    bool passes = handover_ && successor_ && handover_->has_old_process();
     if (over && !passes && (!handover_ || handover_->flushed())) {
       // What the kernel has accepted is taken: it is served before the end, and nothing comes after
       // it.
@@ -666,14 +670,14 @@
   Counters counters_;
   UnixClock clock_;
   net::EventLoop loop_;
-  overlay::ByHand by_hand_;
+  admin_overrides::AdminOverrides admin_overrides_;
   Engine engine_;
   Traffic traffic_;
   DestinationSet destinations_;
   Pool pool_;
   Outbound outbound_;
   Peers peers_;
-  Members members_;
+  MembershipAgent membership_agent_;
   Plugins plugins_;
   PlatformFront front_;
   Server server_;
--- a/node/outbound/client_connection.cpp
+++ b/node/outbound/client_connection.cpp
@@ -20,11 +20,11 @@
 }
 
 // Our side counts a byte as written when the kernel has taken it: from then on it may arrive.
-Reach ClientConnection::reach() const {
+DeliveryState ClientConnection::delivery() const {
   std::uint64_t written = connection_.written();
   if (size_ == 0 || written <= from_)
-    return Reach::never_written;
-  return written < from_ + size_ ? Reach::partly_written : Reach::fully_written;
+    return DeliveryState::never_written;
+  return written < from_ + size_ ? DeliveryState::partly_written : DeliveryState::fully_written;
 }
 
 void ClientConnection::on_data(std::string_view bytes) {
--- a/node/outbound/client_connection.h
+++ b/node/outbound/client_connection.h
@@ -48,7 +48,7 @@
     return error_;
   }  // of a connection that is over, as errno; 0: it was closed in order
   TimePoint readable_since() const { return connection_.readable_since(); }
-  Reach reach() const;  // of the exchange in hand
+  DeliveryState delivery() const;  // of the exchange in hand
   // How long it had stood idle before it was taken for this one; zero: it is new.
   Duration stood() const { return stood_; }
   void stood(Duration span) { stood_ = span; }
--- a/node/outbound/outbound.cpp
+++ b/node/outbound/outbound.cpp
@@ -75,7 +75,8 @@
 void Outbound::start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) {
   const Destination* to = destinations_.find(endpoint);
   if (!to)
-    return engine_.attempt_ended(ref, {.ending = Ending::broken, .reach = Reach::never_written});
+    return engine_.attempt_ended(
+        ref, {.outcome = AttemptOutcome::broken, .delivery = DeliveryState::never_written});
   auto& call = calls_[{ref.request, ref.attempt}];
   call = std::make_unique<OutboundCall>(*this, ref, endpoint, *to, job, terms);
   by_name_[call->id()] = ref.request;
@@ -113,7 +114,7 @@
       it->second->resume_withheld();
 }
 
-bool Outbound::news(const News& news) {
+bool Outbound::news(const StatusCallback& news) {
   ++counters_.news_received;
   auto name = by_name_.find(news.id);
   if (name != by_name_.end())
@@ -136,8 +137,9 @@
   loop_.dispose(std::move(it->second));  // it is calling us
   calls_.erase(it);
   if (monitor_)
-    monitor_->attempt_over(call.id(), call.host(),
-                           end.ending == Ending::turned_away || end.reach < Reach::fully_written);
+    monitor_->attempt_over(
+        call.id(), call.host(),
+        end.outcome == AttemptOutcome::rejected || end.delivery < DeliveryState::fully_written);
   engine_.attempt_ended(ref, std::move(end));
 }
 
--- a/node/outbound/outbound.h
+++ b/node/outbound/outbound.h
@@ -18,7 +18,7 @@
 };
 
 // A call-back, as it came.
-struct News {
+struct StatusCallback {
   std::string id, from, state;
   double share = 0;
   std::string result;
@@ -50,7 +50,7 @@
 
   // A call-back is believed only if its id, its sender and a running attempt fit; others change
   // nothing. False: of no attempt that this process has.
-  bool news(const News& news);
+  bool news(const StatusCallback& news);
 
   std::size_t calls() const { return calls_.size(); }
 
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -34,7 +34,7 @@
       dial_(to.dial),
       payload_(job.payload),
       wants_progress_(job.wants_progress),
-      once_(job.once),
+      once_(job.limits_retries),
       terms_(terms) {}
 
 OutboundCall::~OutboundCall() {
@@ -45,7 +45,7 @@
 void OutboundCall::begin() {
   connection_ = owner_.pool_.take(endpoint_, dial_, once_);
   if (!connection_)
-    return end(Ending::broken);
+    return end(AttemptOutcome::broken);
   connection_->attach(this);
   soon_ = connection_->stood() > Duration::zero() && connection_->stood() < kSecondAnswer;
   if (connection_->connected())
@@ -139,15 +139,15 @@
 }
 
 void OutboundCall::on_flushed() {
-  if (state_ != State::asked || reach() < Reach::fully_written)
+  if (state_ != State::asked || delivery() < DeliveryState::fully_written)
     return;
   if (!std::exchange(counted_, true))
     ++owner_.counters_.attempts_written;
 }
 
 // Once the connection is gone, what it had reached is what counts.
-Reach OutboundCall::reach() const {
-  return connection_ ? std::max(reached_, connection_->reach()) : reached_;
+DeliveryState OutboundCall::delivery() const {
+  return connection_ ? std::max(reached_, connection_->delivery()) : reached_;
 }
 
 void OutboundCall::on_head(const net::Head& head) {
@@ -157,10 +157,10 @@
   status_ = head.status;
   never_ran_ = head.find("X-Never-Ran") == "1";
   report_ = read_load_report(head.find("Endpoint-Load-Metrics"), owner_.settings_.report_names);
-  reached_ = std::max(reached_, reach());
+  reached_ = std::max(reached_, delivery());
   if (status_ == 200 && head.find("Content-Type").starts_with("text/event-stream")) {
     state_ = State::streaming;
-    reached_ = Reach::accepted;
+    reached_ = DeliveryState::accepted;
     connection_->allow_stream();
     return;
   }
@@ -191,7 +191,7 @@
   if (state_ == State::streaming)
     return on_broken();  // an end without a final event
   if (!rest_.empty())
-    reusable = false, reached_ = reach();
+    reusable = false, reached_ = delivery();
   owner_.loop_.cancel(timer_);
   auto connection = std::move(connection_);
   if (reusable)
@@ -199,7 +199,7 @@
   else
     owner_.pool_.discard(std::move(connection));
   if (state_ == State::giving_up)
-    return end(doubtful_.value_or(Ending::cancelled));
+    return end(doubtful_.value_or(AttemptOutcome::cancelled));
   if (state_ != State::asked)
     return;
   if (status_ == 202 && !rest_.empty())
@@ -210,18 +210,18 @@
 void OutboundCall::answered() {
   if (status_ == 202) {
     state_ = State::accepted;
-    reached_ = Reach::accepted;
+    reached_ = DeliveryState::accepted;
     return;
   }
   bool turned_away = never_ran_ && (status_ == 503 || status_ == 504);
-  Ending ending = turned_away ? Ending::turned_away : Ending::error;
+  AttemptOutcome outcome = turned_away ? AttemptOutcome::rejected : AttemptOutcome::error;
   if (soon_)
-    return call_off(ending);
-  end(ending, {}, report_);
+    return call_off(outcome);
+  end(outcome, {}, report_);
 }
 
 void OutboundCall::on_broken() {
-  reached_ = reach();
+  reached_ = delivery();
   if (connection_ && status_ == 0)
     owner_.pool_.worn(connection_->stood());
   owner_.pool_.discard(std::move(connection_));
@@ -231,12 +231,13 @@
     if (deletes_ >= most_deletes_) {
       if (accepted_)
         ++owner_.counters_.give_ups_unheard;
-      return end(accepted_ ? Ending::unheard : doubtful_.value_or(Ending::cancelled));
+      return end(accepted_ ? AttemptOutcome::cancel_undelivered
+                           : doubtful_.value_or(AttemptOutcome::cancelled));
     }
     timer_ = owner_.loop_.at(owner_.loop_.now() + kDeletePause, [this] { send_delete(); });
     return;
   }
-  end(Ending::broken);
+  end(AttemptOutcome::broken);
 }
 
 // Before the 202 the connection's end gives the attempt up. The 202 may be on its way, though, so
@@ -248,11 +249,11 @@
   bool streaming = state_ == State::streaming;
   accepted_ = state_ == State::accepted;
   most_deletes_ = accepted_ ? kMostDeletes : 1;
-  reached_ = reach();
+  reached_ = delivery();
   owner_.loop_.cancel(timer_);
   owner_.pool_.discard(std::move(connection_));
-  if (streaming || reached_ < Reach::fully_written)
-    return end(Ending::cancelled);
+  if (streaming || reached_ < DeliveryState::fully_written)
+    return end(AttemptOutcome::cancelled);
   state_ = State::giving_up;
   send_delete();
 }
@@ -279,30 +280,30 @@
                     "\r\nContent-Length: 0\r\n\r\n");
 }
 
-void OutboundCall::news(const News& news) {
+void OutboundCall::news(const StatusCallback& news) {
   hear(news, !terms_.again);
 }
 
 // `certain`: it is of this attempt and no other.
-void OutboundCall::hear(const News& news, bool certain) {
+void OutboundCall::hear(const StatusCallback& news, bool certain) {
   // A call-back that comes before the last byte is out belongs to an earlier attempt at the same
   // endpoint.
-  if (state_ == State::ended || reach() < Reach::fully_written) {
+  if (state_ == State::ended || delivery() < DeliveryState::fully_written) {
     ++owner_.counters_.news_unmatched;
     return;
   }
   if (news.state == "done")
-    return end(Ending::served, news.result, news.report);
+    return end(AttemptOutcome::served, news.result, news.report);
   bool over = news.state == "failed" || news.state == "returned" || news.state == "lost";
   told_ = true;
   if (over && !certain)
-    return call_off(Ending::error);
+    return call_off(AttemptOutcome::error);
   if (news.state == "failed")
-    return end(Ending::error, {}, news.report);
+    return end(AttemptOutcome::error, {}, news.report);
   if (news.state == "returned")
-    return end(Ending::turned_away, {}, news.report);
+    return end(AttemptOutcome::rejected, {}, news.report);
   if (news.state == "lost")
-    return reached_ = reach(), end(Ending::broken, {}, news.report);
+    return reached_ = delivery(), end(AttemptOutcome::broken, {}, news.report);
   if (state_ == State::giving_up)
     return;
   if (news.state == "started")
@@ -314,15 +315,15 @@
 // A call-back names no attempt and comes again until it has been answered: where this endpoint has
 // had the request before, an end may be that of the earlier attempt. An answer may be the second
 // one to another request. In both cases the attempt is called off, which makes its end true.
-void OutboundCall::call_off(Ending ending) {
+void OutboundCall::call_off(AttemptOutcome outcome) {
   ++owner_.counters_.answers_doubted;
-  doubtful_ = ending;
+  doubtful_ = outcome;
   give_up();
 }
 
 // The same words as in the call-backs: a stream is these, told on one connection.
 void OutboundCall::read_event(const SseEvent& event) {
-  News told{.id = payload_->id, .from = host_, .state = event.type, .result = {}};
+  StatusCallback told{.id = payload_->id, .from = host_, .state = event.type, .result = {}};
   if (event.type == "done") {
     told.result = event.data;
   } else if (event.type == "progress" || event.type == "running") {
@@ -335,21 +336,22 @@
   hear(told, true);
 }
 
-void OutboundCall::end(Ending ending, std::string result, const scheduler::LoadReport& report) {
+void OutboundCall::end(AttemptOutcome outcome, std::string result,
+                       const scheduler::LoadReport& report) {
   State was = std::exchange(state_, State::ended);
   if (was == State::ended)
     return;
   owner_.loop_.cancel(timer_);
   bool refused =
       was == State::asked && status_ != 0 && !told_;  // its own answer says that it was not taken
-  reached_ = reach();
+  reached_ = delivery();
   // It is deleted at the end of the turn only: a connection that comes up in this same turn must
   // find nothing to write.
   owner_.pool_.discard(std::move(connection_));
-  owner_.ended(*this, {.ending = ending,
-                       .reach = reach(),
+  owner_.ended(*this, {.outcome = outcome,
+                       .delivery = delivery(),
                        .withheld = waits_for_list_,
-                       .may_tell = !refused && reach() >= Reach::fully_written,
+                       .may_send_callbacks = !refused && delivery() >= DeliveryState::fully_written,
                        .result = std::move(result),
                        .report = report});
 }
--- a/node/outbound/outbound_call.h
+++ b/node/outbound/outbound_call.h
@@ -16,8 +16,8 @@
 
   void begin();
   void give_up();
-  bool unsent() const { return reach() < Reach::fully_written; }
-  void news(const News& news);
+  bool unsent() const { return delivery() < DeliveryState::fully_written; }
+  void news(const StatusCallback& news);
   void resume_withheld();
   AttemptRef ref() const { return ref_; }
   const std::string& host() const { return host_; }
@@ -40,12 +40,13 @@
   void watch_connection();
   void answered();
   void cut_off();
-  void call_off(Ending ending);
-  void hear(const News& news, bool certain);
+  void call_off(AttemptOutcome outcome);
+  void hear(const StatusCallback& news, bool certain);
   void read_event(const SseEvent& event);
   void send_delete();
-  void end(Ending ending, std::string result = {}, const scheduler::LoadReport& report = {});
-  Reach reach() const;
+  void end(AttemptOutcome outcome, std::string result = {},
+           const scheduler::LoadReport& report = {});
+  DeliveryState delivery() const;
 
   Outbound& owner_;
   AttemptRef ref_;
@@ -55,11 +56,11 @@
   std::shared_ptr<const Payload> payload_;
   bool wants_progress_, once_, counted_ = false, accepted_ = false, told_ = false, soon_ = false,
                                waits_for_list_ = false;
-  std::optional<Ending> doubtful_;  // how it may have ended; or an earlier attempt there
-  std::string rest_;                // of the request, held back
+  std::optional<AttemptOutcome> doubtful_;  // how it may have ended; or an earlier attempt there
+  std::string rest_;                        // of the request, held back
   EndpointPort::Terms terms_;
   State state_ = State::connecting;
-  Reach reached_ = Reach::never_written;
+  DeliveryState reached_ = DeliveryState::never_written;
   std::unique_ptr<ClientConnection> connection_;
   TimerId timer_ = 0;
   int status_ = 0;
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -16,7 +16,7 @@
 
 namespace keelflow {
 
-class Peers final : public PeerPort, net::EventLoop::Handler {
+class Peers final : public PeerSender, net::EventLoop::Handler {
  public:
   static constexpr std::size_t kMostBytes = 256;  // a longer datagram voids the run
   using Listener = std::function<void(int peer, std::string bytes)>;
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -35,15 +35,15 @@
              : "";
 }
 
-const char* word(RoutePort::End how) {
+const char* word(PoolSelector::End how) {
   switch (how) {
-    case RoutePort::End::served:
+    case PoolSelector::End::served:
       return "served";
-    case RoutePort::End::refused:
+    case PoolSelector::End::refused:
       return "refused";
-    case RoutePort::End::failed:
+    case PoolSelector::End::failed:
       return "failed";
-    case RoutePort::End::gone:
+    case PoolSelector::End::gone:
       return "gone";
   }
   return "";
@@ -452,12 +452,13 @@
   Screening screening = std::move(it->second);
   screenings_.erase(it);
   bool waits = false;
-  Said said = this->said(id, screening, waits);
+  Decision said = this->said(id, screening, waits);
   if (!waits)
     engine_.screened(id, said);
 }
 
-std::optional<ScreenPort::Said> Plugins::screen(RequestId id, const Job& job, TimePoint deadline) {
+std::optional<RequestFilter::Decision> Plugins::screen(RequestId id, const Job& job,
+                                                       TimePoint deadline) {
   Screening s;
   wire::Request message;
   for (const auto& plugin : plugins_) {
@@ -487,7 +488,7 @@
     s.open += call != 0;
   }
   if (s.said.empty())
-    return Said{};
+    return Decision{};
   const scheduler::ClassSettings& class_settings =
       world_.classes.at(static_cast<std::size_t>(job.class_index));
   s.subject = {.idempotency = class_settings.idempotency,
@@ -500,14 +501,14 @@
   if (s.open > 0)
     return screenings_.emplace(id, std::move(s)), std::nullopt;
   bool waits = false;
-  Said out = said(id, s, waits);
+  Decision out = said(id, s, waits);
   if (waits)
     return std::nullopt;
   return out;
 }
 
 // What comes of a request's verdicts. `waits`: it is held back, and goes on by `release`.
-ScreenPort::Said Plugins::said(RequestId id, Screening& s, bool& waits) {
+RequestFilter::Decision Plugins::said(RequestId id, Screening& s, bool& waits) {
   TimePoint now = world_.loop.now();
   s.subject.patience_ms = to_ms(s.deadline - now);
   plugins::Bounds bounds{.most_hold_ms = draining_ ? 0 : to_ms(settings_.most_hold)};
@@ -515,10 +516,10 @@
   auto plugin = [&](int place) {
     return place >= 0 ? s.plugins[static_cast<std::size_t>(place)] : nullptr;
   };
-  Said out{.refuse = all.verdict.refuse,
-           .come_back = from_ms(all.verdict.come_back_ms),
-           .queue_weight = all.verdict.queue_weight,
-           .label = all.verdict.label};
+  Decision out{.refuse = all.verdict.refuse,
+               .come_back = from_ms(all.verdict.come_back_ms),
+               .queue_weight = all.verdict.queue_weight,
+               .label = all.verdict.label};
   if (out.refuse) {
     ++counters_.plugin_refused;
     if (Plugin* by = plugin(all.refused_by))
@@ -546,7 +547,7 @@
     auto it = waiting_.find(id);
     if (it == waiting_.end())
       continue;
-    Said said = std::move(it->second);
+    Decision said = std::move(it->second);
     waiting_.erase(it);
     engine_.screened(id, said);
   }
@@ -591,7 +592,7 @@
   screenings_.erase(it);
 }
 
-void Plugins::ended(const Job& job, Duration elapsed, RoutePort::End how) {
+void Plugins::ended(const Job& job, Duration elapsed, PoolSelector::End how) {
   for (const auto& plugin : plugins_) {
     if (!plugin->current || plugin->breaker.state() != Breaker::State::closed ||
         !sees(*plugin, job.class_index, job.tenant, Entry::on_answer))
--- a/node/plugins/plugins.h
+++ b/node/plugins/plugins.h
@@ -36,7 +36,7 @@
   virtual void on_shaped(std::uint64_t ticket, const plugins::Shape& shape) = 0;
 };
 
-class Plugins final : public ScreenPort, plugins::Host::User {
+class Plugins final : public RequestFilter, plugins::Host::User {
  public:
   struct World {
     net::EventLoop& loop;
@@ -59,9 +59,9 @@
   // From now on nothing is held back, and what is held goes on: the node is being ended.
   void drain();
 
-  std::optional<Said> screen(RequestId id, const Job& job, TimePoint deadline) override;
+  std::optional<Decision> screen(RequestId id, const Job& job, TimePoint deadline) override;
   void forget(RequestId id) override;
-  void ended(const Job& job, Duration elapsed, RoutePort::End how) override;
+  void ended(const Job& job, Duration elapsed, PoolSelector::End how) override;
 
   struct Event {  // of progress, as it would go out
     std::string_view request, class_index, label;
@@ -146,7 +146,7 @@
   std::optional<Call> close(CallId call);
   void settled(const Call& call);
   void answered(const Call& call);
-  Said said(RequestId id, Screening& screening, bool& waits);
+  Decision said(RequestId id, Screening& screening, bool& waits);
   void release(const std::vector<RequestId>& ids);
   void watch_holds();
 
@@ -173,7 +173,7 @@
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<RequestId, Screening> screenings_;
   std::unordered_map<std::uint64_t, Shaping> shapings_;
-  std::unordered_map<RequestId, Said> waiting_;  // of those held back
+  std::unordered_map<RequestId, Decision> waiting_;  // of those held back
   plugins::Holds holds_;
   TimerId hold_timer_ = 0;
   CallId last_call_ = 0;
--- a/node/progress/progress_front.cpp
+++ b/node/progress/progress_front.cpp
@@ -101,7 +101,7 @@
 // One request whose client asked for progress. Until the first event it can still be answered with
 // a plain status; from then on its end is the one final event. Plug-ins may look at events: those
 // wait here, in their order, and never hold up the end.
-class ProgressStream final : public Exchange, public Asker, Shaper {
+class ProgressStream final : public Exchange, public ResponseSink, Shaper {
  public:
   ProgressStream(ProgressFront& front, InboundConnection& connection)
       : front_(front),
--- a/node/routes/traffic.h
+++ b/node/routes/traffic.h
@@ -17,7 +17,7 @@
 
 namespace keelflow {
 
-class Traffic final : public RoutePort {
+class Traffic final : public PoolSelector {
  public:
   struct Settings {
     Names names;
--- a/scheduler/decide.cpp
+++ b/scheduler/decide.cpp
@@ -142,9 +142,9 @@
   }
 
   // Exception: of many none knows a endpoint. Those at home there tell each other what they see.
-  void tell(const Endpoint& w, Sign sign, double service_time_ratio = 1, double work = 0) {
-    auto note =
-        write_note({w.entry.endpoint, mark_of(w.entry), w.load, sign, service_time_ratio, work});
+  void tell(const Endpoint& w, LoadSignal sign, double service_time_ratio = 1, double work = 0) {
+    auto note = encode(
+        {w.entry.endpoint, incarnation_tag(w.entry), w.load, sign, service_time_ratio, work});
     if (twin)
       out->emplace_back(SendPeerMessage{s.rank, note});
     if (talks)
@@ -152,27 +152,27 @@
         out->emplace_back(SendPeerMessage{other, note});
   }
 
-  void take_sign(Endpoint& w, Sign sign) {
-    if (sign == Sign::served)
+  void take_sign(Endpoint& w, LoadSignal sign) {
+    if (sign == LoadSignal::served)
       w.consecutive_failures = 0, good_sign(w);
-    if (sign == Sign::full || sign == Sign::late)
+    if (sign == LoadSignal::full || sign == LoadSignal::late)
       bad_sign(w, false);
-    if (sign == Sign::failed)
+    if (sign == LoadSignal::failed)
       w.consecutive_failures = std::min(w.consecutive_failures + 1, kMaxFaults);
-    if (sign == Sign::failed || sign == Sign::unreached)
+    if (sign == LoadSignal::failed || sign == LoadSignal::unreached)
       bad_sign(w, true);
   }
 
   void on(const PeerMessage& e) {
-    auto note = read_note(e.bytes);
+    auto note = decode_load_update(e.bytes);
     Endpoint* w = note ? find(note->endpoint) : nullptr;
-    if (!w || note->life != mark_of(w->entry))
+    if (!w || note->life != incarnation_tag(w->entry))
       return;
     bool was_full = slots(*w) >= w->concurrency_limit;
     w->told.set(e.peer, note->load, now + kToldLife);
-    if (note->sign == Sign::sent && e.peer == s.rank)
+    if (note->sign == LoadSignal::sent && e.peer == s.rank)
       sent_cold(*w, now, note->work);  // twin's
-    if (note->sign == Sign::served)
+    if (note->sign == LoadSignal::served)
       learn_pace(*w, note->service_time_ratio);
     take_sign(*w, note->sign);
     // All who wait for a slot hear of it at once: each gives the others a moment to fill it first.
@@ -336,7 +336,7 @@
     ++w.out, w.used = true;
     index(w);
     if (!cold(w) || twin)
-      tell(w, Sign::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
+      tell(w, LoadSignal::sent, 1, cold_work(r, w));  // of a cold one what ends is news enough
     r.attempts.push_back({w.entry.endpoint, w.entry.zone, w.entry.cell, now});
     out->push_back(SendAttempt{r.job.request, w.entry.endpoint, 0});
     int attempt = static_cast<int>(r.attempts.size()) - 1;
@@ -642,12 +642,12 @@
     // one does.
     bool none = result == AttemptResult::cancelled || result == AttemptResult::withheld,
          ok = result == AttemptResult::ok;
-    Sign sign = none                                ? Sign::none
-                : ok                                ? Sign::served
-                : result == AttemptResult::rejected ? Sign::full
-                                                    : Sign::failed;
+    LoadSignal sign = none                                ? LoadSignal::none
+                      : ok                                ? LoadSignal::served
+                      : result == AttemptResult::rejected ? LoadSignal::full
+                                                          : LoadSignal::failed;
     if (result == AttemptResult::connect_failed)
-      sign = Sign::unreached;
+      sign = LoadSignal::unreached;
     if (!none && !ok)
       crowd();
     tell(w, sign, ok ? learn(r, a, w) : 1);
@@ -678,7 +678,7 @@
     Request& r = requests.at(id);
     double waited = now - a->sent;
     if (Endpoint* w = find(a->endpoint))
-      crowd(), bad_sign(*w, waited > 2 * mean_run_ms), tell(*w, Sign::late);
+      crowd(), bad_sign(*w, waited > 2 * mean_run_ms), tell(*w, LoadSignal::late);
     alarms.add(now + std::max(4 * patience(a->zone), 0.5 * mean_run_ms), Wake::late_start, id,
                attempt);
     if (!s.cancel || r.job.key != 0 || r.attempts.size() + 1 >= at(s.max_attempts))
--- a/simulator_adapter/instances.h
+++ b/simulator_adapter/instances.h
@@ -22,8 +22,8 @@
  private:
   struct Instance {
     std::unique_ptr<scheduler::Dispatcher> dispatcher;
-    std::optional<fleet::Homes> homes;
-    std::optional<fleet::Turns> turns;
+    std::optional<fleet::Subsets> homes;
+    std::optional<fleet::SlowStartLeases> turns;
     std::map<int, bool> unknown_logged;
   };
   std::map<std::uint32_t, Instance> table_;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -105,8 +105,8 @@
   }
 
   Dispatcher d;
-  fleet::Homes homes;
-  fleet::Turns turns;
+  fleet::Subsets homes;
+  fleet::SlowStartLeases turns;
   Time now = 1000;
   Actions last;
   std::vector<SendAttempt> sends;
--- a/tests/logic/list_lease_test.cpp
+++ b/tests/logic/list_lease_test.cpp
@@ -230,14 +230,14 @@
 TEST(WatchMessage, IsReadAsItWasWrittenAndNothingElseIs) {
   using Kind = WatchMessage::Kind;
   for (Kind kind : {Kind::question, Kind::has_watch, Kind::has_none}) {
-    std::string bytes = write_watch_message({kind});
-    ASSERT_TRUE(read_watch_message(bytes));
-    EXPECT_EQ(read_watch_message(bytes)->kind, kind);
-    EXPECT_FALSE(read_watch_message(bytes + "x"));
-    EXPECT_FALSE(read_watch_message(bytes.substr(1)));
+    std::string bytes = encode({kind});
+    ASSERT_TRUE(decode_watch_message(bytes));
+    EXPECT_EQ(decode_watch_message(bytes)->kind, kind);
+    EXPECT_FALSE(decode_watch_message(bytes + "x"));
+    EXPECT_FALSE(decode_watch_message(bytes.substr(1)));
   }
-  EXPECT_FALSE(read_watch_message(std::string("\x57\x01\x04", 3)));
-  EXPECT_FALSE(read_watch_message(std::string("\x57\x02\x01", 3)));
+  EXPECT_FALSE(decode_watch_message(std::string("\x57\x01\x04", 3)));
+  EXPECT_FALSE(decode_watch_message(std::string("\x57\x02\x01", 3)));
 }
 
 }  // namespace
--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -14,23 +14,23 @@
 namespace {
 
 TEST(Words, AreReadAsTheyWereWrittenAndNothingElseIsTakenForOne) {
-  Word w{.kind = Word::Kind::ask,
-         .number = 513,
-         .incarnation = 0xfedcba98,
-         .digest = 7,
-         .about = 299,
-         .rumours = {}};
+  MembershipMessage w{.kind = MembershipMessage::Kind::ask,
+                      .number = 513,
+                      .incarnation = 0xfedcba98,
+                      .digest = 7,
+                      .about = 299,
+                      .updates = {}};
   for (int i = 0; i < static_cast<int>(kMostRumours); ++i)
-    w.rumours.push_back({i, Life::suspect, 5u + static_cast<unsigned>(i), 298});
-  std::string bytes = write_word(w);
+    w.updates.push_back({i, MemberState::suspect, 5u + static_cast<unsigned>(i), 298});
+  std::string bytes = encode(w);
   EXPECT_LE(bytes.size(), kMostBytes);
-  ASSERT_EQ(read_word(bytes), w);
+  ASSERT_EQ(decode_membership_message(bytes), w);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-    EXPECT_FALSE(read_word(bytes.substr(0, cut)));
-  EXPECT_FALSE(read_word(bytes + "x"));
-  EXPECT_FALSE(read_word("12345678"));  // a note of the release before
-  bytes[1] = 2;                         // a later version
-  EXPECT_FALSE(read_word(bytes));
+    EXPECT_FALSE(decode_membership_message(bytes.substr(0, cut)));
+  EXPECT_FALSE(decode_membership_message(bytes + "x"));
+  EXPECT_FALSE(decode_membership_message("12345678"));  // a note of the release before
+  bytes[1] = 2;                                         // a later version
+  EXPECT_FALSE(decode_membership_message(bytes));
   std::mt19937 random(1);
   for (int i = 0; i < 20'000; ++i) {  // whatever is in it, it is read or passed over
     std::string noise(random() % 300, 'x');
@@ -39,8 +39,8 @@
     if (noise.size() > 4)
       noise[0] = '\xfe', noise[1] = 1, noise[2] = static_cast<char>(random() % 6),
       noise[3] = static_cast<char>(random() % 28);
-    if (auto read = read_word(noise)) {
-      EXPECT_EQ(write_word(*read), noise);
+    if (auto read = decode_membership_message(noise)) {
+      EXPECT_EQ(encode(*read), noise);
     }
   }
 }
@@ -59,7 +59,7 @@
   struct Event {
     Time at = 0;
     int node = 0, from = 0, to = 0;
-    Life life = Life::alive;
+    MemberState state = MemberState::alive;
   };
 
   void start(int i) {
@@ -112,7 +112,7 @@
                          std::tuple(l.to, from, l.bytes));
     }
     for (const auto& c : out.changes)
-      if (c.to == Life::dead || c.from == Life::dead)
+      if (c.to == MemberState::dead || c.from == MemberState::dead)
         events.push_back({now, from, from, c.member, c.to});
   }
   // Whether all nodes of `among` hold exactly `living` for living.
@@ -144,12 +144,12 @@
   }
   int deaths_of(int member) const {
     return static_cast<int>(std::count_if(events.begin(), events.end(), [&](const Event& e) {
-      return e.to == member && e.life == Life::dead;
+      return e.to == member && e.state == MemberState::dead;
     }));
   }
   int deaths() const {
-    return static_cast<int>(std::count_if(events.begin(), events.end(),
-                                          [](const Event& e) { return e.life == Life::dead; }));
+    return static_cast<int>(std::count_if(
+        events.begin(), events.end(), [](const Event& e) { return e.state == MemberState::dead; }));
   }
   static std::size_t at(int i) { return static_cast<std::size_t>(i); }
 
@@ -231,8 +231,8 @@
   tier.run(2000);
   Membership::Output out;
   EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 1, "12345678", out));
-  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 9, write_word({}), out));  // nobody
-  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 0, write_word({}), out));  // itself
+  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 9, encode({}), out));  // nobody
+  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 0, encode({}), out));  // itself
   EXPECT_TRUE(out.changes.empty());
 }
 
@@ -243,7 +243,7 @@
   EXPECT_TRUE(tier.agree({0, 1}, {0, 1, 2}));
   Membership::Output out;
   tier.nodes[0].membership->hear(tier.now, 2, "12345678", out);
-  EXPECT_EQ(tier.nodes[0].membership->at(2).life, Life::alive);
+  EXPECT_EQ(tier.nodes[0].membership->at(2).state, MemberState::alive);
 }
 
 TEST(Membership, ThreeOfFourDieAndTheLastKnowsItWithinThreeSeconds) {
@@ -301,7 +301,7 @@
       EXPECT_LT(e.to, deaf) << "n" << e.node
                             << " heard the others and took the word of a deaf one on n" << e.to;
       int& times = buried[std::pair(e.node, e.to)];
-      EXPECT_LE(times += e.life == Life::dead, 1) << "it flaps";
+      EXPECT_LE(times += e.state == MemberState::dead, 1) << "it flaps";
     }
     tier.cut = nullptr;
     Time took = tier.until_agreed(tier.all_but({}), tier.all_but({}));
@@ -354,15 +354,15 @@
     for (int from = 1; from < 8; ++from)
       word(from, {});
   }
-  void word(int from, std::vector<Rumour> rumours) {
+  void word(int from, std::vector<MemberUpdate> updates) {
     Membership::Output out;
     node.hear(now, from,
-              write_word({.kind = Word::Kind::tell,
-                          .number = 0,
-                          .incarnation = 1000,
-                          .digest = 0,
-                          .about = from,
-                          .rumours = std::move(rumours)}),
+              encode({.kind = MembershipMessage::Kind::tell,
+                      .number = 0,
+                      .incarnation = 1000,
+                      .digest = 0,
+                      .about = from,
+                      .updates = std::move(updates)}),
               out);
   }
   void note(int from) {
@@ -382,11 +382,11 @@
 
 TEST(Membership, AStallCountsForNobodysSuspicion) {
   Alone a;
-  a.word(1, {{3, Life::suspect, 1000, 1}});
+  a.word(1, {{3, MemberState::suspect, 1000, 1}});
   a.now += 3000;  // it slept, and its timer rings late
   Membership::Output out;
   a.node.tick(a.now, out);
-  EXPECT_EQ(a.node.at(3).life, Life::suspect);
+  EXPECT_EQ(a.node.at(3).state, MemberState::suspect);
   EXPECT_GT(a.node.health(), 0);
 }
 
@@ -401,19 +401,19 @@
 TEST(Membership, NotesAloneBringBackWhoWentBackToTheReleaseBeforeButNotWhoSaidThatItEnds) {
   Alone a;
   a.now += 10;
-  a.word(1, {{2, Life::dead, 1000, 2}});  // 2 says that it ends
-  a.word(1, {{3, Life::suspect, 1000, 1},
-             {3, Life::suspect, 1000, 4},
-             {3, Life::suspect, 1000, 5},
-             {3, Life::suspect, 1000, 6}});
+  a.word(1, {{2, MemberState::dead, 1000, 2}});  // 2 says that it ends
+  a.word(1, {{3, MemberState::suspect, 1000, 1},
+             {3, MemberState::suspect, 1000, 4},
+             {3, MemberState::suspect, 1000, 5},
+             {3, MemberState::suspect, 1000, 6}});
   for (int i = 0; i < 40; ++i)
     a.silence(40), a.word(1, {}), a.word(4, {});
-  ASSERT_EQ(a.node.at(3).life, Life::dead);
+  ASSERT_EQ(a.node.at(3).state, MemberState::dead);
   a.now += 1500;
   a.note(2);
   a.note(3);
-  EXPECT_EQ(a.node.at(2).life, Life::dead);
-  EXPECT_EQ(a.node.at(3).life, Life::alive);
+  EXPECT_EQ(a.node.at(2).state, MemberState::dead);
+  EXPECT_EQ(a.node.at(3).state, MemberState::alive);
 }
 
 TEST(Membership, AFleetOfThreeHundredKnowsOfSevenInTenThatDie) {
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -1,13 +1,13 @@
 // Endpoints out by hand, and who is ready in a handover.
 #include <gtest/gtest.h>
 
+#include "admin_overrides/admin_overrides.h"
 #include "handover/succession.h"
-#include "overlay/by_hand.h"
 
 namespace keelflow {
 namespace {
 
-using overlay::ByHand;
+using admin_overrides::AdminOverrides;
 using scheduler::EndpointEntry;
 using scheduler::EndpointList;
 using scheduler::EndpointState;
@@ -34,19 +34,19 @@
   return EndpointState::gone;
 }
 
-TEST(ByHand, WhatDiscoverySaysInBetweenBringsNobodyBack) {
-  ByHand hand;
-  hand.laid_over(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
+TEST(AdminOverrides, WhatDiscoverySaysInBetweenBringsNobodyBack) {
+  AdminOverrides hand;
+  hand.apply(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto out = hand.out(1, "one");
   ASSERT_TRUE(out);
   EXPECT_EQ(told(*out, 1), EndpointState::draining);
   EXPECT_FALSE(hand.out(1, "one"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, EndpointState::gone}})), 1),
+  EXPECT_EQ(told(hand.apply(list(ListScope::delta, {{1, EndpointState::gone}})), 1),
             EndpointState::gone);
   EXPECT_EQ(hand.listed(), 1u);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::delta, {{1, EndpointState::ready}}, kLater)), 1),
+  EXPECT_EQ(told(hand.apply(list(ListScope::delta, {{1, EndpointState::ready}}, kLater)), 1),
             EndpointState::draining);
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{1, EndpointState::ready}}, kLater)), 1),
+  EXPECT_EQ(told(hand.apply(list(ListScope::full, {{1, EndpointState::ready}}, kLater)), 1),
             EndpointState::draining);
   auto back = hand.back(1);
   ASSERT_TRUE(back);
@@ -57,31 +57,31 @@
 
 // Anything but a list from memory tells the module that discovery has answered: it would stop
 // asking.
-TEST(ByHand, IsNoWordOfDiscoverys) {
-  ByHand hand;
-  hand.laid_over(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
+TEST(AdminOverrides, IsNoWordOfDiscoverys) {
+  AdminOverrides hand;
+  hand.apply(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto out = hand.out(1, "one");
   ASSERT_TRUE(out);
   EXPECT_EQ(out->scope, ListScope::cached);
   EXPECT_EQ(out->entries.size(), 2u);
-  EXPECT_EQ(hand.laid_over(list(ListScope::failed, {})).scope, ListScope::failed);
+  EXPECT_EQ(hand.apply(list(ListScope::failed, {})).scope, ListScope::failed);
   EXPECT_EQ(hand.listed(), 2u);
 }
 
-TEST(ByHand, OneThatIsNotListedYetIsOutWhenItComes) {
-  ByHand hand;
+TEST(AdminOverrides, OneThatIsNotListedYetIsOutWhenItComes) {
+  AdminOverrides hand;
   EXPECT_FALSE(hand.out(7, "seven"));
-  EXPECT_EQ(told(hand.laid_over(list(ListScope::full, {{7, EndpointState::ready}})), 7),
+  EXPECT_EQ(told(hand.apply(list(ListScope::full, {{7, EndpointState::ready}})), 7),
             EndpointState::draining);
   EXPECT_EQ(hand.hosts(), std::vector<std::string>{"seven"});
 }
 
-TEST(ByHand, EachUnavailableOneCountsOnce) {
-  ByHand hand;
-  hand.laid_over(list(ListScope::full, {{1, EndpointState::ready},
-                                        {2, EndpointState::draining},
-                                        {3, EndpointState::ready},
-                                        {4, EndpointState::ready}}));
+TEST(AdminOverrides, EachUnavailableOneCountsOnce) {
+  AdminOverrides hand;
+  hand.apply(list(ListScope::full, {{1, EndpointState::ready},
+                                    {2, EndpointState::draining},
+                                    {3, EndpointState::ready},
+                                    {4, EndpointState::ready}}));
   hand.out(1, "one");
   hand.out(2, "two");
   hand.out(9, "not listed");
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -132,7 +132,7 @@
   scheduler::Settings s;
   s.dispatchers = 40;
   s.rank = 7;
-  Homes homes(s);
+  Subsets homes(s);
   scheduler::EndpointList list;
   for (EndpointId w : draw(30, 3))
     list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
--- a/tests/logic/turns_replay.cpp
+++ b/tests/logic/turns_replay.cpp
@@ -1,5 +1,5 @@
 // Random runs of the Promela model (turns/turns.pml), played step by step with real Dispatchers and
-// Turns: what the model grants, sends, takes and drops, they do.
+// SlowStartLeases: what the model grants, sends, takes and drops, they do.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -103,11 +103,12 @@
     net_.pop_front();
     node(letter.to).bench.play(
         PeerMessage{ranks_[static_cast<std::size_t>(letter.from)], letter.bytes});
-    backs += read_turn(letter.bytes)->kind == TurnWord::Kind::back;
+    backs += decode_slow_start_message(letter.bytes)->kind == SlowStartMessage::Kind::back;
     if (at_ < lines_.size() && lines_[at_].starts_with("grant ")) {
       auto words = node(letter.to).words();
       ASSERT_EQ(words.size(), 1u) << "line " << at_;
-      EXPECT_EQ("grant " + std::to_string(read_turn(words[0].bytes)->work), lines_[at_++]);
+      EXPECT_EQ("grant " + std::to_string(decode_slow_start_message(words[0].bytes)->work),
+                lines_[at_++]);
       ++grants;
       if (next_is("sent"))
         net_.push_back({letter.to, letter.from, words[0].bytes});
--- a/tests/logic/turns_test.cpp
+++ b/tests/logic/turns_test.cpp
@@ -1,5 +1,5 @@
-// Turns: whatever the network and the nodes do, all together send a cold endpoint no more than its
-// budget.
+// SlowStartLeases: whatever the network and the nodes do, all together send a cold endpoint no more
+// than its budget.
 #include "fleet/turns.h"
 
 #include <gtest/gtest.h>
@@ -189,7 +189,7 @@
   double before = p.owner->room().own;
   std::string grant = p.grant(ask);
   ASSERT_FALSE(grant.empty());
-  double work = read_turn(grant)->work;
+  double work = decode_slow_start_message(grant)->work;
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - work);
   EXPECT_TRUE(p.grant(ask).empty()) << "a doubled ask is not granted twice";
   p.hear(grant);
@@ -300,8 +300,9 @@
   }
   EXPECT_TRUE(p.grant(ask + "x").empty());
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
-  p.hear(write_turn({TurnWord::Kind::grant, kCold, read_turn(ask)->life, read_turn(ask)->asker,
-                     read_turn(ask)->number + 1, 5000, 0}));
+  p.hear(encode({SlowStartMessage::Kind::grant, kCold, decode_slow_start_message(ask)->life,
+                 decode_slow_start_message(ask)->asker, decode_slow_start_message(ask)->number + 1,
+                 5000, 0}));
   EXPECT_EQ(p.asker->room().granted, 0) << "nothing was asked with that number";
 }
 
--- a/tests/logic/turns_world.h
+++ b/tests/logic/turns_world.h
@@ -1,5 +1,5 @@
-// Nodes that share a cold endpoint: each a Dispatcher with its Turns; nothing but what they send
-// there is played.
+// Nodes that share a cold endpoint: each a Dispatcher with its SlowStartLeases; nothing but what
+// they send there is played.
 #pragma once
 
 #include "fleet/turns.h"
@@ -26,7 +26,7 @@
 struct Node {
   Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& lives = {})
       : bench((s.rank = rank, s), static_cast<std::uint64_t>(rank) + 1) {
-    bench.turns = Turns(s, now);
+    bench.turns = SlowStartLeases(s, now);
     bench.now = now - kJob;
     scheduler::EndpointList list;
     list.entries = {{kWarm, 0, 0, 0, scheduler::EndpointState::ready, 1, 0}};
@@ -58,7 +58,7 @@
   std::vector<scheduler::SendPeerMessage> words() {
     std::vector<scheduler::SendPeerMessage> out;
     for (scheduler::SendPeerMessage& t : std::exchange(bench.tells, {}))
-      if (read_turn(t.bytes))
+      if (decode_slow_start_message(t.bytes))
         out.push_back(std::move(t));
     return out;
   }
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -449,11 +449,11 @@
       : Bench(settings(idempotency)) {
     endpoints(2);
   }
-  void hears(int peer, EndpointId endpoint, double load, Sign sign = Sign::none,
+  void hears(int peer, EndpointId endpoint, double load, LoadSignal sign = LoadSignal::none,
              Time started_at = 0) {
     play(PeerMessage{
-        peer, write_note({endpoint, mark_of({.endpoint = endpoint, .started_at = started_at}), load,
-                          sign})});
+        peer, encode({endpoint, incarnation_tag({.endpoint = endpoint, .started_at = started_at}),
+                      load, sign})});
   }
   int sent_to_first(int jobs) {  // of so many jobs that are served at once
     int count = 0;
@@ -492,7 +492,7 @@
   Shared b;
   b.sent_to_first(4);
   for (int peer : {3, 4, 5})
-    b.hears(peer, 100, 0, Sign::failed);
+    b.hears(peer, 100, 0, LoadSignal::failed);
   EXPECT_EQ(b.sent_to_first(40), 0);
 }
 
@@ -500,7 +500,7 @@
   Shared b(Idempotency::non_idempotent);  // which a endpoint with faults is not tried with, however
                                           // long it was left alone
   for (int peer : {3, 4, 5})
-    b.hears(peer, 100, 0, Sign::unreached);
+    b.hears(peer, 100, 0, LoadSignal::unreached);
   EXPECT_EQ(b.sent_to_first(40), 0);
   b.advance(b.now + 10000);
   EXPECT_GT(b.sent_to_first(40), 0);
@@ -509,11 +509,11 @@
 TEST(Peers, NotesOnAFormerLifeOrThatAreNoneChangeNothing) {
   Shared b;
   for (int peer : {3, 4, 5})
-    b.hears(peer, 100, 200, Sign::failed, 77);
+    b.hears(peer, 100, 200, LoadSignal::failed, 77);
   for (std::string bytes : {"", "1234567", "123456789"})
     b.play(PeerMessage{3, bytes});
   b.play(PeerMessage{3, std::string(8, '\xff')});
-  b.hears(3, 999, 200, Sign::failed);  // a endpoint that is not listed
+  b.hears(3, 999, 200, LoadSignal::failed);  // a endpoint that is not listed
   EXPECT_GT(b.sent_to_first(40), 0);
 }
 
@@ -522,14 +522,14 @@
   b.arrive(1, 100);
   ASSERT_EQ(b.sends.size(), 1u);
   ASSERT_EQ(b.tells.size(), 19u);  // with two endpoints all twenty are at home
-  EXPECT_EQ(read_note(b.tells[0].bytes)->endpoint, b.sends[0].endpoint);
-  EXPECT_EQ(read_note(b.tells[0].bytes)->load, 1);
+  EXPECT_EQ(decode_load_update(b.tells[0].bytes)->endpoint, b.sends[0].endpoint);
+  EXPECT_EQ(decode_load_update(b.tells[0].bytes)->load, 1);
   b.now += 100;
   b.outcome(1, 0, AttemptResult::ok, true);
   ASSERT_EQ(b.tells.size(), 38u);
-  Note last = read_note(b.tells.back().bytes).value();
+  LoadUpdate last = decode_load_update(b.tells.back().bytes).value();
   EXPECT_EQ(last.load, 0);
-  EXPECT_EQ(last.sign, Sign::served);
+  EXPECT_EQ(last.sign, LoadSignal::served);
   EXPECT_NEAR(last.service_time_ratio, 1, 0.05);
 }
 
--- a/tests/node/parts_test.cpp
+++ b/tests/node/parts_test.cpp
@@ -196,7 +196,7 @@
 }
 
 // The Engine with a clock of the test's own; no endpoint is ever there.
-struct Idle final : EndpointPort, TimerPort, Asker {
+struct Idle final : EndpointPort, TimerPort, ResponseSink {
   void start(AttemptRef, EndpointId, const Job&, const Terms&) override {}
   void give_up(AttemptRef) override {}
   void give_up_unsent(AttemptRef) override {}
--- a/tests/node/traffic_test.cpp
+++ b/tests/node/traffic_test.cpp
@@ -50,7 +50,7 @@
   }
 
  private:
-  struct Client final : Asker {
+  struct Client final : ResponseSink {
     Client(World& w, int n) : world(w), number(n) {}
     void on_final(FinalAnswer answer) override {
       world.note("answer " + std::to_string(number) + " " +
@@ -113,18 +113,20 @@
     unsigned what = random_() % 12;
     at(now_ + wait, [this, ref] { engine_.attempt_started(ref); });
     at(now_ + wait + run, [this, ref, what] {
-      Ending ending = what == 0   ? Ending::turned_away
-                      : what == 1 ? Ending::error
-                      : what == 2 ? Ending::broken
-                                  : Ending::served;
+      AttemptOutcome outcome = what == 0   ? AttemptOutcome::rejected
+                               : what == 1 ? AttemptOutcome::error
+                               : what == 2 ? AttemptOutcome::broken
+                                           : AttemptOutcome::served;
       engine_.attempt_ended(
-          ref, {.ending = ending, .reach = what == 2 ? Reach::fully_written : Reach::accepted});
+          ref, {.outcome = outcome,
+                .delivery = what == 2 ? DeliveryState::fully_written : DeliveryState::accepted});
     });
   }
   void give_up_unsent(AttemptRef) override {}
   void give_up(AttemptRef ref) override {
     note("give up " + std::to_string(ref.request));
-    at(now_ + 1ms, [this, ref] { engine_.attempt_ended(ref, {.ending = Ending::cancelled}); });
+    at(now_ + 1ms,
+       [this, ref] { engine_.attempt_ended(ref, {.outcome = AttemptOutcome::cancelled}); });
   }
   void probe(EndpointId) override {}
   TimePoint now() const override { return now_; }
@@ -167,7 +169,10 @@
 }
 
 // Writes down in which order requests are sent. All of them go to the pool that `chosen` says.
-class Order final : public EndpointPort, public TimerPort, public RoutePort, public Asker {
+class Order final : public EndpointPort,
+                    public TimerPort,
+                    public PoolSelector,
+                    public ResponseSink {
  public:
   std::vector<std::string> sent;
   int chosen = 0;
@@ -190,19 +195,19 @@
 };
 
 // Says of each request what the test wants, at once or later.
-class Screen final : public ScreenPort {
+class Screen final : public RequestFilter {
  public:
-  std::map<std::string, Said> says;
+  std::map<std::string, Decision> says;
   std::vector<std::string> heard;
   std::vector<RequestId> forgotten;
 
  private:
-  std::optional<Said> screen(RequestId, const Job& job, TimePoint) override {
+  std::optional<Decision> screen(RequestId, const Job& job, TimePoint) override {
     auto it = says.find(job.id);
     return it == says.end() ? std::nullopt : std::optional(it->second);
   }
   void forget(RequestId id) override { forgotten.push_back(id); }
-  void ended(const Job& job, Duration, RoutePort::End) override { heard.push_back(job.id); }
+  void ended(const Job& job, Duration, PoolSelector::End) override { heard.push_back(job.id); }
 };
 
 TEST(Engine, WhatIsWeighedMoreIsQueuedAsIfLargerAndWhatIsScreenedIsNotTheModulesYet) {
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -42,8 +42,8 @@
 
 struct Node {
   std::unique_ptr<scheduler::Dispatcher> dispatcher;
-  std::optional<fleet::Homes> homes;
-  std::optional<fleet::Turns> turns;
+  std::optional<fleet::Subsets> homes;
+  std::optional<fleet::SlowStartLeases> turns;
   std::uint64_t timer = 0;  // the latest
   std::map<RequestId, std::vector<AttemptModel>> attempts;
   std::map<RequestId, double> work;
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -134,7 +134,7 @@
     std::string line = "living " + std::to_string(node.membership->living()) + " health " +
                        std::to_string(node.membership->health());
     for (int m = 0; m < node.membership->members(); ++m)
-      line += " " + std::to_string(static_cast<int>(node.membership->at(m).life));
+      line += " " + std::to_string(static_cast<int>(node.membership->at(m).state));
     recording_.line(line);
   }
 
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -65,27 +65,28 @@
   Draw draw(61);
   for (int sign = 0; sign <= 6; ++sign) {
     for (int i = 0; i < 3; ++i) {
-      scheduler::Note note;
+      scheduler::LoadUpdate note;
       note.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
       note.life = static_cast<std::uint8_t>(draw.bits());
       note.load = i == 2 ? 1000 : draw.between(0, 12);
-      note.sign = static_cast<scheduler::Sign>(sign);
+      note.sign = static_cast<scheduler::LoadSignal>(sign);
       note.service_time_ratio = draw.between(0.1, 9);
       note.work = draw.between(0, 20000);
       expect_message("load-update-" + std::to_string(sign) + std::to_string(i),
-                     hex_of(scheduler::write_note(note)));
+                     hex_of(scheduler::encode(note)));
     }
   }
   for (const std::string& bytes : recorded_bytes("load-update-")) {
-    auto read = scheduler::read_note(bytes);
+    auto read = scheduler::decode_load_update(bytes);
     ASSERT_TRUE(read);
     // The last byte is read of two signals only.
-    bool has_detail = read->sign == scheduler::Sign::served || read->sign == scheduler::Sign::sent;
+    bool has_detail =
+        read->sign == scheduler::LoadSignal::served || read->sign == scheduler::LoadSignal::sent;
     std::size_t read_bytes = has_detail ? bytes.size() : bytes.size() - 1;
-    EXPECT_EQ(hex_of(scheduler::write_note(*read).substr(0, read_bytes)),
+    EXPECT_EQ(hex_of(scheduler::encode(*read).substr(0, read_bytes)),
               hex_of(bytes.substr(0, read_bytes)));
   }
-  EXPECT_FALSE(scheduler::read_note("1234567"));
+  EXPECT_FALSE(scheduler::decode_load_update("1234567"));
 }
 
 TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
@@ -95,8 +96,8 @@
     entry.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
     entry.started_at = i == 0 ? 0 : draw.between(0, 2e12);
     expect_message("incarnation-" + std::to_string(i),
-                   std::to_string(scheduler::life_of(entry)) + " " +
-                       std::to_string(scheduler::mark_of(entry)));
+                   std::to_string(scheduler::incarnation_of(entry)) + " " +
+                       std::to_string(scheduler::incarnation_tag(entry)));
   }
 }
 
@@ -107,54 +108,53 @@
       auto number = [&] {
         return static_cast<std::uint32_t>(draw.bits());
       };
-      fleet::TurnWord word{static_cast<fleet::TurnWord::Kind>(kind),
-                           number(),
-                           number(),
-                           number(),
-                           number(),
-                           number(),
-                           number()};
+      fleet::SlowStartMessage word{static_cast<fleet::SlowStartMessage::Kind>(kind),
+                                   number(),
+                                   number(),
+                                   number(),
+                                   number(),
+                                   number(),
+                                   number()};
       expect_message("slow-start-" + std::to_string(kind) + std::to_string(i),
-                     hex_of(fleet::write_turn(word)));
+                     hex_of(fleet::encode(word)));
     }
   }
   for (const std::string& bytes : recorded_bytes("slow-start-")) {
-    auto read = fleet::read_turn(bytes);
+    auto read = fleet::decode_slow_start_message(bytes);
     ASSERT_TRUE(read);
-    EXPECT_EQ(hex_of(fleet::write_turn(*read)), hex_of(bytes));
+    EXPECT_EQ(hex_of(fleet::encode(*read)), hex_of(bytes));
   }
 }
 
 TEST(RecordedMessages, Membership) {
   Draw draw(64);
   for (int kind = 0; kind < 5; ++kind) {
-    fleet::Word word;
-    word.kind = static_cast<fleet::Word::Kind>(kind);
+    fleet::MembershipMessage word;
+    word.kind = static_cast<fleet::MembershipMessage::Kind>(kind);
     word.number = static_cast<std::uint16_t>(draw.bits());
     word.incarnation = static_cast<std::uint32_t>(draw.bits());
     word.digest = static_cast<std::uint32_t>(draw.bits());
     word.about = draw.below(900);
     for (int i = 0; i < 7 * kind; ++i)
-      word.rumours.push_back({draw.below(900), static_cast<fleet::Life>(1 + draw.below(3)),
+      word.updates.push_back({draw.below(900), static_cast<fleet::MemberState>(1 + draw.below(3)),
                               static_cast<std::uint32_t>(draw.bits()), draw.below(900)});
-    expect_message("membership-" + std::to_string(kind), hex_of(fleet::write_word(word)));
+    expect_message("membership-" + std::to_string(kind), hex_of(fleet::encode(word)));
   }
   for (const std::string& bytes : recorded_bytes("membership-")) {
-    auto read = fleet::read_word(bytes);
+    auto read = fleet::decode_membership_message(bytes);
     ASSERT_TRUE(read);
-    EXPECT_EQ(hex_of(fleet::write_word(*read)), hex_of(bytes));
+    EXPECT_EQ(hex_of(fleet::encode(*read)), hex_of(bytes));
   }
 }
 
 TEST(RecordedMessages, WatchQuestions) {
   for (int kind = 1; kind <= 3; ++kind)
-    expect_message(
-        "watch-" + std::to_string(kind),
-        hex_of(discovery::write_watch_message({static_cast<discovery::WatchMessage::Kind>(kind)})));
+    expect_message("watch-" + std::to_string(kind),
+                   hex_of(discovery::encode({static_cast<discovery::WatchMessage::Kind>(kind)})));
   for (const std::string& bytes : recorded_bytes("watch-")) {
-    auto read = discovery::read_watch_message(bytes);
+    auto read = discovery::decode_watch_message(bytes);
     ASSERT_TRUE(read);
-    EXPECT_EQ(discovery::write_watch_message(*read), bytes);
+    EXPECT_EQ(discovery::encode(*read), bytes);
   }
 }
 
@@ -201,7 +201,7 @@
   std::unique_ptr<Handover> make() {
     return std::make_unique<Handover>(
         loop_, folder_, "node-1",
-        Handover::Deeds{
+        Handover::Callbacks{
             .welcome =
                 [] {
                   return nlohmann::json{{"out", {"box-3"}},
@@ -289,10 +289,10 @@
   connect();
   send("{\"node\":\"node-1\",\"say\":\"hello\",\"version\":1}\n");
   expect_message("handover-welcome", lines(1)[0]);
-  handover->tell_by_hand("box-1", true);
-  handover->tell_by_hand("box-1", false);
-  handover->tell_note(std::string("\x00\xff\x10 8b", 6));
-  handover->pass_news("{\"id\":\"A\"}\r\n\xff");
+  handover->send_admin_override("box-1", true);
+  handover->send_admin_override("box-1", false);
+  handover->send_load_update(std::string("\x00\xff\x10 8b", 6));
+  handover->forward_status_callback("{\"id\":\"A\"}\r\n\xff");
   auto sent = lines(4);
   for (std::size_t i = 0; i < sent.size(); ++i)
     expect_message("handover-sent-" + std::to_string(i), sent[i]);
