--- /dev/null
+++ b/scheduler/cost_calibration.cpp
@@ -0,0 +1,54 @@
+/// Learning of calibration factors.
+#include "scheduler/cost_calibration.h"
+
+#include <algorithm>
+
+#include "scheduler/hashing.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+// One sample counts at most this much, or its inverse: running times have heavy tails.
+constexpr double kSampleLimit = 8;
+
+}  // namespace
+
+void CostCalibration::renumber(const std::vector<int>& learned_from, std::size_t classes) {
+  std::vector<LearnedState::Calibration> former = classes_;
+  classes_.resize(classes);
+  for (std::size_t i = 0; i < classes; ++i) {
+    int from = learned_from[i];
+    classes_[i] = from < 0 ? LearnedState::Calibration{} : former[to_index(from)];
+  }
+}
+
+double CostCalibration::factor(int class_index) const {
+  return classes_.at(to_index(class_index)).factor;
+}
+
+double CostCalibration::calibrated_cost(const Request& request) const {
+  return request.arrival.hint * classes_[to_index(request.arrival.class_index)].factor;
+}
+
+void CostCalibration::record_hint(int class_index, double hint) {
+  LearnedState::Calibration& learned = classes_[to_index(class_index)];
+  learned.hint_sum += hint;
+  ++learned.hint_count;
+}
+
+double CostCalibration::mean_hint(int class_index, double otherwise) const {
+  const LearnedState::Calibration& learned = classes_[to_index(class_index)];
+  return learned.hint_count > 0 ? learned.hint_sum / learned.hint_count : otherwise;
+}
+
+void CostCalibration::record_run(const Request& request, double run_ms) {
+  double& factor = classes_[to_index(request.arrival.class_index)].factor;
+  double sample = std::clamp(run_ms / request.arrival.hint, 1 / kSampleLimit, kSampleLimit);
+  factor += kAverageStep * (sample - factor);
+}
+
+void CostCalibration::restore(const std::vector<LearnedState::Calibration>& learned) {
+  for (std::size_t i = 0; i < classes_.size(); ++i) classes_[i] = learned.at(i);
+}
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/dispatcher.cpp
@@ -0,0 +1,185 @@
+/// Gives each event to the part that owns it, runs timers, and releases queued requests to endpoints.
+#include "scheduler/dispatcher.h"
+
+#include <algorithm>
+
+#include "scheduler/attempt_tracker.h"
+#include "scheduler/endpoint_list_tracker.h"
+#include "scheduler/state_transfer.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+// Of a class so many requests at the head of its queue are tried; the others wait until something changes.
+constexpr int kTriedOfClass = 3;
+constexpr double kReleaseTicks = 10;  // ticks after which a sample that found no endpoint is drawn again
+
+Settings validated(const Settings& settings) {
+  validate(settings);
+  return settings;
+}
+
+}  // namespace
+
+struct Dispatcher::Impl {
+  Impl(const Settings& settings, std::uint64_t seed, std::shared_ptr<TenantQuotas> quotas)
+      : environment(validated(settings), seed), quota(std::move(quotas)) {
+    quota.resize(environment.settings);
+  }
+
+  void handle(Time now, const Event& event, Actions& out) {
+    environment.now = std::max(environment.now, now);
+    environment.actions = &out;
+    std::visit([this](const auto& e) { on(e); }, event);
+    while (environment.timers.is_due(environment.now)) on_due(environment.timers.pop());
+    release();
+    if (!environment.timers.needs_arming()) return;
+    Time when = environment.timers.arm();
+    environment.act(SetTimer{environment.timers.id(), when});
+  }
+
+  void on(const EndpointList& e) { list_tracker.on_list(e); }
+  void on(const SubsetChanged& e) { list_tracker.on_subset(e); }
+  void on(const SlowStartShares& e) { list_tracker.on_slow_start_shares(e); }
+  void on(const SlowStartGrant& e) { list_tracker.on_slow_start_grant(e); }
+  void on(const RequestArrived& e) { lifecycle.on_arrived(e); }
+  void on(const ResponseStreamStarted& e) { lifecycle.on_stream_started(e.request); }
+  void on(const ClientDisconnected& e) { lifecycle.on_client_disconnected(e); }
+  void on(const AttemptStarted& e) { attempts.on_started(e); }
+  void on(const AttemptFinished& e) { attempts.on_finished(e); }
+  void on(const PeerMessage& e) { feedback.on_peer_message(e); }
+  void on(const SiblingProcess& e) { feedback.set_sibling(e.is_present); }
+  void on(const MembershipChanged& e) { quota.on_membership(e.is_alive); }
+  void on(const LearnedState& e) { state_transfer.restore(e); }
+  void on(const TimerFired& e) { environment.timers.on_fired(e.id); }
+  void on(const SendPermission& e) { may_release = e.is_allowed; }
+  void on(const HealthCheckResult&) {}  // nothing is decided on them
+
+  void on(const SettingsChanged& e) {
+    environment.settings = e.settings;
+    std::size_t classes = e.settings.classes.size();
+    calibration.renumber(e.learned_from, classes);
+    queue.resize(classes);
+    endpoints.resize(e.settings.kinds);
+    statistics.resize(e.settings);
+    quota.resize(e.settings);
+    selector.on_settings();
+    lifecycle.on_attempt_limit_changed();
+  }
+
+  void on_due(const TimerQueue::Entry& timer) {
+    switch (timer.purpose) {
+      case TimerPurpose::deadline:
+        return lifecycle.on_deadline(timer.subject);
+      case TimerPurpose::overdue:
+        lifecycle.on_overdue(timer.subject);
+        return lifecycle.on_deadline(timer.subject);
+      case TimerPurpose::late_start:
+        return attempts.on_late_start(timer.subject, timer.attempt);
+      case TimerPurpose::reindex:
+        if (auto slot = endpoints.find(timer.subject)) availability.refresh(*slot);
+        return;
+      case TimerPurpose::poll_list:
+        return list_tracker.on_poll_timer();
+      case TimerPurpose::release:
+        return;  // it follows every event
+    }
+  }
+
+  // Smallest calibrated cost over all classes first. Under congestion the overdue wait.
+  void release() {
+    if (!may_release) return;
+    release(QueueTier::in_time);
+    if (!congestion.is_high()) release(QueueTier::overdue);
+    if (queue.size() == 0 || next_release > environment.now) return;
+    next_release = environment.now + kReleaseTicks * environment.settings.tick_ms;
+    congestion.fade();
+    environment.timers.add(next_release, TimerPurpose::release);
+  }
+
+  void release(QueueTier tier) {
+    std::vector<bool> blocked(environment.settings.classes.size(), false);
+    while (queue.size() > 0) {
+      auto cheapest = queue.cheapest_class(tier, blocked, calibration);
+      if (!cheapest) return;
+      blocked[to_index(*cheapest)] = !release_one(queue.of(*cheapest, tier));
+    }
+  }
+
+  bool release_one(const RequestQueue::ClassQueue& of_class) {
+    int tried = 0;
+    for (auto it = of_class.begin(); it != of_class.end() && tried < kTriedOfClass; ++it, ++tried) {
+      Request& request = requests.at(it->request);
+      auto slot = selector.select(request);
+      if (!slot) continue;
+      attempts.send(request, *slot);
+      return true;
+    }
+    return false;
+  }
+
+  Environment environment;
+  RequestTable requests;
+  RequestQueue queue{environment.settings.classes.size()};
+  CostCalibration calibration{environment.settings.classes.size()};
+  EndpointTable endpoints{environment.settings.kinds};
+  ServiceStatistics statistics{environment.settings};
+  Congestion congestion;
+  EndpointHealth health{environment};
+  PeerLoad peer_load;
+  Subset subset;
+  TenantQuota quota;
+  SlowStart slow_start{environment, endpoints, statistics};
+  Availability availability{environment, endpoints, health, peer_load, subset, slow_start};
+  RetryPolicy retry_policy{environment, endpoints, statistics};
+  EndpointSelector selector{environment,  endpoints,    health,      slow_start, availability,
+                            subset,       retry_policy, calibration, statistics, congestion};
+  EndpointFeedback feedback{environment, endpoints,  health, peer_load,
+                            statistics,  slow_start, subset, availability};
+  RequestLifecycle lifecycle{environment, requests, queue,   retry_policy,
+                             calibration, quota,    selector};
+  AttemptTracker attempts{environment,  requests, queue,    lifecycle,   endpoints,  slow_start,
+                          availability, feedback, selector, calibration, statistics, congestion};
+  EndpointListTracker list_tracker{environment, endpoints,  health, peer_load,
+                                   statistics,  slow_start, subset, availability};
+  StateTransfer state_transfer{environment, endpoints,   health,     peer_load,   statistics,
+                               slow_start,  calibration, congestion, availability};
+  Time next_release = 0;
+  bool may_release = true;
+};
+
+Dispatcher::Dispatcher(const Settings& settings, std::uint64_t seed,
+                       std::shared_ptr<TenantQuotas> quotas)
+    : impl_(std::make_unique<Impl>(settings, seed, std::move(quotas))) {}
+Dispatcher::~Dispatcher() = default;
+Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
+Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
+
+void Dispatcher::handle(Time now, const Event& event, Actions& out) {
+  impl_->handle(now, event, out);
+}
+
+double Dispatcher::calibration(int class_index) const {
+  return impl_->calibration.factor(class_index);
+}
+
+std::size_t Dispatcher::queued_requests() const { return impl_->queue.size(); }
+
+LearnedState Dispatcher::learned_state(Time now) const {
+  return impl_->state_transfer.snapshot(now);
+}
+
+SlowStartBudget Dispatcher::slow_start_budget(EndpointId endpoint, Time now) const {
+  impl_->environment.now = std::max(impl_->environment.now, now);
+  auto slot = impl_->endpoints.find(endpoint);
+  if (!slot || !impl_->slow_start.is_warming_up(*slot)) return {};
+  return impl_->slow_start.budget(*slot);
+}
+
+bool Dispatcher::is_ejected(EndpointId endpoint, Time now) const {
+  auto slot = impl_->endpoints.find(endpoint);
+  if (!slot || impl_->endpoints.at(*slot).entry.state != EndpointState::ready) return false;
+  return now < impl_->health.ejected_until(*slot) && impl_->health.looks_faulty(*slot);
+}
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/endpoint_health.cpp
@@ -0,0 +1,66 @@
+/// Concurrency limits and ejection.
+#include "scheduler/endpoint_health.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace keelflow::scheduler {
+namespace {
+
+constexpr double kLimitDecrease = 0.7;   // multiplicative decrease of the concurrency limit
+constexpr double kEjectionRuns = 0.1;    // how long an overloaded endpoint is ejected, in mean runs
+constexpr double kLeastEjectionTicks = 4;
+constexpr int kMostOutlierSigns = 3;     // doublings of that while it looks faulty
+constexpr int kMostFailures = 6;         // and while its attempts fail, one after another
+// The time is drawn from this fraction of it on, over this span: those who left it together come back apart.
+constexpr double kLeastDrawn = 0.75;
+constexpr double kDrawnSpan = 0.5;
+
+}  // namespace
+
+void EndpointHealth::reset(EndpointSlot slot) {
+  if (slot >= health_.size()) health_.resize(slot + std::size_t{1});
+  health_[slot] = {};
+}
+
+void EndpointHealth::record_success(EndpointSlot slot, double occupied) {
+  LearnedState::Health& health = health_[slot];
+  health.outlier_signs = 0;
+  if (occupied + 1 >= health.concurrency_limit)
+    health.concurrency_limit += 1 / health.concurrency_limit;
+}
+
+void EndpointHealth::record_failure(EndpointSlot slot) {
+  int& failures = health_[slot].consecutive_failures;
+  failures = std::min(failures + 1, kMostFailures);
+}
+
+double EndpointHealth::base_ejection(double mean_run) const {
+  return std::max(kLeastEjectionTicks * environment_.settings.tick_ms, kEjectionRuns * mean_run);
+}
+
+void EndpointHealth::eject_as_overloaded(EndpointSlot slot, double mean_run) {
+  double& limit = health_[slot].concurrency_limit;
+  limit = std::max(1.0, limit * kLimitDecrease);
+  eject(slot, base_ejection(mean_run));
+}
+
+void EndpointHealth::eject_as_outlier(EndpointSlot slot, double mean_run) {
+  LearnedState::Health& health = health_[slot];
+  health.concurrency_limit = 1;
+  health.outlier_signs = std::min(health.outlier_signs + 1, kMostOutlierSigns);
+  int doublings = std::max(health.outlier_signs, health.consecutive_failures);
+  eject(slot, base_ejection(mean_run) * std::exp2(doublings));
+}
+
+void EndpointHealth::eject(EndpointSlot slot, double duration) {
+  double drawn = duration * (kLeastDrawn + kDrawnSpan * environment_.random());
+  eject_until(slot, environment_.now + drawn);
+}
+
+void EndpointHealth::eject_until(EndpointSlot slot, Time until) {
+  Time& ejected_until = health_[slot].ejected_until;
+  ejected_until = std::max(ejected_until, until);
+}
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/environment.h
@@ -0,0 +1,31 @@
+/// What all parts of one Dispatcher use while it handles an event. It holds no state of theirs.
+#pragma once
+
+#include <utility>
+
+#include "scheduler/actions.h"
+#include "scheduler/hashing.h"
+#include "scheduler/settings.h"
+#include "scheduler/timer_queue.h"
+
+namespace keelflow::scheduler {
+
+struct Environment {
+  Environment(const Settings& initial, std::uint64_t seed) : settings(initial), random(seed) {}
+
+  const ClassSettings& class_settings(int class_index) const {
+    return settings.classes[to_index(class_index)];
+  }
+  template <typename OneAction>
+  void act(OneAction action) const {
+    actions->emplace_back(std::move(action));
+  }
+
+  Settings settings;
+  Random random;
+  TimerQueue timers;
+  Time now = 0;
+  Actions* actions = nullptr;  ///< of the event that is being handled
+};
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/key_frequency.h
@@ -0,0 +1,39 @@
+/// How often each key was met of late.
+#pragma once
+
+#include <cstdint>
+#include <map>
+
+namespace keelflow::scheduler {
+
+class KeyFrequency {
+ public:
+  void count(std::uint64_t key) {
+    ++counts_[key];
+    if (++total_ >= kMemory) halve();
+  }
+
+  /// The fraction of the traffic that has this key.
+  double fraction(std::uint64_t key) const {
+    auto count = counts_.find(key);
+    return count == counts_.end() ? 0 : count->second / total_;
+  }
+
+ private:
+  static constexpr double kMemory = 4096;    // keys after which older ones count half
+  static constexpr double kForgotten = 0.3;  // a key that counts less is forgotten
+
+  void halve() {
+    total_ = 0;
+    for (auto& [key, count] : counts_) {
+      count /= 2;
+      total_ += count;
+    }
+    std::erase_if(counts_, [](const auto& entry) { return entry.second < kForgotten; });
+  }
+
+  std::map<std::uint64_t, double> counts_;
+  double total_ = 0;
+};
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/peer_load.cpp
@@ -0,0 +1,84 @@
+/// The codec of load updates, and the sums of what was reported.
+#include "scheduler/peer_load.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "scheduler/hashing.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+constexpr std::size_t kSize = 8;
+constexpr std::size_t kEndpointBytes = 4;
+constexpr std::size_t kTagPlace = 4;
+constexpr std::size_t kInFlightPlace = 5;
+constexpr std::size_t kSignalPlace = 6;
+constexpr std::size_t kDetailPlace = 7;
+constexpr double kWorkUnitMs = 64;
+constexpr double kRatioUnits = 32;
+
+char to_byte(double value) {
+  return static_cast<char>(static_cast<std::uint8_t>(std::clamp(std::round(value), 0.0, 255.0)));
+}
+
+std::uint8_t byte_at(std::string_view bytes, std::size_t place) {
+  return static_cast<std::uint8_t>(bytes[place]);
+}
+
+}  // namespace
+
+std::string encode(const LoadUpdate& update) {
+  std::string out;
+  for (int shift : {24, 16, 8, 0}) out += static_cast<char>(update.endpoint >> shift & 0xff);
+  out += static_cast<char>(update.incarnation_tag);
+  out += to_byte(std::ceil(update.in_flight));
+  out += static_cast<char>(update.signal);
+  out += update.signal == LoadSignal::sent ? to_byte(std::ceil(update.work_ms / kWorkUnitMs))
+                                           : to_byte(update.service_time_ratio * kRatioUnits);
+  return out;
+}
+
+std::optional<LoadUpdate> decode_load_update(std::string_view bytes) {
+  if (bytes.size() != kSize) return std::nullopt;
+  std::uint8_t signal = byte_at(bytes, kSignalPlace);
+  if (signal > static_cast<std::uint8_t>(LoadSignal::failed)) return std::nullopt;
+  LoadUpdate update;
+  for (std::size_t i = 0; i < kEndpointBytes; ++i)
+    update.endpoint = update.endpoint << 8 | byte_at(bytes, i);
+  update.incarnation_tag = byte_at(bytes, kTagPlace);
+  update.in_flight = byte_at(bytes, kInFlightPlace);
+  update.signal = static_cast<LoadSignal>(signal);
+  std::uint8_t detail = byte_at(bytes, kDetailPlace);
+  if (update.signal == LoadSignal::served) update.service_time_ratio = detail / kRatioUnits;
+  if (update.signal == LoadSignal::sent) update.work_ms = detail * kWorkUnitMs;
+  return update;
+}
+
+std::uint64_t incarnation_of(const EndpointEntry& entry) {
+  auto started_us = static_cast<std::uint64_t>(std::max(0.0, entry.started_at) * 1000);
+  return mix(entry.endpoint ^ mix(started_us));
+}
+
+std::uint8_t incarnation_tag(const EndpointEntry& entry) {
+  return static_cast<std::uint8_t>(incarnation_of(entry));
+}
+
+void PeerLoad::reset(EndpointSlot slot) {
+  if (slot >= reports_.size()) reports_.resize(slot + std::size_t{1});
+  reports_[slot].clear();
+}
+
+void PeerLoad::set(EndpointSlot slot, int peer, double in_flight, Time until) {
+  std::vector<Report>& reports = reports_[slot];
+  std::erase_if(reports, [peer](const Report& report) { return report.peer == peer; });
+  if (in_flight > 0) reports.push_back({peer, in_flight, until});
+}
+
+double PeerLoad::sum(EndpointSlot slot, Time now) const {
+  double all = 0;
+  for (const Report& report : reports_[slot]) all += report.until > now ? report.in_flight : 0;
+  return all;
+}
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/request.h
@@ -0,0 +1,47 @@
+/// What the scheduler keeps of a request and of its attempts.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+#include "scheduler/events.h"
+
+namespace keelflow::scheduler {
+
+/// Whether an attempt may have had an effect.
+enum class DeliveryState : std::uint8_t { in_flight, not_delivered, may_have_run };
+
+struct Attempt {
+  EndpointId endpoint;
+  int zone;
+  int cell;
+  Time sent;
+  Time started = -1;  ///< below 0: not yet
+  DeliveryState delivery = DeliveryState::in_flight;
+  bool is_cancelled = false;
+
+  bool has_started() const { return started >= 0; }
+};
+
+struct Request {
+  RequestArrived arrival;
+  Time deadline = 0;
+  Time queued_since = 0;
+  std::uint64_t sequence = 0;  ///< in the order of arrival
+  double load = 1;             ///< slots or memory, whichever is more
+  double queue_cost = 0;       ///< what it is queued by, before calibration
+  bool is_overdue = false;
+  bool is_queued = false;
+  bool is_finished = false;
+  bool is_streaming = false;
+  bool is_within_quota = false;
+  std::vector<Attempt> attempts;
+
+  bool has_attempt_in_flight() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& a) { return a.delivery == DeliveryState::in_flight; });
+  }
+};
+
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/service_statistics.cpp
@@ -0,0 +1,72 @@
+/// Averages of running times and start delays.
+#include "scheduler/service_statistics.h"
+
+#include <algorithm>
+
+#include "scheduler/cost_calibration.h"
+#include "scheduler/hashing.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+constexpr double kEndpointStep = 0.2;  // EMA step of an endpoint's own ratio
+constexpr double kLeastRatio = 0.25;
+constexpr double kMostRatio = 4;
+constexpr double kStartDelays = 3;       // an attempt is late after so many usual delays
+constexpr double kStartTicks = 4;        // and so many ticks
+constexpr double kStartAllowanceMs = 10;  // and this
+
+}  // namespace
+
+void ServiceStatistics::resize(const Settings& settings) {
+  kinds_.resize(to_index(settings.kinds));
+  start_delays_.resize(to_index(settings.zones));
+}
+
+void ServiceStatistics::reset(EndpointSlot slot, int kind) {
+  if (slot >= ratios_.size()) ratios_.resize(slot + std::size_t{1}, 1);
+  ratios_[slot] = kinds_[to_index(kind)].service_time_ratio;
+}
+
+double ServiceStatistics::kind_service_time_ratio(int kind) const {
+  return kinds_[to_index(kind)].service_time_ratio;
+}
+
+void ServiceStatistics::record_ratio(EndpointSlot slot, int kind, double ratio,
+                                     bool is_warming_up) {
+  ratio = std::clamp(ratio, kLeastRatio, kMostRatio);
+  ratios_[slot] += kEndpointStep * (ratio - ratios_[slot]);
+  if (is_warming_up) return;
+  double& of_kind = kinds_[to_index(kind)].service_time_ratio;
+  of_kind += kAverageStep * (ratio - of_kind);
+}
+
+double ServiceStatistics::observed_cores(int kind) const {
+  return kinds_[to_index(kind)].observed_cores;
+}
+
+void ServiceStatistics::record_running(int kind, int attempts) {
+  double& cores = kinds_[to_index(kind)].observed_cores;
+  cores = std::max(cores, static_cast<double>(attempts));
+}
+
+void ServiceStatistics::record_run(double run_ms) {
+  mean_run_ = mean_run_ > 0 ? mean_run_ + kAverageStep * (run_ms - mean_run_) : run_ms;
+}
+
+double ServiceStatistics::start_timeout(int zone, double tick_ms) const {
+  return kStartDelays * start_delays_[to_index(zone)] + kStartTicks * tick_ms + kStartAllowanceMs;
+}
+
+void ServiceStatistics::record_start_delay(int zone, double delay_ms) {
+  double& usual = start_delays_[to_index(zone)];
+  usual = usual > 0 ? usual + kAverageStep * (delay_ms - usual) : delay_ms;
+}
+
+void ServiceStatistics::restore(const LearnedState& learned) {
+  for (std::size_t i = 0; i < kinds_.size(); ++i) kinds_[i] = learned.kinds.at(i);
+  start_delays_ = learned.fleet.start_delay_ms;
+  mean_run_ = learned.fleet.mean_run_ms;
+}
+
+}  // namespace keelflow::scheduler
--- a/scheduler/settings.cpp
+++ b/scheduler/settings.cpp
@@ -1,38 +1,48 @@
-// Rejects settings that cannot be; nothing here decides anything.
+/// Rejects settings that cannot be; nothing here decides anything.
+#include "scheduler/settings.h"
+
 #include <cmath>
 #include <stdexcept>
 #include <string>
 
-#include "scheduler/dispatcher.h"
-
 namespace keelflow::scheduler {
+namespace {
+
+void require(bool holds, const char* what) {
+  if (!holds)
+    throw std::invalid_argument(std::string("scheduler settings: ") + what);
+}
+
+bool is_amount(double value) {
+  return std::isfinite(value) && value >= 0;
+}
+
+void validate(const ClassSettings& settings, int kinds) {
+  for (double figure :
+       {settings.deduplication_window_ms, settings.latency_objective_ms,
+        settings.objective_runtime_factor, settings.priority_weight, settings.late_weight_fraction})
+    require(is_amount(figure), "a class figure is negative or not finite");
+  require(settings.kind >= -1 && settings.kind < kinds, "class kind out of range");
+}
+
+}  // namespace
 
-void validate(const Settings& s) {
-  auto need = [](bool ok, const char* what) {
-    if (!ok)
-      throw std::invalid_argument(std::string("scheduler settings: ") + what);
-  };
-  auto fine = [](double v) {
-    return std::isfinite(v) && v >= 0;
-  };
-  need(s.dispatchers > 0, "dispatchers must be positive");
-  need(s.rank >= 0 && s.rank < s.dispatchers, "rank out of range");
-  need(s.zones > 0 && s.zone >= 0 && s.zone < s.zones, "zone out of range");
-  need(s.kinds > 0, "no kinds");
-  need(!s.classes.empty(), "no classes");
-  need(s.max_attempts > 0, "try_limit must be positive");
-  for (const auto& c : s.classes) {
-    need(fine(c.deduplication_window_ms) && fine(c.latency_objective_ms) &&
-             fine(c.objective_runtime_factor) && fine(c.priority_weight) &&
-             fine(c.late_weight_fraction),
-         "a class figure is negative or not finite");
-    need(c.kind >= -1 && c.kind < s.kinds, "class kind out of range");
-  }
-  for (double v :
-       {s.tick_ms, s.poll_within_ms, s.max_retry_after_ms, s.drain_grace_ms, s.grace_to_answer_ms,
-        s.slow_start_initial_fraction, s.slow_start_ms, s.overload_multiple, s.overload_window_ms,
-        s.over_quota_weight, s.health_check_price})
-    need(fine(v), "a figure is negative or not finite");
+void validate(const Settings& settings) {
+  require(settings.dispatchers > 0, "dispatchers must be positive");
+  require(settings.rank >= 0 && settings.rank < settings.dispatchers, "rank out of range");
+  require(settings.zones > 0 && settings.zone >= 0 && settings.zone < settings.zones,
+          "zone out of range");
+  require(settings.kinds > 0, "no kinds");
+  require(!settings.classes.empty(), "no classes");
+  require(settings.max_attempts > 0, "max_attempts must be positive");
+  for (const ClassSettings& one : settings.classes)
+    validate(one, settings.kinds);
+  for (double figure :
+       {settings.tick_ms, settings.poll_within_ms, settings.max_retry_after_ms,
+        settings.drain_grace_ms, settings.grace_to_answer_ms, settings.slow_start_initial_fraction,
+        settings.slow_start_ms, settings.overload_multiple, settings.overload_window_ms,
+        settings.over_quota_weight, settings.health_check_price})
+    require(is_amount(figure), "a figure is negative or not finite");
 }
 
 }  // namespace keelflow::scheduler
--- /dev/null
+++ b/scheduler/slow_start.cpp
@@ -0,0 +1,84 @@
+/// The budget of endpoints that are warming up.
+#include "scheduler/slow_start.h"
+
+#include <algorithm>
+
+namespace keelflow::scheduler {
+namespace {
+
+// The fraction of the budget that is used: hints err, and rejected work counts too.
+constexpr double kBudgetMargin = 0.62;
+// A kind counts as faster than its size by so much at most.
+constexpr double kLeastWorkOfHint = 0.9;
+constexpr double kLeastKindRatio = 0.5;
+constexpr double kMostKindRatio = 4;
+// A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are believed.
+constexpr double kBelievedCores = 2;
+
+}  // namespace
+
+void SlowStart::reset(EndpointSlot slot) {
+  if (slot >= states_.size()) states_.resize(slot + std::size_t{1});
+  states_[slot] = {};
+  states_[slot].fraction = 1.0 / environment_.settings.dispatchers;
+}
+
+bool SlowStart::is_warming_up(EndpointSlot slot) const {
+  Time started_at = endpoints_.at(slot).entry.started_at;
+  return started_at > 0 && environment_.now < started_at + environment_.settings.slow_start_ms;
+}
+
+double SlowStart::weight(EndpointSlot slot) const {
+  if (!is_warming_up(slot)) return 1;
+  const Settings& settings = environment_.settings;
+  double least = settings.slow_start_initial_fraction;
+  double age = std::max(0.0, environment_.now - endpoints_.at(slot).entry.started_at);
+  return least + (1 - least) * age / settings.slow_start_ms;
+}
+
+double SlowStart::work_of(EndpointSlot slot, double hint, double calibrated_cost) const {
+  double ratio = std::clamp(statistics_.kind_service_time_ratio(endpoints_.at(slot).entry.kind),
+                            kLeastKindRatio, kMostKindRatio);
+  return std::max(kLeastWorkOfHint * hint, std::max(hint, calibrated_cost) * ratio);
+}
+
+double SlowStart::granted(const State& state) const {
+  return state.granted_until > environment_.now ? state.granted_ms : 0;
+}
+
+SlowStartBudget SlowStart::budget(EndpointSlot slot) const {
+  const Settings& settings = environment_.settings;
+  const State& state = states_[slot];
+  const EndpointEntry& entry = endpoints_.at(slot).entry;
+  double seen = statistics_.observed_cores(entry.kind);
+  double cores = std::clamp(entry.nominal_capacity, seen, kBelievedCores * seen);
+  double total = kBudgetMargin * settings.overload_multiple * weight(slot) * cores *
+                 settings.overload_window_ms;
+  double own = total * state.fraction -
+               state.sent.sum(environment_.now - settings.overload_window_ms);
+  return {own, granted(state), statistics_.mean_run()};
+}
+
+void SlowStart::spend(EndpointSlot slot, double work_ms) {
+  State& state = states_[slot];
+  double of_grant = std::min(work_ms, granted(state));
+  state.granted_ms -= of_grant;
+  record_sent(slot, environment_.now, work_ms - of_grant);
+}
+
+void SlowStart::record_sent(EndpointSlot slot, Time when, double work_ms) {
+  states_[slot].sent.add(when, work_ms,
+                         environment_.now - environment_.settings.overload_window_ms);
+}
+
+void SlowStart::on_grant(EndpointSlot slot, const SlowStartGrant& grant) {
+  if (!grant.is_received) return record_sent(slot, grant.until, grant.work_ms);
+  states_[slot].granted_ms = grant.work_ms;
+  states_[slot].granted_until = grant.until;
+}
+
+double SlowStart::work_in_window(EndpointSlot slot, Time now) const {
+  return states_[slot].sent.sum(now - environment_.settings.overload_window_ms);
+}
+
+}  // namespace keelflow::scheduler
--- a/scheduler/tenant_quota.h
+++ b/scheduler/tenant_quota.h
@@ -1,6 +1,7 @@
-/// Tenants' quotas: a token bucket for each.
+/// Tenants' quotas: a token bucket for each, split evenly over the dispatchers that are alive.
 #pragma once
 
+#include <memory>
 #include <vector>
 
 #include "scheduler/settings.h"
@@ -17,4 +18,24 @@
   std::vector<Bucket> buckets;
 };
 
+class TenantQuota {
+ public:
+  explicit TenantQuota(std::shared_ptr<TenantQuotas> quotas);
+
+  void resize(const Settings& settings);
+  /// Which dispatchers are alive, by rank.
+  void on_membership(const std::vector<bool>& is_alive);
+
+  /// Takes a token. False: the request is beyond its tenant's quota.
+  bool admit(int tenant, const Settings& settings, Time now);
+  /// The request goes elsewhere, where it asks again.
+  void refund(int tenant);
+
+ private:
+  bool has_bucket(int tenant) const;
+
+  std::shared_ptr<TenantQuotas> quotas_;
+  int dead_dispatchers_ = 0;
+};
+
 }  // namespace keelflow::scheduler
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "harness.h"
-#include "scheduler/peers.h"
+#include "scheduler/peer_load.h"
 
 namespace keelflow::scheduler {
 namespace {
@@ -500,7 +500,7 @@
   Shared b(Idempotency::non_idempotent);  // which a endpoint with faults is not tried with, however
                                           // long it was left alone
   for (int peer : {3, 4, 5})
-    b.hears(peer, 100, 0, LoadSignal::unreached);
+    b.hears(peer, 100, 0, LoadSignal::unreachable);
   EXPECT_EQ(b.sent_to_first(40), 0);
   b.advance(b.now + 10000);
   EXPECT_GT(b.sent_to_first(40), 0);
@@ -523,13 +523,13 @@
   ASSERT_EQ(b.sends.size(), 1u);
   ASSERT_EQ(b.tells.size(), 19u);  // with two endpoints all twenty are at home
   EXPECT_EQ(decode_load_update(b.tells[0].bytes)->endpoint, b.sends[0].endpoint);
-  EXPECT_EQ(decode_load_update(b.tells[0].bytes)->load, 1);
+  EXPECT_EQ(decode_load_update(b.tells[0].bytes)->in_flight, 1);
   b.now += 100;
   b.outcome(1, 0, AttemptResult::ok, true);
   ASSERT_EQ(b.tells.size(), 38u);
   LoadUpdate last = decode_load_update(b.tells.back().bytes).value();
-  EXPECT_EQ(last.load, 0);
-  EXPECT_EQ(last.sign, LoadSignal::served);
+  EXPECT_EQ(last.in_flight, 0);
+  EXPECT_EQ(last.signal, LoadSignal::served);
   EXPECT_NEAR(last.service_time_ratio, 1, 0.05);
 }
 
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -21,7 +21,7 @@
 #include "handover/knowledge_form.h"
 #include "net/event_loop.h"
 #include "recording.h"
-#include "scheduler/peers.h"
+#include "scheduler/peer_load.h"
 
 namespace keelflow::replay {
 namespace {
@@ -67,11 +67,11 @@
     for (int i = 0; i < 3; ++i) {
       scheduler::LoadUpdate note;
       note.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
-      note.life = static_cast<std::uint8_t>(draw.bits());
-      note.load = i == 2 ? 1000 : draw.between(0, 12);
-      note.sign = static_cast<scheduler::LoadSignal>(sign);
+      note.incarnation_tag = static_cast<std::uint8_t>(draw.bits());
+      note.in_flight = i == 2 ? 1000 : draw.between(0, 12);
+      note.signal = static_cast<scheduler::LoadSignal>(sign);
       note.service_time_ratio = draw.between(0.1, 9);
-      note.work = draw.between(0, 20000);
+      note.work_ms = draw.between(0, 20000);
       expect_message("load-update-" + std::to_string(sign) + std::to_string(i),
                      hex_of(scheduler::encode(note)));
     }
@@ -80,8 +80,8 @@
     auto read = scheduler::decode_load_update(bytes);
     ASSERT_TRUE(read);
     // The last byte is read of two signals only.
-    bool has_detail =
-        read->sign == scheduler::LoadSignal::served || read->sign == scheduler::LoadSignal::sent;
+    bool has_detail = read->signal == scheduler::LoadSignal::served ||
+                      read->signal == scheduler::LoadSignal::sent;
     std::size_t read_bytes = has_detail ? bytes.size() : bytes.size() - 1;
     EXPECT_EQ(hex_of(scheduler::encode(*read).substr(0, read_bytes)),
               hex_of(bytes.substr(0, read_bytes)));
