--- a/node/config/config.cpp
+++ b/node/config/config.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "simulator_adapter/settings.h"
+#include "simulator_adapter/settings_decoder.h"
 
 namespace keelflow {
 namespace {
--- a/scheduler/attempt_tracker.cpp
+++ b/scheduler/attempt_tracker.cpp
@@ -6,8 +6,9 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kSilentRuns = 4;    // after so many mean runs without a start a request is not queueing there
-constexpr double kFaultRuns = 2;     // after so many the endpoint looks faulty
+constexpr double kSilentRuns =
+    4;  // after so many mean runs without a start a request is not queueing there
+constexpr double kFaultRuns = 2;        // after so many the endpoint looks faulty
 constexpr double kRecheckTimeouts = 4;  // a late start is looked at again after so many timeouts
 constexpr double kRecheckRuns = 0.5;    // or so many mean runs
 
@@ -41,10 +42,11 @@
   queue_.remove(request);
   RequestId id = request.arrival.request;
   const EndpointEntry entry = endpoints_.at(slot).entry;
-  double work = slow_start_.work_of(slot, request.arrival.hint,
-                                    calibration_.calibrated_cost(request));
+  double work =
+      slow_start_.work_of(slot, request.arrival.hint, calibration_.calibrated_cost(request));
   bool is_warming_up = slow_start_.is_warming_up(slot);
-  if (is_warming_up) slow_start_.spend(slot, work);
+  if (is_warming_up)
+    slow_start_.spend(slot, work);
   endpoints_.record_send(slot, request.load);
   availability_.refresh(slot);
   // Of one that is warming up the end of an attempt is update enough.
@@ -52,7 +54,8 @@
     feedback_.notify(slot, LoadSignal::sent, 1, work);
   request.attempts.push_back({entry.endpoint, entry.zone, entry.cell, environment_.now});
   environment_.act(SendAttempt{id, entry.endpoint, 0});
-  if (!environment_.settings.reports_start) return;
+  if (!environment_.settings.reports_start)
+    return;
   double timeout = statistics_.start_timeout(entry.zone, environment_.settings.tick_ms);
   environment_.timers.add(environment_.now + timeout, TimerPurpose::late_start, id,
                           static_cast<int>(request.attempts.size()) - 1);
@@ -60,16 +63,19 @@
 
 void AttemptTracker::on_started(const AttemptStarted& event) {
   Attempt* attempt = requests_.find_in_flight(event.request, event.attempt);
-  if (!attempt || attempt->has_started()) return;
+  if (!attempt || attempt->has_started())
+    return;
   attempt->started = environment_.now;
   auto slot = endpoints_.find(attempt->endpoint);
-  if (!slot) return;
+  if (!slot)
+    return;
   int running = endpoints_.record_start(*slot);
   if (!slow_start_.is_warming_up(*slot))
     statistics_.record_running(endpoints_.at(*slot).entry.kind, running);
   feedback_.clear_outlier_signs(*slot);
   double delay = environment_.now - attempt->sent;
-  if (delay > statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms)) return;
+  if (delay > statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms))
+    return;
   statistics_.record_start_delay(attempt->zone, delay);
   congestion_.record_timely_start();
   feedback_.on_timely_start(*slot);
@@ -77,16 +83,18 @@
 
 void AttemptTracker::on_finished(const AttemptFinished& event) {
   Attempt* attempt = requests_.find_in_flight(event.request, event.attempt);
-  if (!attempt) return;
+  if (!attempt)
+    return;
   Request& request = requests_.at(event.request);
-  attempt->delivery = has_never_run(event.result) ? DeliveryState::not_delivered
-                                                  : DeliveryState::may_have_run;
+  attempt->delivery =
+      has_never_run(event.result) ? DeliveryState::not_delivered : DeliveryState::may_have_run;
   if (auto slot = endpoints_.find(attempt->endpoint))
     release_endpoint(*slot, request, *attempt, event.result);
-  if (event.request_finished && !request.is_finished) lifecycle_.finish(request);
-  bool is_too_late =
-      event.result == AttemptResult::timeout || environment_.now >= request.deadline;
-  if (is_too_late) lifecycle_.answer(request);
+  if (event.request_finished && !request.is_finished)
+    lifecycle_.finish(request);
+  bool is_too_late = event.result == AttemptResult::timeout || environment_.now >= request.deadline;
+  if (is_too_late)
+    lifecycle_.answer(request);
   if (!request.is_finished && !request.has_attempt_in_flight())
     lifecycle_.retry_or_answer(request);
   requests_.forget_if_done(event.request);
@@ -95,10 +103,12 @@
 void AttemptTracker::release_endpoint(EndpointSlot slot, const Request& request,
                                       const Attempt& attempt, AttemptResult result) {
   endpoints_.record_end(slot, request.load, attempt.has_started());
-  // An endpoint that fails at once looks empty: starting an attempt proves nothing of it, only serving one does.
+  // An endpoint that fails at once looks empty: starting an attempt proves nothing of it, only
+  // serving one does.
   LoadSignal signal = signal_of(result);
   bool is_served = signal == LoadSignal::served;
-  if (signal != LoadSignal::none && !is_served) congestion_.record_congested();
+  if (signal != LoadSignal::none && !is_served)
+    congestion_.record_congested();
   feedback_.notify(slot, signal, is_served ? learn(slot, request, attempt) : 1);
   feedback_.apply(slot, signal);
   availability_.refresh(slot);
@@ -115,17 +125,20 @@
   return ratio;
 }
 
-// With a key the attempt may be fetching. Where one attempt at a time is allowed it first loses its place, so only
-// after a long silence.
+// With a key the attempt may be fetching. Where one attempt at a time is allowed it first loses its
+// place, so only after a long silence.
 bool AttemptTracker::may_cancel_silent(const Request& request, double waited) const {
   const Settings& settings = environment_.settings;
   bool may_be_followed = request.attempts.size() + 1 < to_index(settings.max_attempts);
-  if (!settings.cancel || request.arrival.key != 0 || !may_be_followed) return false;
-  if (settings.concurrent_attempts) return true;
+  if (!settings.cancel || request.arrival.key != 0 || !may_be_followed)
+    return false;
+  if (settings.concurrent_attempts)
+    return true;
   return !congestion_.is_high() && waited > kSilentRuns * statistics_.mean_run();
 }
 
-// Cancelled it counts as one that may have run; what may follow then is asked now, while it is in flight.
+// Cancelled it counts as one that may have run; what may follow then is asked now, while it is in
+// flight.
 bool AttemptTracker::has_alternative(const Request& request, Attempt& attempt) {
   attempt.delivery = DeliveryState::may_have_run;
   bool found = selector_.select(request).has_value();
@@ -135,7 +148,8 @@
 
 void AttemptTracker::on_late_start(RequestId id, int number) {
   Attempt* attempt = requests_.find_in_flight(id, number);
-  if (!attempt || attempt->has_started() || attempt->is_cancelled) return;
+  if (!attempt || attempt->has_started() || attempt->is_cancelled)
+    return;
   Request& request = requests_.at(id);
   double waited = environment_.now - attempt->sent;
   if (auto slot = endpoints_.find(attempt->endpoint)) {
--- a/scheduler/attempt_tracker.h
+++ b/scheduler/attempt_tracker.h
@@ -1,5 +1,5 @@
-/// Attempts from the send to the end: what is counted for them, what they teach, and what becomes of one that does not
-/// start.
+/// Attempts from the send to the end: what is counted for them, what they teach, and what becomes
+/// of one that does not start.
 #pragma once
 
 #include "scheduler/congestion.h"
--- a/scheduler/availability.h
+++ b/scheduler/availability.h
@@ -1,4 +1,5 @@
-/// Whether an endpoint can be sent anything now, and with what room; keeps the indexes of the endpoint table exact.
+/// Whether an endpoint can be sent anything now, and with what room; keeps the indexes of the
+/// endpoint table exact.
 #pragma once
 
 #include "scheduler/endpoint_health.h"
--- a/scheduler/congestion.h
+++ b/scheduler/congestion.h
@@ -1,5 +1,5 @@
-/// How congested the fleet looks: an EMA of the latest signs, of which late starts and rejections count 1 and starts in
-/// time 0.
+/// How congested the fleet looks: an EMA of the latest signs, of which late starts and rejections
+/// count 1 and starts in time 0.
 #pragma once
 
 #include "scheduler/cost_calibration.h"
--- a/scheduler/cost_calibration.cpp
+++ b/scheduler/cost_calibration.cpp
@@ -48,7 +48,8 @@
 }
 
 void CostCalibration::restore(const std::vector<LearnedState::Calibration>& learned) {
-  for (std::size_t i = 0; i < classes_.size(); ++i) classes_[i] = learned.at(i);
+  for (std::size_t i = 0; i < classes_.size(); ++i)
+    classes_[i] = learned.at(i);
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/cost_calibration.h
+++ b/scheduler/cost_calibration.h
@@ -1,5 +1,5 @@
-/// DriftSched: the calibrated cost of a request is its hint times a factor that each class learns, the EMA of measured
-/// over hinted running times.
+/// DriftSched: the calibrated cost of a request is its hint times a factor that each class learns,
+/// the EMA of measured over hinted running times.
 #pragma once
 
 #include <vector>
--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -1,4 +1,5 @@
-/// Gives each event to the part that owns it, runs timers, and releases queued requests to endpoints.
+/// Gives each event to the part that owns it, runs timers, and releases queued requests to
+/// endpoints.
 #include "scheduler/dispatcher.h"
 
 #include <algorithm>
@@ -10,9 +11,11 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Of a class so many requests at the head of its queue are tried; the others wait until something changes.
+// Of a class so many requests at the head of its queue are tried; the others wait until something
+// changes.
 constexpr int kTriedOfClass = 3;
-constexpr double kReleaseTicks = 10;  // ticks after which a sample that found no endpoint is drawn again
+constexpr double kReleaseTicks =
+    10;  // ticks after which a sample that found no endpoint is drawn again
 
 Settings validated(const Settings& settings) {
   validate(settings);
@@ -31,9 +34,11 @@
     environment.now = std::max(environment.now, now);
     environment.actions = &out;
     std::visit([this](const auto& e) { on(e); }, event);
-    while (environment.timers.is_due(environment.now)) on_due(environment.timers.pop());
+    while (environment.timers.is_due(environment.now))
+      on_due(environment.timers.pop());
     release();
-    if (!environment.timers.needs_arming()) return;
+    if (!environment.timers.needs_arming())
+      return;
     Time when = environment.timers.arm();
     environment.act(SetTimer{environment.timers.id(), when});
   }
@@ -77,7 +82,8 @@
       case TimerPurpose::late_start:
         return attempts.on_late_start(timer.subject, timer.attempt);
       case TimerPurpose::reindex:
-        if (auto slot = endpoints.find(timer.subject)) availability.refresh(*slot);
+        if (auto slot = endpoints.find(timer.subject))
+          availability.refresh(*slot);
         return;
       case TimerPurpose::poll_list:
         return list_tracker.on_poll_timer();
@@ -88,10 +94,13 @@
 
   // Smallest calibrated cost over all classes first. Under congestion the overdue wait.
   void release() {
-    if (!may_release) return;
+    if (!may_release)
+      return;
     release(QueueTier::in_time);
-    if (!congestion.is_high()) release(QueueTier::overdue);
-    if (queue.size() == 0 || next_release > environment.now) return;
+    if (!congestion.is_high())
+      release(QueueTier::overdue);
+    if (queue.size() == 0 || next_release > environment.now)
+      return;
     next_release = environment.now + kReleaseTicks * environment.settings.tick_ms;
     congestion.fade();
     environment.timers.add(next_release, TimerPurpose::release);
@@ -101,7 +110,8 @@
     std::vector<bool> blocked(environment.settings.classes.size(), false);
     while (queue.size() > 0) {
       auto cheapest = queue.cheapest_class(tier, blocked, calibration);
-      if (!cheapest) return;
+      if (!cheapest)
+        return;
       blocked[to_index(*cheapest)] = !release_one(queue.of(*cheapest, tier));
     }
   }
@@ -111,7 +121,8 @@
     for (auto it = of_class.begin(); it != of_class.end() && tried < kTriedOfClass; ++it, ++tried) {
       Request& request = requests.at(it->request);
       auto slot = selector.select(request);
-      if (!slot) continue;
+      if (!slot)
+        continue;
       attempts.send(request, *slot);
       return true;
     }
@@ -132,8 +143,8 @@
   SlowStart slow_start{environment, endpoints, statistics};
   Availability availability{environment, endpoints, health, peer_load, subset, slow_start};
   RetryPolicy retry_policy{environment, endpoints, statistics};
-  EndpointSelector selector{environment,  endpoints,    health,      slow_start, availability,
-                            subset,       retry_policy, calibration, statistics, congestion};
+  EndpointSelector selector{environment, endpoints,    health,      slow_start, availability,
+                            subset,      retry_policy, calibration, statistics, congestion};
   EndpointFeedback feedback{environment, endpoints,  health, peer_load,
                             statistics,  slow_start, subset, availability};
   RequestLifecycle lifecycle{environment, requests, queue,   retry_policy,
@@ -163,7 +174,9 @@
   return impl_->calibration.factor(class_index);
 }
 
-std::size_t Dispatcher::queued_requests() const { return impl_->queue.size(); }
+std::size_t Dispatcher::queued_requests() const {
+  return impl_->queue.size();
+}
 
 LearnedState Dispatcher::learned_state(Time now) const {
   return impl_->state_transfer.snapshot(now);
@@ -172,13 +185,15 @@
 SlowStartBudget Dispatcher::slow_start_budget(EndpointId endpoint, Time now) const {
   impl_->environment.now = std::max(impl_->environment.now, now);
   auto slot = impl_->endpoints.find(endpoint);
-  if (!slot || !impl_->slow_start.is_warming_up(*slot)) return {};
+  if (!slot || !impl_->slow_start.is_warming_up(*slot))
+    return {};
   return impl_->slow_start.budget(*slot);
 }
 
 bool Dispatcher::is_ejected(EndpointId endpoint, Time now) const {
   auto slot = impl_->endpoints.find(endpoint);
-  if (!slot || impl_->endpoints.at(*slot).entry.state != EndpointState::ready) return false;
+  if (!slot || impl_->endpoints.at(*slot).entry.state != EndpointState::ready)
+    return false;
   return now < impl_->health.ejected_until(*slot) && impl_->health.looks_faulty(*slot);
 }
 
--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -44,7 +44,9 @@
   }
 }
 
-void EndpointFeedback::on_timely_start(EndpointSlot slot) { record_success(slot); }
+void EndpointFeedback::on_timely_start(EndpointSlot slot) {
+  record_success(slot);
+}
 
 void EndpointFeedback::on_late_start(EndpointSlot slot, bool is_fault) {
   eject(slot, is_fault);
@@ -56,8 +58,10 @@
   const EndpointRecord& record = endpoints_.at(slot);
   std::string message = encode({record.entry.endpoint, incarnation_tag(record.entry),
                                 record.in_flight, signal, service_time_ratio, work_ms});
-  if (has_sibling_) environment_.act(SendPeerMessage{environment_.settings.rank, message});
-  if (!subset_.shares_load()) return;
+  if (has_sibling_)
+    environment_.act(SendPeerMessage{environment_.settings.rank, message});
+  if (!subset_.shares_load())
+    return;
   for (int peer : subset_.entry(slot, slow_start_.is_warming_up(slot)).peers)
     environment_.act(SendPeerMessage{peer, message});
 }
@@ -74,13 +78,15 @@
 void EndpointFeedback::on_peer_message(const PeerMessage& message) {
   auto update = decode_load_update(message.bytes);
   auto slot = update ? endpoints_.find(update->endpoint) : std::nullopt;
-  if (!slot || update->incarnation_tag != incarnation_tag(endpoints_.at(*slot).entry)) return;
+  if (!slot || update->incarnation_tag != incarnation_tag(endpoints_.at(*slot).entry))
+    return;
   bool was_full = availability_.is_full(*slot);
   Time report_until = environment_.now + kReportLifetimeMs;
   peer_load_.set(*slot, message.peer, update->in_flight, report_until);
   apply_details(*slot, *update, message.peer);
   apply(*slot, update->signal);
-  // All who wait for a slot are notified of it at once: each gives the others a moment to fill it first.
+  // All who wait for a slot are notified of it at once: each gives the others a moment to fill it
+  // first.
   if (was_full)
     health_.eject_until(*slot, environment_.now + kYieldMs * environment_.random());
   environment_.timers.add(was_full ? health_.ejected_until(*slot) : report_until,
--- a/scheduler/endpoint_feedback.h
+++ b/scheduler/endpoint_feedback.h
@@ -1,5 +1,5 @@
-/// What attempts and peers say of an endpoint, applied to its health and load, and passed on to the dispatchers that share
-/// the endpoint.
+/// What attempts and peers say of an endpoint, applied to its health and load, and passed on to the
+/// dispatchers that share the endpoint.
 #pragma once
 
 #include "scheduler/availability.h"
@@ -14,9 +14,9 @@
 
 class EndpointFeedback {
  public:
-  EndpointFeedback(Environment& environment, const EndpointTable& endpoints,
-                   EndpointHealth& health, PeerLoad& peer_load, ServiceStatistics& statistics,
-                   SlowStart& slow_start, const Subset& subset, Availability& availability)
+  EndpointFeedback(Environment& environment, const EndpointTable& endpoints, EndpointHealth& health,
+                   PeerLoad& peer_load, ServiceStatistics& statistics, SlowStart& slow_start,
+                   const Subset& subset, Availability& availability)
       : environment_(environment),
         endpoints_(endpoints),
         health_(health),
@@ -35,7 +35,8 @@
   /// An attempt is late to start; `is_fault`: by more than a busy endpoint explains.
   void on_late_start(EndpointSlot slot, bool is_fault);
 
-  /// Notifies the sibling process, and the dispatchers that share the endpoint. `detail`: see LoadUpdate.
+  /// Notifies the sibling process, and the dispatchers that share the endpoint. `detail`: see
+  /// LoadUpdate.
   void notify(EndpointSlot slot, LoadSignal signal, double service_time_ratio = 1,
               double work_ms = 0) const;
   void on_peer_message(const PeerMessage& message);
--- a/scheduler/endpoint_health.cpp
+++ b/scheduler/endpoint_health.cpp
@@ -7,19 +7,21 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kLimitDecrease = 0.7;   // multiplicative decrease of the concurrency limit
-constexpr double kEjectionRuns = 0.1;    // how long an overloaded endpoint is ejected, in mean runs
+constexpr double kLimitDecrease = 0.7;  // multiplicative decrease of the concurrency limit
+constexpr double kEjectionRuns = 0.1;   // how long an overloaded endpoint is ejected, in mean runs
 constexpr double kLeastEjectionTicks = 4;
-constexpr int kMostOutlierSigns = 3;     // doublings of that while it looks faulty
-constexpr int kMostFailures = 6;         // and while its attempts fail, one after another
-// The time is drawn from this fraction of it on, over this span: those who left it together come back apart.
+constexpr int kMostOutlierSigns = 3;  // doublings of that while it looks faulty
+constexpr int kMostFailures = 6;      // and while its attempts fail, one after another
+// The time is drawn from this fraction of it on, over this span: those who left it together come
+// back apart.
 constexpr double kLeastDrawn = 0.75;
 constexpr double kDrawnSpan = 0.5;
 
 }  // namespace
 
 void EndpointHealth::reset(EndpointSlot slot) {
-  if (slot >= health_.size()) health_.resize(slot + std::size_t{1});
+  if (slot >= health_.size())
+    health_.resize(slot + std::size_t{1});
   health_[slot] = {};
 }
 
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -1,5 +1,5 @@
-/// Health of endpoints as this dispatcher sees it: an adaptive concurrency limit, detection of outliers, and their ejection
-/// for a time that doubles.
+/// Health of endpoints as this dispatcher sees it: an adaptive concurrency limit, detection of
+/// outliers, and their ejection for a time that doubles.
 #pragma once
 
 #include <vector>
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -1,4 +1,5 @@
-/// Entries of the endpoint list, subsets and slow-start shares, each applied to the state of its endpoint.
+/// Entries of the endpoint list, subsets and slow-start shares, each applied to the state of its
+/// endpoint.
 #include "scheduler/endpoint_list_tracker.h"
 
 #include <algorithm>
@@ -6,8 +7,8 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Polls are spread by the number of dispatchers and by failures, but never wider than this fraction of what
-// `poll_within_ms` requires.
+// Polls are spread by the number of dispatchers and by failures, but never wider than this fraction
+// of what `poll_within_ms` requires.
 constexpr double kMostSpread = 0.2;
 constexpr double kSpreadPerDispatcherMs = 40;
 constexpr double kFirstBackoffMs = 200;
@@ -25,19 +26,25 @@
     is_polling_ = false;
     poll_backoff_ms_ = 0;
   }
-  if (list.scope != ListScope::delta) remove_missing(list);
-  for (const EndpointEntry& entry : list.entries) apply(entry);
-  if (list.scope == ListScope::cached) schedule_poll();
+  if (list.scope != ListScope::delta)
+    remove_missing(list);
+  for (const EndpointEntry& entry : list.entries)
+    apply(entry);
+  if (list.scope == ListScope::cached)
+    schedule_poll();
 }
 
 void EndpointListTracker::remove_missing(const EndpointList& complete) {
   std::set<EndpointId> missing = endpoints_.listed();
-  for (const EndpointEntry& entry : complete.entries) missing.erase(entry.endpoint);
-  for (EndpointId id : missing) endpoints_.remove(id);
+  for (const EndpointEntry& entry : complete.entries)
+    missing.erase(entry.endpoint);
+  for (EndpointId id : missing)
+    endpoints_.remove(id);
 }
 
 bool EndpointListTracker::is_same_incarnation(const EndpointEntry& entry) const {
-  if (!endpoints_.is_listed(entry.endpoint)) return false;
+  if (!endpoints_.is_listed(entry.endpoint))
+    return false;
   const EndpointEntry& known = endpoints_.at(*endpoints_.find(entry.endpoint)).entry;
   return known.started_at == entry.started_at && known.zone == entry.zone &&
          known.kind == entry.kind && known.cell == entry.cell;
@@ -49,8 +56,7 @@
                         entry.kind < settings.kinds;
   if (entry.state == EndpointState::gone || !is_known_place)
     return endpoints_.remove(entry.endpoint);
-  EndpointSlot slot =
-      is_same_incarnation(entry) ? *endpoints_.find(entry.endpoint) : add(entry);
+  EndpointSlot slot = is_same_incarnation(entry) ? *endpoints_.find(entry.endpoint) : add(entry);
   endpoints_.set_state(slot, entry.state);
   availability_.refresh(slot);
 }
@@ -75,7 +81,8 @@
   for (const SubsetEntry& entry : event.endpoints) {
     own += entry.is_own ? 1 : 0;
     auto slot = endpoints_.find(entry.endpoint);
-    if (!slot) continue;
+    if (!slot)
+      continue;
     subset_.set(*slot, entry);
     availability_.refresh(*slot);
   }
@@ -86,7 +93,8 @@
 void EndpointListTracker::on_slow_start_shares(const SlowStartShares& event) {
   for (const SlowStartShare& share : event.endpoints) {
     auto slot = endpoints_.find(share.subset.endpoint);
-    if (!slot || endpoints_.at(*slot).entry.started_at != share.started_at) continue;
+    if (!slot || endpoints_.at(*slot).entry.started_at != share.started_at)
+      continue;
     subset_.set_warming_up(*slot, share.subset);
     slow_start_.set_fraction(*slot, share.fraction);
     availability_.refresh(*slot);
@@ -95,13 +103,15 @@
 
 void EndpointListTracker::on_slow_start_grant(const SlowStartGrant& grant) {
   auto slot = endpoints_.find(grant.endpoint);
-  if (!slot || endpoints_.at(*slot).entry.started_at != grant.started_at) return;
+  if (!slot || endpoints_.at(*slot).entry.started_at != grant.started_at)
+    return;
   slow_start_.on_grant(*slot, grant);
 }
 
 void EndpointListTracker::schedule_poll() {
   const Settings& settings = environment_.settings;
-  if (!settings.polls_list) return;
+  if (!settings.polls_list)
+    return;
   double most = kMostSpread * settings.poll_within_ms;
   double spread =
       std::min(most, kSpreadPerDispatcherMs * (settings.dispatchers - 1) + poll_backoff_ms_);
@@ -111,7 +121,8 @@
 }
 
 void EndpointListTracker::on_poll_timer() {
-  if (is_subscribed_ || is_polling_) return;
+  if (is_subscribed_ || is_polling_)
+    return;
   is_polling_ = true;
   environment_.act(PollEndpointList{});
 }
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -11,11 +11,12 @@
 constexpr int kCandidates = 4;  // sampled endpoints with capacity that are compared
 constexpr int kDraws = 16;      // draws at most to find them
 
-constexpr double kOverflowRuns = 0.1;   // mean runs that a request waits for its subset
-constexpr double kCongestionWait = 4;   // under congestion it waits up to so many times longer
+constexpr double kOverflowRuns = 0.1;  // mean runs that a request waits for its subset
+constexpr double kCongestionWait = 4;  // under congestion it waits up to so many times longer
 
-constexpr int kKeyProbes = 16;      // ring look-ups that order a key's endpoints
-constexpr double kKeySpread = 2.5;  // endpoints a key is given, for each that its traffic would fill
+constexpr int kKeyProbes = 16;  // ring look-ups that order a key's endpoints
+constexpr double kKeySpread =
+    2.5;  // endpoints a key is given, for each that its traffic would fill
 constexpr double kFetchRuns = 1.5;  // a request waits so many mean runs for one endpoint more
 
 }  // namespace
@@ -23,11 +24,13 @@
 void EndpointSelector::on_settings() {
   reserved_kinds_.assign(to_index(environment_.settings.kinds), false);
   for (const ClassSettings& of_class : environment_.settings.classes)
-    if (of_class.kind >= 0) reserved_kinds_[to_index(of_class.kind)] = true;
+    if (of_class.kind >= 0)
+      reserved_kinds_[to_index(of_class.kind)] = true;
 }
 
 std::optional<EndpointSlot> EndpointSelector::select(const Request& request) {
-  for (const Attempt& attempt : request.attempts) tried_.insert(attempt.endpoint);
+  for (const Attempt& attempt : request.attempts)
+    tried_.insert(attempt.endpoint);
   Selected selected = tried_.empty() ? std::nullopt : select_any(request);
   tried_.clear();
   return selected ? selected : select_any(request);
@@ -44,7 +47,8 @@
   for (bool spares_reserved : {true, false}) {
     Selected selected = request.arrival.key != 0 ? select_by_key(request, spares_reserved)
                                                  : select_near_subset(request, spares_reserved);
-    if (selected) return selected;
+    if (selected)
+      return selected;
   }
   return std::nullopt;
 }
@@ -52,7 +56,8 @@
 // A kind that some class cannot do without is spared for it while other kinds have capacity.
 bool EndpointSelector::may_use_kind(const Request& request, int kind, bool spares_reserved) const {
   int needed = environment_.class_settings(request.arrival.class_index).kind;
-  if (needed >= 0) return needed == kind;
+  if (needed >= 0)
+    return needed == kind;
   return !spares_reserved || !reserved_kinds_[to_index(kind)];
 }
 
@@ -61,8 +66,8 @@
                                                    EndpointSlot slot) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
   double run = calibration_.calibrated_cost(request) * relative_slowness(slot);
-  return run <= settings.latency_objective_ms +
-                    settings.objective_runtime_factor * request.arrival.hint;
+  return run <=
+         settings.latency_objective_ms + settings.objective_runtime_factor * request.arrival.hint;
 }
 
 bool EndpointSelector::is_usable(const Request& request, EndpointSlot slot) const {
@@ -71,30 +76,39 @@
   if (settings.idempotency == Idempotency::non_idempotent && health_.fails_repeatedly(slot))
     return false;
   bool is_warming_up = slow_start_.is_warming_up(slot);
-  if (is_warming_up && !is_in_time_while_warming_up(request, slot)) return false;
-  if (tried_.contains(endpoints_.at(slot).entry.endpoint)) return false;
-  if (!availability_.has_capacity_for(request, slot)) return false;
-  if (!retry_policy_.may_send(request, slot)) return false;
+  if (is_warming_up && !is_in_time_while_warming_up(request, slot))
+    return false;
+  if (tried_.contains(endpoints_.at(slot).entry.endpoint))
+    return false;
+  if (!availability_.has_capacity_for(request, slot))
+    return false;
+  if (!retry_policy_.may_send(request, slot))
+    return false;
   if (is_warming_up) {
-    double work = slow_start_.work_of(slot, request.arrival.hint,
-                                      calibration_.calibrated_cost(request));
-    if (!slow_start_.has_budget_for(slot, work)) return false;
+    double work =
+        slow_start_.work_of(slot, request.arrival.hint, calibration_.calibrated_cost(request));
+    if (!slow_start_.has_budget_for(slot, work))
+      return false;
   }
   return endpoints_.is_available(slot);
 }
 
-// An endpoint that is slower than its calibrated costs counts its slots so much dearer. Not for requests with keys
-// (running times include fetches too), nor for the first at one that is warming up: it has to be tried.
+// An endpoint that is slower than its calibrated costs counts its slots so much dearer. Not for
+// requests with keys (running times include fetches too), nor for the first at one that is warming
+// up: it has to be tried.
 double EndpointSelector::cost_of(const Request& request, EndpointSlot slot) const {
   double occupied = availability_.occupied(slot);
-  if (request.arrival.key != 0) return occupied;
-  if (!endpoints_.at(slot).was_used && slow_start_.is_warming_up(slot)) return occupied;
+  if (request.arrival.key != 0)
+    return occupied;
+  if (!endpoints_.at(slot).was_used && slow_start_.is_warming_up(slot))
+    return occupied;
   return (occupied + 1) * std::max(1.0, relative_slowness(slot));
 }
 
 void EndpointSelector::keep_cheaper(const Request& request, Selected& best,
                                     EndpointSlot candidate) const {
-  if (!best || cost_of(request, candidate) < cost_of(request, *best)) best = candidate;
+  if (!best || cost_of(request, candidate) < cost_of(request, *best))
+    best = candidate;
 }
 
 std::optional<EndpointSlot> EndpointSelector::select_in_cell(const Request& request,
@@ -102,19 +116,22 @@
   Selected best;
   for (EndpointId id : endpoints_.in_cell(cell)) {
     auto slot = endpoints_.find(id);
-    if (slot && is_usable(request, *slot)) keep_cheaper(request, best, *slot);
+    if (slot && is_usable(request, *slot))
+      keep_cheaper(request, best, *slot);
   }
   return best;
 }
 
-// Where dispatchers are many each samples its subset first. A request that has waited a while for those goes anywhere.
+// Where dispatchers are many each samples its subset first. A request that has waited a while for
+// those goes anywhere.
 std::optional<EndpointSlot> EndpointSelector::select_near_subset(const Request& request,
                                                                  bool spares_reserved) {
   if (auto selected = sample(&EndpointTable::available_in_subset, request, spares_reserved))
     return selected;
   double wait = kOverflowRuns * statistics_.mean_run() *
                 (1 + kCongestionWait * congestion_.level() * (1 - subset_.fraction()));
-  if (request.is_queued && environment_.now - request.queued_since < wait) return std::nullopt;
+  if (request.is_queued && environment_.now - request.queued_since < wait)
+    return std::nullopt;
   return sample(&EndpointTable::available, request, spares_reserved);
 }
 
@@ -124,16 +141,20 @@
     return may_use_kind(request, kind, spares_reserved) ? (endpoints_.*available)(kind).size() : 0;
   };
   std::size_t total = 0;
-  for (int kind = 0; kind < environment_.settings.kinds; ++kind) total += size_of(kind);
-  if (total == 0) return std::nullopt;
+  for (int kind = 0; kind < environment_.settings.kinds; ++kind)
+    total += size_of(kind);
+  if (total == 0)
+    return std::nullopt;
   Selected best;
   int candidates = 0;
   for (int draws = 0; candidates < kCandidates && draws < kDraws; ++draws) {
     auto place = static_cast<std::size_t>(environment_.random() * static_cast<double>(total));
     int kind = 0;
-    for (; place >= size_of(kind); ++kind) place -= size_of(kind);
+    for (; place >= size_of(kind); ++kind)
+      place -= size_of(kind);
     EndpointSlot slot = (endpoints_.*available)(kind)[place];
-    if (!is_usable(request, slot)) continue;
+    if (!is_usable(request, slot))
+      continue;
     ++candidates;
     keep_cheaper(request, best, slot);
   }
@@ -145,12 +166,14 @@
   std::vector<RingPoint> points;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind) {
     const EndpointTable::Ring& ring = endpoints_.ring(kind);
-    if (!may_use_kind(request, kind, spares_reserved) || ring.empty()) continue;
+    if (!may_use_kind(request, kind, spares_reserved) || ring.empty())
+      continue;
     std::uint64_t probe = request.arrival.key;
     for (int i = 0; i < kKeyProbes; ++i) {
       probe = mix(probe);
       auto it = ring.lower_bound(probe);
-      if (it == ring.end()) it = ring.begin();
+      if (it == ring.end())
+        it = ring.begin();
       EndpointId endpoint = endpoints_.at(it->second).entry.endpoint;
       points.push_back({it->first - probe, endpoint, it->second});
     }
@@ -169,8 +192,8 @@
   return ready;
 }
 
-// As many as the key's part of the traffic needs, and one more each time that it has waited about as long as a fetch
-// takes.
+// As many as the key's part of the traffic needs, and one more each time that it has waited about
+// as long as a fetch takes.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
   double fetch = kFetchRuns * statistics_.mean_run() + environment_.settings.tick_ms;
@@ -179,8 +202,9 @@
   return std::ceil(needed) + waited;
 }
 
-// A request with a key is sampled among its key's own endpoints, the same at every dispatcher: the hash's neighbours on
-// the ring. Others would have to fetch what it needs from a shared store while slots stand idle.
+// A request with a key is sampled among its key's own endpoints, the same at every dispatcher: the
+// hash's neighbours on the ring. Others would have to fetch what it needs from a shared store while
+// slots stand idle.
 std::optional<EndpointSlot> EndpointSelector::select_by_key(const Request& request,
                                                             bool spares_reserved) const {
   double spread = key_spread(request, ready_endpoints(request, spares_reserved));
@@ -188,10 +212,13 @@
   Selected best;
   for (const RingPoint& point : nearest(request, spares_reserved)) {
     bool is_next = point.endpoint != last;
-    if (is_next) spread -= 1;
-    if (is_next && spread < 0) break;
+    if (is_next)
+      spread -= 1;
+    if (is_next && spread < 0)
+      break;
     last = point.endpoint;
-    if (is_usable(request, point.slot)) keep_cheaper(request, best, point.slot);
+    if (is_usable(request, point.slot))
+      keep_cheaper(request, best, point.slot);
   }
   return best;
 }
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -1,4 +1,5 @@
-/// Selects the endpoint for a request: of a few sampled ones with capacity, the one with fewest slots in flight.
+/// Selects the endpoint for a request: of a few sampled ones with capacity, the one with fewest
+/// slots in flight.
 #pragma once
 
 #include <cstdint>
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -7,7 +7,8 @@
 
 std::optional<EndpointSlot> EndpointTable::find(EndpointId id) const {
   auto it = slots_.find(id);
-  if (it == slots_.end()) return std::nullopt;
+  if (it == slots_.end())
+    return std::nullopt;
   return it->second;
 }
 
@@ -18,7 +19,8 @@
 }
 
 EndpointSlot EndpointTable::take_slot(EndpointId id) {
-  if (auto present = find(id)) return *present;
+  if (auto present = find(id))
+    return *present;
   EndpointSlot slot = 0;
   if (free_slots_.empty()) {
     slot = static_cast<EndpointSlot>(records_.size());
@@ -43,19 +45,22 @@
 }
 
 void EndpointTable::remove(EndpointId id) {
-  if (listed_.erase(id) == 0) return;
+  if (listed_.erase(id) == 0)
+    return;
   EndpointSlot slot = slots_.at(id);
   records_[slot].entry.state = EndpointState::gone;
   index(slot, false, false);
   auto cell = cells_.find(records_[slot].entry.cell);
   cell->second.erase(id);
-  if (cell->second.empty()) cells_.erase(cell);
+  if (cell->second.empty())
+    cells_.erase(cell);
   forget_if_gone(slot);
 }
 
 void EndpointTable::forget_if_gone(EndpointSlot slot) {
   const EndpointRecord& record = records_[slot];
-  if (record.attempts_out > 0 || record.entry.state != EndpointState::gone) return;
+  if (record.attempts_out > 0 || record.entry.state != EndpointState::gone)
+    return;
   slots_.erase(record.entry.endpoint);
   free_slots_.push_back(slot);
 }
@@ -71,7 +76,8 @@
   EndpointRecord& record = records_[slot];
   --record.attempts_out;
   record.in_flight = record.attempts_out <= 0 ? 0 : record.in_flight - load;
-  if (had_started) --record.attempts_begun;
+  if (had_started)
+    --record.attempts_begun;
 }
 
 void EndpointTable::index(EndpointSlot slot, bool is_available, bool is_in_subset) {
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -1,5 +1,5 @@
-/// The endpoint list applied: which endpoints exist, in which incarnation, and what this dispatcher has in flight there;
-/// with the indexes by which they are selected.
+/// The endpoint list applied: which endpoints exist, in which incarnation, and what this dispatcher
+/// has in flight there; with the indexes by which they are selected.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace keelflow::scheduler {
 
-/// The place of an endpoint in the tables of this dispatcher. It stays while attempts are in flight there, and is
-/// used again once the endpoint is forgotten.
+/// The place of an endpoint in the tables of this dispatcher. It stays while attempts are in flight
+/// there, and is used again once the endpoint is forgotten.
 using EndpointSlot = std::uint32_t;
 
 struct EndpointRecord {
@@ -44,7 +44,8 @@
   /// Lists an endpoint that is not listed. What is in flight at a former incarnation still counts.
   EndpointSlot add(const EndpointEntry& entry);
   void set_state(EndpointSlot slot, EndpointState state) { records_[slot].entry.state = state; }
-  /// It is listed no more; it is forgotten once nothing is in flight there. Passed over if it is not listed.
+  /// It is listed no more; it is forgotten once nothing is in flight there. Passed over if it is
+  /// not listed.
   void remove(EndpointId id);
   void forget_if_gone(EndpointSlot slot);
 
--- a/scheduler/hashing.h
+++ b/scheduler/hashing.h
@@ -29,6 +29,8 @@
 };
 
 /// A position that is known not to be negative, as an index.
-constexpr std::size_t to_index(int position) { return static_cast<std::size_t>(position); }
+constexpr std::size_t to_index(int position) {
+  return static_cast<std::size_t>(position);
+}
 
 }  // namespace keelflow::scheduler
--- a/scheduler/key_frequency.h
+++ b/scheduler/key_frequency.h
@@ -10,7 +10,8 @@
  public:
   void count(std::uint64_t key) {
     ++counts_[key];
-    if (++total_ >= kMemory) halve();
+    if (++total_ >= kMemory)
+      halve();
   }
 
   /// The fraction of the traffic that has this key.
--- a/scheduler/peer_load.cpp
+++ b/scheduler/peer_load.cpp
@@ -30,7 +30,8 @@
 
 std::string encode(const LoadUpdate& update) {
   std::string out;
-  for (int shift : {24, 16, 8, 0}) out += static_cast<char>(update.endpoint >> shift & 0xff);
+  for (int shift : {24, 16, 8, 0})
+    out += static_cast<char>(update.endpoint >> shift & 0xff);
   out += static_cast<char>(update.incarnation_tag);
   out += to_byte(std::ceil(update.in_flight));
   out += static_cast<char>(update.signal);
@@ -40,9 +41,11 @@
 }
 
 std::optional<LoadUpdate> decode_load_update(std::string_view bytes) {
-  if (bytes.size() != kSize) return std::nullopt;
+  if (bytes.size() != kSize)
+    return std::nullopt;
   std::uint8_t signal = byte_at(bytes, kSignalPlace);
-  if (signal > static_cast<std::uint8_t>(LoadSignal::failed)) return std::nullopt;
+  if (signal > static_cast<std::uint8_t>(LoadSignal::failed))
+    return std::nullopt;
   LoadUpdate update;
   for (std::size_t i = 0; i < kEndpointBytes; ++i)
     update.endpoint = update.endpoint << 8 | byte_at(bytes, i);
@@ -50,8 +53,10 @@
   update.in_flight = byte_at(bytes, kInFlightPlace);
   update.signal = static_cast<LoadSignal>(signal);
   std::uint8_t detail = byte_at(bytes, kDetailPlace);
-  if (update.signal == LoadSignal::served) update.service_time_ratio = detail / kRatioUnits;
-  if (update.signal == LoadSignal::sent) update.work_ms = detail * kWorkUnitMs;
+  if (update.signal == LoadSignal::served)
+    update.service_time_ratio = detail / kRatioUnits;
+  if (update.signal == LoadSignal::sent)
+    update.work_ms = detail * kWorkUnitMs;
   return update;
 }
 
@@ -65,19 +70,22 @@
 }
 
 void PeerLoad::reset(EndpointSlot slot) {
-  if (slot >= reports_.size()) reports_.resize(slot + std::size_t{1});
+  if (slot >= reports_.size())
+    reports_.resize(slot + std::size_t{1});
   reports_[slot].clear();
 }
 
 void PeerLoad::set(EndpointSlot slot, int peer, double in_flight, Time until) {
   std::vector<Report>& reports = reports_[slot];
   std::erase_if(reports, [peer](const Report& report) { return report.peer == peer; });
-  if (in_flight > 0) reports.push_back({peer, in_flight, until});
+  if (in_flight > 0)
+    reports.push_back({peer, in_flight, until});
 }
 
 double PeerLoad::sum(EndpointSlot slot, Time now) const {
   double all = 0;
-  for (const Report& report : reports_[slot]) all += report.until > now ? report.in_flight : 0;
+  for (const Report& report : reports_[slot])
+    all += report.until > now ? report.in_flight : 0;
   return all;
 }
 
--- a/scheduler/peer_load.h
+++ b/scheduler/peer_load.h
@@ -1,4 +1,5 @@
-/// What other dispatchers report of the endpoints that they share with this one, and the message that reports it.
+/// What other dispatchers report of the endpoints that they share with this one, and the message
+/// that reports it.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +13,20 @@
 namespace keelflow::scheduler {
 
 /// What a dispatcher has met at an endpoint.
-enum class LoadSignal : std::uint8_t { none, sent, served, rejected, late_start, unreachable, failed };
+enum class LoadSignal : std::uint8_t {
+  none,
+  sent,
+  served,
+  rejected,
+  late_start,
+  unreachable,
+  failed
+};
 
-/// A message of 8 bytes, big-endian: endpoint (4), a tag of its incarnation (1), own slots in flight there (1, at most
-/// 255), signal (1), and with `served` the service time ratio x 32 of the attempt that ended, with `sent` the work that
-/// went out in units of 64 ms, rounded up (1). Messages are priced by size.
+/// A message of 8 bytes, big-endian: endpoint (4), a tag of its incarnation (1), own slots in
+/// flight there (1, at most 255), signal (1), and with `served` the service time ratio x 32 of the
+/// attempt that ended, with `sent` the work that went out in units of 64 ms, rounded up (1).
+/// Messages are priced by size.
 struct LoadUpdate {
   EndpointId endpoint = 0;
   /// Updates on a former incarnation say nothing of the present one.
@@ -35,8 +45,8 @@
 std::uint64_t incarnation_of(const EndpointEntry& entry);
 std::uint8_t incarnation_tag(const EndpointEntry& entry);
 
-/// For how long a report counts unless the peer reports anew: a peer that has died reports no more, and a message may be
-/// lost.
+/// For how long a report counts unless the peer reports anew: a peer that has died reports no more,
+/// and a message may be lost.
 constexpr double kReportLifetimeMs = 5000;
 
 /// The slots that others hold at each endpoint, by what each reported last.
--- a/scheduler/request_lifecycle.cpp
+++ b/scheduler/request_lifecycle.cpp
@@ -7,17 +7,17 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kOverQuotaLimit = 30;  // a request beyond its tenant's quota counts so many times larger at most
+constexpr double kOverQuotaLimit =
+    30;  // a request beyond its tenant's quota counts so many times larger at most
 constexpr double kMostLoad = 1e6;
 
 }  // namespace
 
 double RequestLifecycle::queue_cost(const Request& request) const {
   const RequestArrived& arrival = request.arrival;
-  double over_quota =
-      request.is_within_quota
-          ? 1
-          : std::min(kOverQuotaLimit, 1 / environment_.settings.over_quota_weight);
+  double over_quota = request.is_within_quota
+                          ? 1
+                          : std::min(kOverQuotaLimit, 1 / environment_.settings.over_quota_weight);
   return arrival.hint * arrival.queue_weight * over_quota;
 }
 
@@ -45,17 +45,20 @@
   double slack = settings.latency_objective_ms +
                  (settings.objective_runtime_factor - 1) * request.arrival.hint;
   Time overdue = environment_.now + slack;
-  if (overdue < request.deadline) environment_.timers.add(overdue, TimerPurpose::overdue, id);
+  if (overdue < request.deadline)
+    environment_.timers.add(overdue, TimerPurpose::overdue, id);
 }
 
 void RequestLifecycle::on_arrived(const RequestArrived& arrival) {
-  if (requests_.find(arrival.request)) return;
+  if (requests_.find(arrival.request))
+    return;
   bool has_class = arrival.class_index >= 0 &&
                    to_index(arrival.class_index) < environment_.settings.classes.size();
   if (!has_class)
     return environment_.act(RejectRequest{arrival.request, retry_policy_.retry_after()});
   Request& request = admit(arrival);
-  if (arrival.key != 0) selector_.record_key(arrival.key);
+  if (arrival.key != 0)
+    selector_.record_key(arrival.key);
   if (request.deadline <= environment_.now) {
     answer(request);
     return requests_.forget_if_done(arrival.request);
@@ -65,26 +68,32 @@
 }
 
 void RequestLifecycle::on_stream_started(RequestId id) {
-  if (Request* request = requests_.find(id)) request->is_streaming = true;
+  if (Request* request = requests_.find(id))
+    request->is_streaming = true;
 }
 
 void RequestLifecycle::on_client_disconnected(const ClientDisconnected& event) {
   Request* request = requests_.find(event.request);
-  if (!request) return;
-  if (event.is_rerouted && request->is_within_quota) quota_.refund(request->arrival.tenant);
+  if (!request)
+    return;
+  if (event.is_rerouted && request->is_within_quota)
+    quota_.refund(request->arrival.tenant);
   finish(*request);
   requests_.forget_if_done(event.request);
 }
 
 void RequestLifecycle::on_overdue(RequestId id) {
   Request* request = requests_.find(id);
-  if (request && !request->is_finished) queue_.mark_overdue(*request, environment_.now);
+  if (request && !request->is_finished)
+    queue_.mark_overdue(*request, environment_.now);
 }
 
 void RequestLifecycle::on_deadline(RequestId id) {
   Request* request = requests_.find(id);
-  if (!request || request->is_finished || request->is_streaming) return;
-  if (request->deadline > environment_.now) return;
+  if (!request || request->is_finished || request->is_streaming)
+    return;
+  if (request->deadline > environment_.now)
+    return;
   answer(*request);
   requests_.forget_if_done(id);
 }
@@ -92,7 +101,8 @@
 void RequestLifecycle::on_attempt_limit_changed() {
   for (RequestId id : queue_.all()) {
     Request& request = requests_.at(id);
-    if (retry_policy_.has_attempts_left(request)) continue;
+    if (retry_policy_.has_attempts_left(request))
+      continue;
     answer(request);
     requests_.forget_if_done(id);
   }
@@ -107,7 +117,8 @@
 }
 
 void RequestLifecycle::answer(Request& request) {
-  if (request.is_finished) return;
+  if (request.is_finished)
+    return;
   RequestId id = request.arrival.request;
   if (retry_policy_.may_reject(request)) {
     environment_.act(RejectRequest{id, retry_policy_.retry_after()});
@@ -120,7 +131,8 @@
 void RequestLifecycle::finish(Request& request) {
   queue_.remove(request);
   request.is_finished = true;
-  if (!environment_.settings.cancel || request.is_streaming) return;
+  if (!environment_.settings.cancel || request.is_streaming)
+    return;
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& attempt = request.attempts[i];
     if (attempt.delivery == DeliveryState::in_flight && !attempt.is_cancelled)
--- a/scheduler/request_lifecycle.h
+++ b/scheduler/request_lifecycle.h
@@ -1,4 +1,5 @@
-/// The life of a request from its arrival to its one final answer: queued, sent by others, retried, rejected or failed.
+/// The life of a request from its arrival to its one final answer: queued, sent by others, retried,
+/// rejected or failed.
 #pragma once
 
 #include "scheduler/cost_calibration.h"
@@ -29,7 +30,8 @@
   void on_client_disconnected(const ClientDisconnected& event);
   void on_overdue(RequestId id);
   void on_deadline(RequestId id);
-  /// With fewer attempts allowed, requests that have used them up are answered: queued, they would wait in vain.
+  /// With fewer attempts allowed, requests that have used them up are answered: queued, they would
+  /// wait in vain.
   void on_attempt_limit_changed();
 
   /// All attempts of an unfinished request have ended: it is queued again, or answered.
--- a/scheduler/request_queue.cpp
+++ b/scheduler/request_queue.cpp
@@ -23,7 +23,8 @@
 }
 
 void RequestQueue::push(Request& request, Time now) {
-  if (request.is_queued || request.is_finished) return;
+  if (request.is_queued || request.is_finished)
+    return;
   request.is_queued = true;
   request.queued_since = now;
   ++size_;
@@ -31,7 +32,8 @@
 }
 
 void RequestQueue::remove(Request& request) {
-  if (!request.is_queued) return;
+  if (!request.is_queued)
+    return;
   request.is_queued = false;
   --size_;
   queue_of(request).erase(position_of(request));
@@ -41,7 +43,8 @@
   bool was_queued = request.is_queued;
   remove(request);
   request.is_overdue = true;
-  if (was_queued) push(request, now);
+  if (was_queued)
+    push(request, now);
 }
 
 std::optional<int> RequestQueue::cheapest_class(QueueTier tier, const std::vector<bool>& blocked,
@@ -50,9 +53,11 @@
   double least = INFINITY;
   for (int i = 0; to_index(i) < classes_.size(); ++i) {
     const ClassQueue& queue = of(i, tier);
-    if (blocked[to_index(i)] || queue.empty()) continue;
+    if (blocked[to_index(i)] || queue.empty())
+      continue;
     double cost = queue.begin()->cost * calibration.factor(i);
-    if (!(cost < least)) continue;
+    if (!(cost < least))
+      continue;
     least = cost;
     cheapest = i;
   }
@@ -63,7 +68,8 @@
   std::vector<RequestId> ids;
   for (const Tiers& tiers : classes_)
     for (const ClassQueue& queue : tiers)
-      for (const Position& position : queue) ids.push_back(position.request);
+      for (const Position& position : queue)
+        ids.push_back(position.request);
   return ids;
 }
 
--- a/scheduler/request_queue.h
+++ b/scheduler/request_queue.h
@@ -33,12 +33,14 @@
   /// Passed over if it is queued or finished.
   void push(Request& request, Time now);
   void remove(Request& request);
-  /// It can no longer be in time: it leaves after those that can. The time that it has waited counts from now.
+  /// It can no longer be in time: it leaves after those that can. The time that it has waited
+  /// counts from now.
   void mark_overdue(Request& request, Time now);
 
   std::size_t size() const { return size_; }
   const ClassQueue& of(int class_index, QueueTier tier) const;
-  /// The class whose first request has the smallest calibrated cost; empty: all are blocked or have none.
+  /// The class whose first request has the smallest calibrated cost; empty: all are blocked or have
+  /// none.
   std::optional<int> cheapest_class(QueueTier tier, const std::vector<bool>& blocked,
                                     const CostCalibration& calibration) const;
   /// All that wait, by class and tier.
--- a/scheduler/request_table.cpp
+++ b/scheduler/request_table.cpp
@@ -19,14 +19,16 @@
 
 Attempt* RequestTable::find_in_flight(RequestId id, int attempt) {
   Request* request = find(id);
-  if (!request || attempt < 0 || to_index(attempt) >= request->attempts.size()) return nullptr;
+  if (!request || attempt < 0 || to_index(attempt) >= request->attempts.size())
+    return nullptr;
   Attempt& found = request->attempts[to_index(attempt)];
   return found.delivery == DeliveryState::in_flight ? &found : nullptr;
 }
 
 void RequestTable::forget_if_done(RequestId id) {
   Request* request = find(id);
-  if (request && request->is_finished && !request->has_attempt_in_flight()) requests_.erase(id);
+  if (request && request->is_finished && !request->has_attempt_in_flight())
+    requests_.erase(id);
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -6,8 +6,10 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kWindowMargin = 0.9;     // the fraction of a deduplication window that is used for retries
-constexpr double kRetryAfterRuns = 0.25;  // a rejected client is to come back after so many mean runs
+constexpr double kWindowMargin =
+    0.9;  // the fraction of a deduplication window that is used for retries
+constexpr double kRetryAfterRuns =
+    0.25;  // a rejected client is to come back after so many mean runs
 constexpr double kLeastRetryAfterTicks = 4;
 
 }  // namespace
@@ -18,9 +20,11 @@
 
 bool RetryPolicy::may_follow(const Attempt& earlier, const ClassSettings& settings,
                              const EndpointEntry& entry) const {
-  if (earlier.delivery == DeliveryState::not_delivered) return true;
+  if (earlier.delivery == DeliveryState::not_delivered)
+    return true;
   bool is_in_flight = earlier.delivery == DeliveryState::in_flight;
-  if (is_in_flight && !environment_.settings.concurrent_attempts) return false;
+  if (is_in_flight && !environment_.settings.concurrent_attempts)
+    return false;
   switch (settings.idempotency) {
     case Idempotency::non_idempotent:
       return false;
@@ -30,8 +34,10 @@
       break;
   }
   DeduplicationScope scope = settings.deduplication_scope;
-  if (scope == DeduplicationScope::zone && earlier.zone != entry.zone) return false;
-  if (scope == DeduplicationScope::cell && earlier.cell != entry.cell) return false;
+  if (scope == DeduplicationScope::zone && earlier.zone != entry.zone)
+    return false;
+  if (scope == DeduplicationScope::cell && earlier.cell != entry.cell)
+    return false;
   return is_within_window(earlier, settings);
 }
 
@@ -42,40 +48,48 @@
 bool RetryPolicy::may_send(const Request& request, EndpointSlot slot) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
   const EndpointEntry& entry = endpoints_.at(slot).entry;
-  if (request.is_finished || request.is_streaming) return false;
-  if (environment_.now >= request.deadline || !has_attempts_left(request)) return false;
-  if (entry.state != EndpointState::ready) return false;
-  if (settings.kind >= 0 && entry.kind != settings.kind) return false;
-  return std::all_of(
-      request.attempts.begin(), request.attempts.end(),
-      [&](const Attempt& earlier) { return may_follow(earlier, settings, entry); });
+  if (request.is_finished || request.is_streaming)
+    return false;
+  if (environment_.now >= request.deadline || !has_attempts_left(request))
+    return false;
+  if (entry.state != EndpointState::ready)
+    return false;
+  if (settings.kind >= 0 && entry.kind != settings.kind)
+    return false;
+  return std::all_of(request.attempts.begin(), request.attempts.end(),
+                     [&](const Attempt& earlier) { return may_follow(earlier, settings, entry); });
 }
 
 bool RetryPolicy::may_retry(const Request& request) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
-  if (!has_attempts_left(request)) return false;
-  if (settings.idempotency == Idempotency::idempotent) return true;
+  if (!has_attempts_left(request))
+    return false;
+  if (settings.idempotency == Idempotency::idempotent)
+    return true;
   return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& earlier) {
-    if (earlier.delivery == DeliveryState::not_delivered) return true;
-    if (settings.idempotency == Idempotency::non_idempotent) return false;
+    if (earlier.delivery == DeliveryState::not_delivered)
+      return true;
+    if (settings.idempotency == Idempotency::non_idempotent)
+      return false;
     return environment_.now < earlier.sent + kWindowMargin * settings.deduplication_window_ms;
   });
 }
 
 bool RetryPolicy::may_reject(const Request& request) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
-  if (settings.idempotency == Idempotency::idempotent) return true;
+  if (settings.idempotency == Idempotency::idempotent)
+    return true;
   if (settings.idempotency == Idempotency::idempotent_with_key &&
       settings.deduplication_scope == DeduplicationScope::all)
     return true;
-  return std::all_of(
-      request.attempts.begin(), request.attempts.end(),
-      [](const Attempt& a) { return a.delivery == DeliveryState::not_delivered; });
+  return std::all_of(request.attempts.begin(), request.attempts.end(),
+                     [](const Attempt& a) { return a.delivery == DeliveryState::not_delivered; });
 }
 
 double RetryPolicy::retry_after() const {
   const Settings& settings = environment_.settings;
-  if (!settings.retry_after) return 0;
+  if (!settings.retry_after)
+    return 0;
   double least = kLeastRetryAfterTicks * settings.tick_ms;
   return std::clamp(kRetryAfterRuns * statistics_.mean_run(), least,
                     std::max(least, settings.max_retry_after_ms));
--- a/scheduler/retry_policy.h
+++ b/scheduler/retry_policy.h
@@ -1,5 +1,5 @@
-/// Whether a request may be sent (again) to an endpoint, whether it may be rejected as safe to retry, and when the client
-/// should come back. Every send and every final answer asks here.
+/// Whether a request may be sent (again) to an endpoint, whether it may be rejected as safe to
+/// retry, and when the client should come back. Every send and every final answer asks here.
 #pragma once
 
 #include "scheduler/endpoint_table.h"
--- a/scheduler/sampled_set.h
+++ b/scheduler/sampled_set.h
@@ -1,4 +1,5 @@
-/// A set of small numbers that can be sampled: constant-time insertion, removal and access by position.
+/// A set of small numbers that can be sampled: constant-time insertion, removal and access by
+/// position.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +12,8 @@
 class SampledSet {
  public:
   void set(std::uint32_t item, bool is_in) {
-    if (is_in == has(item)) return;
+    if (is_in == has(item))
+      return;
     if (is_in) {
       insert(item);
     } else {
@@ -27,7 +29,8 @@
   static constexpr std::uint32_t kAbsent = ~std::uint32_t{0};
 
   void insert(std::uint32_t item) {
-    if (item >= places_.size()) places_.resize(item + std::size_t{1}, kAbsent);
+    if (item >= places_.size())
+      places_.resize(item + std::size_t{1}, kAbsent);
     places_[item] = static_cast<std::uint32_t>(items_.size());
     items_.push_back(item);
   }
--- a/scheduler/service_statistics.cpp
+++ b/scheduler/service_statistics.cpp
@@ -12,8 +12,8 @@
 constexpr double kEndpointStep = 0.2;  // EMA step of an endpoint's own ratio
 constexpr double kLeastRatio = 0.25;
 constexpr double kMostRatio = 4;
-constexpr double kStartDelays = 3;       // an attempt is late after so many usual delays
-constexpr double kStartTicks = 4;        // and so many ticks
+constexpr double kStartDelays = 3;        // an attempt is late after so many usual delays
+constexpr double kStartTicks = 4;         // and so many ticks
 constexpr double kStartAllowanceMs = 10;  // and this
 
 }  // namespace
@@ -24,7 +24,8 @@
 }
 
 void ServiceStatistics::reset(EndpointSlot slot, int kind) {
-  if (slot >= ratios_.size()) ratios_.resize(slot + std::size_t{1}, 1);
+  if (slot >= ratios_.size())
+    ratios_.resize(slot + std::size_t{1}, 1);
   ratios_[slot] = kinds_[to_index(kind)].service_time_ratio;
 }
 
@@ -36,7 +37,8 @@
                                      bool is_warming_up) {
   ratio = std::clamp(ratio, kLeastRatio, kMostRatio);
   ratios_[slot] += kEndpointStep * (ratio - ratios_[slot]);
-  if (is_warming_up) return;
+  if (is_warming_up)
+    return;
   double& of_kind = kinds_[to_index(kind)].service_time_ratio;
   of_kind += kAverageStep * (ratio - of_kind);
 }
@@ -64,7 +66,8 @@
 }
 
 void ServiceStatistics::restore(const LearnedState& learned) {
-  for (std::size_t i = 0; i < kinds_.size(); ++i) kinds_[i] = learned.kinds.at(i);
+  for (std::size_t i = 0; i < kinds_.size(); ++i)
+    kinds_[i] = learned.kinds.at(i);
   start_delays_ = learned.fleet.start_delay_ms;
   mean_run_ = learned.fleet.mean_run_ms;
 }
--- a/scheduler/service_statistics.h
+++ b/scheduler/service_statistics.h
@@ -24,7 +24,8 @@
   /// `ratio` was measured. While the endpoint warms up its kind learns nothing from it.
   void record_ratio(EndpointSlot slot, int kind, double ratio, bool is_warming_up);
 
-  /// The most own attempts that were seen to run at once at an endpoint of that kind that has warmed up.
+  /// The most own attempts that were seen to run at once at an endpoint of that kind that has
+  /// warmed up.
   double observed_cores(int kind) const;
   void record_running(int kind, int attempts);
 
--- a/scheduler/sliding_window.h
+++ b/scheduler/sliding_window.h
@@ -16,7 +16,8 @@
   /// Of what was added for `from` or later.
   double sum(double from) const {
     double all = 0;
-    for (const Amount& a : amounts_) all += a.when >= from ? a.amount : 0;
+    for (const Amount& a : amounts_)
+      all += a.when >= from ? a.amount : 0;
     return all;
   }
 
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -12,13 +12,15 @@
 constexpr double kLeastWorkOfHint = 0.9;
 constexpr double kLeastKindRatio = 0.5;
 constexpr double kMostKindRatio = 4;
-// A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are believed.
+// A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are
+// believed.
 constexpr double kBelievedCores = 2;
 
 }  // namespace
 
 void SlowStart::reset(EndpointSlot slot) {
-  if (slot >= states_.size()) states_.resize(slot + std::size_t{1});
+  if (slot >= states_.size())
+    states_.resize(slot + std::size_t{1});
   states_[slot] = {};
   states_[slot].fraction = 1.0 / environment_.settings.dispatchers;
 }
@@ -29,7 +31,8 @@
 }
 
 double SlowStart::weight(EndpointSlot slot) const {
-  if (!is_warming_up(slot)) return 1;
+  if (!is_warming_up(slot))
+    return 1;
   const Settings& settings = environment_.settings;
   double least = settings.slow_start_initial_fraction;
   double age = std::max(0.0, environment_.now - endpoints_.at(slot).entry.started_at);
@@ -54,8 +57,8 @@
   double cores = std::clamp(entry.nominal_capacity, seen, kBelievedCores * seen);
   double total = kBudgetMargin * settings.overload_multiple * weight(slot) * cores *
                  settings.overload_window_ms;
-  double own = total * state.fraction -
-               state.sent.sum(environment_.now - settings.overload_window_ms);
+  double own =
+      total * state.fraction - state.sent.sum(environment_.now - settings.overload_window_ms);
   return {own, granted(state), statistics_.mean_run()};
 }
 
@@ -72,7 +75,8 @@
 }
 
 void SlowStart::on_grant(EndpointSlot slot, const SlowStartGrant& grant) {
-  if (!grant.is_received) return record_sent(slot, grant.until, grant.work_ms);
+  if (!grant.is_received)
+    return record_sent(slot, grant.until, grant.work_ms);
   states_[slot].granted_ms = grant.work_ms;
   states_[slot].granted_until = grant.until;
 }
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -1,5 +1,5 @@
-/// Slow start: what an endpoint that is warming up may be sent within a window, of this dispatcher's part of the budget
-/// and of the parts of others that they granted.
+/// Slow start: what an endpoint that is warming up may be sent within a window, of this
+/// dispatcher's part of the budget and of the parts of others that they granted.
 #pragma once
 
 #include <vector>
@@ -33,7 +33,8 @@
   }
   /// Grants are spent first: they end sooner.
   void spend(EndpointSlot slot, double work_ms);
-  /// Work that is sent, or counts as sent, at that time: by this dispatcher, its sibling, or under a grant of its part.
+  /// Work that is sent, or counts as sent, at that time: by this dispatcher, its sibling, or under
+  /// a grant of its part.
   void record_sent(EndpointSlot slot, Time when, double work_ms);
 
   void set_fraction(EndpointSlot slot, double fraction) { states_[slot].fraction = fraction; }
--- a/scheduler/state_transfer.cpp
+++ b/scheduler/state_transfer.cpp
@@ -23,12 +23,14 @@
   calibration_.restore(learned.classes);
   statistics_.restore(learned);
   congestion_.restore(learned.fleet.congestion);
-  for (const LearnedState::Endpoint& of_endpoint : learned.endpoints) restore(of_endpoint);
+  for (const LearnedState::Endpoint& of_endpoint : learned.endpoints)
+    restore(of_endpoint);
 }
 
 void StateTransfer::restore(const LearnedState::Endpoint& learned) {
   auto slot = endpoints_.find(learned.endpoint);
-  if (!slot || endpoints_.at(*slot).entry.started_at != learned.started_at) return;
+  if (!slot || endpoints_.at(*slot).entry.started_at != learned.started_at)
+    return;
   health_.restore(*slot, learned.health);
   statistics_.restore(*slot, learned.health.service_time_ratio);
   // What the former process has in flight counts as a peer's.
--- a/scheduler/subset.cpp
+++ b/scheduler/subset.cpp
@@ -4,7 +4,8 @@
 namespace keelflow::scheduler {
 
 void Subset::reset(EndpointSlot slot) {
-  if (slot >= entries_.size()) entries_.resize(slot + std::size_t{1});
+  if (slot >= entries_.size())
+    entries_.resize(slot + std::size_t{1});
   entries_[slot] = {};
 }
 
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -1,4 +1,5 @@
-/// Which endpoints belong to this dispatcher's subset, and which other dispatchers share each of them.
+/// Which endpoints belong to this dispatcher's subset, and which other dispatchers share each of
+/// them.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +10,8 @@
 
 namespace keelflow::scheduler {
 
-/// Where dispatchers are many, own slots say little about an endpoint that all use. Each prefers a few, and is notified
-/// of their load by the others who prefer them.
+/// Where dispatchers are many, own slots say little about an endpoint that all use. Each prefers a
+/// few, and is notified of their load by the others who prefer them.
 class Subset {
  public:
   /// A new incarnation: until the dispatcher is notified all belong to the subset.
--- a/scheduler/tenant_quota.cpp
+++ b/scheduler/tenant_quota.cpp
@@ -29,20 +29,23 @@
 }
 
 bool TenantQuota::admit(int tenant, const Settings& settings, Time now) {
-  if (!has_bucket(tenant) || settings.over_quota_weight >= 1) return true;
+  if (!has_bucket(tenant) || settings.over_quota_weight >= 1)
+    return true;
   TenantQuotas::Bucket& bucket = quotas_->buckets[to_index(tenant)];
   int alive = std::max(1, settings.dispatchers - dead_dispatchers_);
   double per_ms = settings.tenant_quota[to_index(tenant)] / alive / 1000;
   bucket.tokens = std::min(bucket.tokens + per_ms * (now - bucket.refilled_at),
                            std::max(1.0, kSavedMs * per_ms));
   bucket.refilled_at = now;
-  if (bucket.tokens < 1) return false;
+  if (bucket.tokens < 1)
+    return false;
   bucket.tokens -= 1;
   return true;
 }
 
 void TenantQuota::refund(int tenant) {
-  if (has_bucket(tenant)) ++quotas_->buckets[to_index(tenant)].tokens;
+  if (has_bucket(tenant))
+    ++quotas_->buckets[to_index(tenant)].tokens;
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/timer_queue.h
+++ b/scheduler/timer_queue.h
@@ -46,7 +46,8 @@
 
   /// The outside timer has fired. Any but the latest one is stale.
   void on_fired(std::uint64_t id) {
-    if (id == id_) armed_for_ = INFINITY;
+    if (id == id_)
+      armed_for_ = INFINITY;
   }
 
   bool needs_arming() const { return !queue_.empty() && queue_.top().when < armed_for_; }
--- /dev/null
+++ b/simulator_adapter/batch_reader.cpp
@@ -0,0 +1,245 @@
+/// Reads a batch: records of 48 bytes, each an event for the instance that the last address record named.
+#include <algorithm>
+
+#include "simulator_adapter/big_endian.h"
+#include "simulator_adapter/codec.h"
+
+namespace keelflow::simulator_adapter {
+namespace {
+
+using scheduler::AttemptFinished;
+using scheduler::AttemptResult;
+using scheduler::AttemptStarted;
+using scheduler::ClientDisconnected;
+using scheduler::EndpointEntry;
+using scheduler::EndpointList;
+using scheduler::EndpointState;
+using scheduler::HealthCheckResult;
+using scheduler::ListScope;
+using scheduler::LoadReport;
+using scheduler::PeerMessage;
+using scheduler::RequestArrived;
+using scheduler::ResponseStreamStarted;
+using scheduler::TimerFired;
+
+/// The code of a record stands in its first byte.
+enum RecordCode : std::uint8_t {
+  kHealthCheckResult = 10,
+  kPeerMessage = 20,
+  kProgress = 30,
+  kStop = 40,
+  kEndpointList = 50,
+  kAddress = 60,
+  kRequestArrived = 70,
+  kClientDisconnected = 80,
+  kSpawn = 90,
+  kStreamStarted = 100,
+  kTimer = 110,
+  kAttemptFinished = 120,
+};
+
+constexpr std::uint32_t kIndexMask = 0x7fffffff;  // tenants and peers are sent with a sign bit
+constexpr unsigned kHasHint = 1;                  // attributes of a request
+constexpr unsigned kIsClientRetry = 2;
+constexpr std::uint8_t kProgressStarted = 1;
+constexpr int kReportValues = 4;
+
+LoadReport read_report(std::string_view record, std::size_t place) {
+  LoadReport report;
+  report.count = std::min<int>(get_u8(record, place), kReportValues);
+  for (std::size_t i = 0; i < kReportValues; ++i)
+    report.values[i] = get_f32(record, place + 1 + sizeof(float) * i);
+  return report;
+}
+
+AttemptResult to_result(unsigned code) {
+  switch (code) {
+    case 0:
+      return AttemptResult::ok;
+    case 1:
+      return AttemptResult::cancelled;
+    case 4:
+      return AttemptResult::timeout;
+    case 8:
+      return AttemptResult::rejected;
+    case 9:
+      return AttemptResult::withheld;
+    case 10:
+      return AttemptResult::reset;
+    case 14:
+      return AttemptResult::connect_failed;
+    default:
+      return AttemptResult::error;  // 13, and any code not known: it may have run
+  }
+}
+
+RequestArrived read_request(std::string_view record) {
+  RequestArrived arrival;
+  unsigned attributes = get_u8(record, 42);
+  arrival.request = get<std::uint32_t>(record, 1);
+  arrival.class_index = get_u8(record, 5);
+  arrival.tenant = static_cast<int>(get<std::uint32_t>(record, 6) & kIndexMask);
+  arrival.key = get<std::uint64_t>(record, 10);
+  arrival.client_timeout_ms = get_f64(record, 18);
+  arrival.hint = (attributes & kHasHint) != 0 ? get_f64(record, 26) : 0;
+  arrival.slots = get_f32(record, 34);
+  arrival.memory = get_f32(record, 38);
+  arrival.is_client_retry = (attributes & kIsClientRetry) != 0;
+  return arrival;
+}
+
+AttemptFinished read_attempt_finished(std::string_view record) {
+  AttemptFinished finished;
+  finished.request = get<std::uint32_t>(record, 1);
+  finished.attempt = get_u8(record, 5);
+  finished.result = to_result(get<std::uint16_t>(record, 10));
+  finished.elapsed_ms = get_f64(record, 12);
+  finished.request_finished = get_u8(record, 20) != 0;
+  finished.report = read_report(record, 25);
+  return finished;
+}
+
+HealthCheckResult read_health_check(std::string_view record) {
+  return {get<std::uint32_t>(record, 1), get<std::uint16_t>(record, 5) == 0, get_f64(record, 7),
+          read_report(record, 15)};
+}
+
+class BatchReader {
+ public:
+  BatchReader(const BatchHeader& header, std::string_view body)
+      : count_(header.records), body_(body) {
+    if (static_cast<std::uint64_t>(count_) * kEventSize > body.size())
+      throw WireError("batch header: " + std::to_string(count_) + " records do not fit in " +
+                      std::to_string(body.size()) + " bytes");
+    tail_ = body_.substr(count_ * kEventSize);
+  }
+
+  std::vector<AddressedRecord> read() {
+    std::vector<AddressedRecord> all;
+    all.reserve(count_);
+    bool is_addressed = false;
+    std::uint32_t instance = 0;
+    for (number_ = 0; number_ < count_; ++number_) {
+      record_ = body_.substr(number_ * kEventSize, kEventSize);
+      if (get_u8(record_, 0) == kAddress) {
+        instance = get<std::uint32_t>(record_, 1);
+        is_addressed = true;
+        continue;
+      }
+      if (!is_addressed) fault("event before any 'about'");
+      all.push_back({instance, read_record()});
+    }
+    return all;
+  }
+
+ private:
+  [[noreturn]] void fault(const std::string& what) const {
+    throw WireError("batch record " + std::to_string(number_) + ": " + what);
+  }
+
+  // The part of the tail that the offset and the count at that place name.
+  std::string_view tail(std::size_t place, std::size_t unit) const {
+    std::uint64_t offset = get<std::uint32_t>(record_, place);
+    std::uint64_t bytes = static_cast<std::uint64_t>(get<std::uint32_t>(record_, place + 4)) * unit;
+    if (offset > tail_.size() || bytes > tail_.size() - offset) fault("tail field out of bounds");
+    return tail_.substr(offset, bytes);
+  }
+
+  Record read_record() const {
+    auto subject = get<std::uint32_t>(record_, 1);
+    switch (std::uint8_t code = get_u8(record_, 0)) {
+      case kSpawn:
+        return Spawn{get<std::uint64_t>(record_, 1), std::string(tail(9, 1))};
+      case kStop:
+        return Stop{};
+      case kEndpointList:
+        return Event(read_list());
+      case kRequestArrived:
+        return Event(read_request(record_));
+      case kStreamStarted:
+        return Event(ResponseStreamStarted{subject});
+      case kProgress:
+        if (get_u8(record_, 10) != kProgressStarted) return Ignored{};
+        return Event(AttemptStarted{subject, get_u8(record_, 5)});
+      case kClientDisconnected:
+        return Event(ClientDisconnected{subject});
+      case kTimer:
+        return Event(TimerFired{get<std::uint64_t>(record_, 1)});
+      case kPeerMessage:
+        return Event(PeerMessage{static_cast<int>(subject & kIndexMask), std::string(tail(5, 1))});
+      case kHealthCheckResult:
+        return Event(read_health_check(record_));
+      case kAttemptFinished:
+        return Event(read_attempt_finished(record_));
+      default:
+        return Unknown{code};
+    }
+  }
+
+  ListScope read_scope() const {
+    switch (int scope = get_u8(record_, 1)) {
+      case 0:
+        return ListScope::cached;
+      case 1:
+        return ListScope::failed;
+      case 2:
+        return ListScope::delta;
+      case 3:
+        return ListScope::full;
+      default:
+        fault("unknown list scope " + std::to_string(scope));
+    }
+  }
+
+  EndpointState to_state(int phase) const {
+    switch (phase) {
+      case 0:
+        return EndpointState::gone;
+      case 1:
+        return EndpointState::ready;
+      case 2:
+        return EndpointState::draining;
+      default:
+        fault("unknown worker phase " + std::to_string(phase));
+    }
+  }
+
+  EndpointEntry read_entry(std::string_view bytes) const {
+    EndpointEntry entry;
+    entry.endpoint = get<std::uint32_t>(bytes, 0);
+    entry.zone = get_u8(bytes, 4);
+    entry.kind = get_u8(bytes, 5);
+    entry.cell = get<std::uint16_t>(bytes, 6);
+    entry.state = to_state(get_u8(bytes, 8));
+    entry.nominal_capacity = get_f32(bytes, 9);
+    entry.started_at = get_f64(bytes, 13);
+    return entry;
+  }
+
+  EndpointList read_list() const {
+    EndpointList list;
+    list.scope = read_scope();
+    std::string_view entries = tail(10, kEntrySize);
+    for (std::size_t i = 0; i < entries.size(); i += kEntrySize)
+      list.entries.push_back(read_entry(entries.substr(i, kEntrySize)));
+    return list;
+  }
+
+  std::uint32_t count_;
+  std::string_view body_;
+  std::string_view tail_;
+  std::string_view record_;  // the one that is being read
+  std::size_t number_ = 0;
+};
+
+}  // namespace
+
+BatchHeader read_header(std::string_view bytes) {
+  return {get<std::uint32_t>(bytes, 0), get_f64(bytes, 4), get<std::uint32_t>(bytes, 12)};
+}
+
+std::vector<AddressedRecord> read_body(const BatchHeader& header, std::string_view body) {
+  return BatchReader(header, body).read();
+}
+
+}  // namespace keelflow::simulator_adapter
--- /dev/null
+++ b/simulator_adapter/reply_writer.cpp
@@ -0,0 +1,104 @@
+/// Writes a reply: records of 24 bytes, and a tail with what has no fixed size.
+#include "simulator_adapter/big_endian.h"
+#include "simulator_adapter/codec.h"
+
+namespace keelflow::simulator_adapter {
+namespace {
+
+using scheduler::CancelAttempt;
+using scheduler::FailRequest;
+using scheduler::PollEndpointList;
+using scheduler::RejectRequest;
+using scheduler::SendAttempt;
+using scheduler::SendHealthCheck;
+using scheduler::SendPeerMessage;
+using scheduler::SetTimer;
+
+/// The code of a record stands in its first byte.
+enum RecordCode : std::uint8_t {
+  kSendAttempt = 10,
+  kRejectRequest = 20,
+  kFailRequest = 30,
+  kCancelAttempt = 40,
+  kSetTimer = 50,
+  kHealthCheck = 60,
+  kPeerMessage = 80,
+  kGiveIn = 100,
+  kPollList = 110,
+  kInstance = 130,
+};
+
+}  // namespace
+
+/// One overload for each type of action.
+struct ReplyWriter::ActionWriter {
+  ReplyWriter& writer;
+
+  void operator()(const SendAttempt& action) const {
+    char* record = writer.append_record(kSendAttempt);
+    put(record + 1, action.request);
+    put(record + 5, action.endpoint);
+    put_f64(record + 9, action.timeout_ms);
+  }
+  void operator()(const RejectRequest& action) const {
+    char* record = writer.append_record(kRejectRequest);
+    put(record + 1, action.request);
+    put_f64(record + 5, action.retry_after_ms);
+  }
+  void operator()(const FailRequest& action) const {
+    put(writer.append_record(kFailRequest) + 1, action.request);
+  }
+  void operator()(const CancelAttempt& action) const {
+    char* record = writer.append_record(kCancelAttempt);
+    put(record + 1, action.request);
+    record[5] = static_cast<char>(action.attempt);
+  }
+  void operator()(const SetTimer& action) const {
+    char* record = writer.append_record(kSetTimer);
+    put(record + 1, action.id);
+    put_f64(record + 9, action.when);
+  }
+  void operator()(const SendHealthCheck& action) const {
+    put(writer.append_record(kHealthCheck) + 1, action.endpoint);
+  }
+  void operator()(const PollEndpointList&) const { writer.append_record(kPollList)[1] = 1; }
+  void operator()(const SendPeerMessage& action) const {
+    char* record = writer.append_record(kPeerMessage);
+    put(record + 1, static_cast<std::uint16_t>(action.peer));
+    writer.append_tail(record + 3, action.bytes);
+  }
+};
+
+char* ReplyWriter::append_record(std::uint8_t code) {
+  ++count_;
+  records_.append(kActionSize, '\0');
+  char* record = records_.data() + records_.size() - kActionSize;
+  *record = static_cast<char>(code);
+  return record;
+}
+
+void ReplyWriter::append_tail(char* place, std::string_view text) {
+  put(place, static_cast<std::uint32_t>(tail_.size()));
+  put(place + 4, static_cast<std::uint32_t>(text.size()));
+  tail_ += text;
+}
+
+void ReplyWriter::give_in(std::string_view reason) { append_tail(append_record(kGiveIn) + 1, reason); }
+
+void ReplyWriter::instance(std::uint32_t id) { put(append_record(kInstance) + 1, id); }
+
+void ReplyWriter::action(const Action& action) { std::visit(ActionWriter{*this}, action); }
+
+std::string ReplyWriter::finish() {
+  std::string frame(kReplyHeader, '\0');
+  put(frame.data(), static_cast<std::uint32_t>(records_.size() + tail_.size()));
+  put(frame.data() + 4, count_);
+  frame += records_;
+  frame += tail_;
+  records_.clear();
+  tail_.clear();
+  count_ = 0;
+  return frame;
+}
+
+}  // namespace keelflow::simulator_adapter
--- a/simulator_adapter/settings.h
+++ b/simulator_adapter/settings_decoder.h
@@ -1,4 +1,5 @@
-// Reads the start-up settings (path=value lines) into the library's Settings. Translation only.
+/// Reads settings in text form, a line PATH=VALUE each, into those of the scheduler. Translation
+/// only.
 #pragma once
 
 #include <stdexcept>
@@ -8,10 +9,12 @@
 
 namespace keelflow::simulator_adapter {
 
+/// Settings that cannot be read; the text names the key and the fault.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-scheduler::Settings read_settings(std::string_view profile);  // throws SettingsError naming the key
+/// Throws SettingsError.
+scheduler::Settings read_settings(std::string_view text);
 
 }  // namespace keelflow::simulator_adapter
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -5,8 +5,8 @@
 #include <bit>
 #include <cstring>
 
-#include "simulator_adapter/instances.h"
-#include "simulator_adapter/settings.h"
+#include "simulator_adapter/instance_table.h"
+#include "simulator_adapter/settings_decoder.h"
 
 namespace keelflow::simulator_adapter {
 namespace {
@@ -50,12 +50,12 @@
   return r;
 }
 
-Header header_for(const std::string& body, std::uint32_t records) {
+BatchHeader header_for(const std::string& body, std::uint32_t records) {
   return {static_cast<std::uint32_t>(body.size()), 12508.25, records};
 }
 
 template <typename T>
-T event_of(const Addressed& a) {
+T event_of(const AddressedRecord& a) {
   return std::get<T>(std::get<Event>(a.record));
 }
 
@@ -195,7 +195,7 @@
 }
 
 TEST(InstanceTable, AnEventForAnInstanceThatDoesNotRunIsSkippedAndUnknownCodesAreLoggedOnce) {
-  Instances table;
+  InstanceTable table;
   std::string log;
   std::string body = padded("3c 00000003") + padded("50 0e6f2b19") + padded("ff") + padded("ff");
   EXPECT_EQ(table.play(header_for(body, 4), body, log), hex("00000000 00000000"));
