--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -28,6 +28,7 @@
   RequestId request = 0;
 };
 
+/// The attempt is not wanted any more. Its AttemptFinished still comes.
 struct CancelAttempt {
   RequestId request = 0;
   int attempt = 0;
@@ -39,6 +40,7 @@
   Time when = 0;
 };
 
+/// Ask the endpoint for its load; the HealthCheckResult comes back.
 struct SendHealthCheck {
   EndpointId endpoint = 0;
 };
--- a/scheduler/attempt_tracker.h
+++ b/scheduler/attempt_tracker.h
@@ -15,6 +15,8 @@
 
 namespace keelflow::scheduler {
 
+/// Owns no state: attempts stand in the request table. Gives what they show to the owners that
+/// learn from it.
 class AttemptTracker {
  public:
   AttemptTracker(Environment& environment, RequestTable& requests, RequestQueue& queue,
--- a/scheduler/availability.h
+++ b/scheduler/availability.h
@@ -11,6 +11,7 @@
 
 namespace keelflow::scheduler {
 
+/// Reads health, load and slow start of an endpoint; writes the indexes of the endpoint table only.
 class Availability {
  public:
   Availability(const Environment& environment, EndpointTable& endpoints,
--- a/scheduler/congestion.h
+++ b/scheduler/congestion.h
@@ -9,6 +9,7 @@
 /// Above this the overdue wait, and silent attempts are left where they are.
 constexpr double kCongested = 0.5;
 
+/// A level between 0, no late start or rejection of late, and 1, nothing else.
 class Congestion {
  public:
   double level() const { return level_; }
--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -194,7 +194,7 @@
   auto slot = impl_->endpoints.find(endpoint);
   if (!slot || impl_->endpoints.at(*slot).entry.state != EndpointState::ready)
     return false;
-  return now < impl_->health.ejected_until(*slot) && impl_->health.looks_faulty(*slot);
+  return now < impl_->health.ejected_until(*slot) && impl_->health.has_fault_signs(*slot);
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/dispatcher.h
+++ b/scheduler/dispatcher.h
@@ -17,6 +17,7 @@
 
 namespace keelflow::scheduler {
 
+/// Not safe for use by several threads at once; movable, not copyable.
 class Dispatcher {
  public:
   /// Throws std::invalid_argument on settings that cannot be. Without `quotas` it keeps tenants'
--- a/scheduler/endpoint_feedback.h
+++ b/scheduler/endpoint_feedback.h
@@ -12,6 +12,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns whether a sibling process is present; the rest is applied to the owners given.
 class EndpointFeedback {
  public:
   EndpointFeedback(Environment& environment, const EndpointTable& endpoints, EndpointHealth& health,
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -10,6 +10,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns limit, fault signs and ejection of each endpoint, by slot.
 class EndpointHealth {
  public:
   explicit EndpointHealth(Environment& environment) : environment_(environment) {}
@@ -23,7 +24,7 @@
   }
   Time ejected_until(EndpointSlot slot) const { return health_[slot].ejected_until; }
   /// It has failed, or started attempts very late, since the last good sign.
-  bool looks_faulty(EndpointSlot slot) const {
+  bool has_fault_signs(EndpointSlot slot) const {
     return health_[slot].outlier_signs + health_[slot].consecutive_failures > 0;
   }
   /// Attempts failed there one after another.
--- a/scheduler/endpoint_list_tracker.h
+++ b/scheduler/endpoint_list_tracker.h
@@ -12,6 +12,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns the state of polling. Applies list, subset and slow-start events to the owners given.
 class EndpointListTracker {
  public:
   EndpointListTracker(Environment& environment, EndpointTable& endpoints, EndpointHealth& health,
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -17,6 +17,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns how often keys are met; everything else that it compares is asked of its owners.
 class EndpointSelector {
  public:
   EndpointSelector(Environment& environment, const EndpointTable& endpoints,
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -18,6 +18,7 @@
 /// there, and is used again once the endpoint is forgotten.
 using EndpointSlot = std::uint32_t;
 
+/// One endpoint, and what this dispatcher has in flight there.
 struct EndpointRecord {
   EndpointEntry entry;
   double in_flight = 0;    ///< own slots
@@ -26,6 +27,8 @@
   bool was_used = false;   ///< something was sent there in its present incarnation
 };
 
+/// Owns the records and the indexes. Slots are given out here; other owners keep their state by
+/// slot.
 class EndpointTable {
  public:
   /// Ready endpoints of one kind in the order of a hash, for consistent hashing.
--- a/scheduler/environment.h
+++ b/scheduler/environment.h
@@ -10,6 +10,7 @@
 
 namespace keelflow::scheduler {
 
+/// Settings, random source, timers, the time and the actions of the event that is being handled.
 struct Environment {
   Environment(const Settings& initial, std::uint64_t seed) : settings(initial), random(seed) {}
 
--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -13,6 +13,7 @@
 
 using RequestId = std::uint32_t;
 
+/// What discovery says of an endpoint: only ready ones are sent new requests.
 enum class EndpointState : std::uint8_t { gone, ready, draining };
 
 /// One endpoint as discovery lists it.
@@ -26,6 +27,7 @@
   Time started_at = 0;  ///< of its present incarnation; 0: long ago
 };
 
+/// How much a list says: all from a cache, nothing as the poll failed, what has changed, or all.
 enum class ListScope : std::uint8_t { cached, failed, delta, full };
 
 /// The endpoint list, or what has changed of it.
@@ -59,6 +61,7 @@
   int attempt = 0;
 };
 
+/// The client of a request has gone: it needs no answer any more.
 struct ClientDisconnected {
   RequestId request = 0;
   /// Unsent, it goes to another Dispatcher with the same TenantQuotas, which asks for its quota
@@ -66,20 +69,24 @@
   bool is_rerouted = false;
 };
 
+/// The timer of that id is due; any but the one set last is passed over.
 struct TimerFired {
   std::uint64_t id = 0;
 };
 
+/// Another dispatcher has sent a message.
 struct PeerMessage {
   int peer = 0;  ///< the sender's rank; the own one: the sibling process
   std::string bytes;
 };
 
+/// What an endpoint reports of its load; the meaning of each value stands in the settings.
 struct LoadReport {
   int count = 0;
   float values[4] = {};
 };
 
+/// The answer to SendHealthCheck, or its failure.
 struct HealthCheckResult {
   EndpointId endpoint = 0;
   bool ok = false;
@@ -87,6 +94,7 @@
   LoadReport report;
 };
 
+/// How an attempt ended, as far as the node can tell.
 enum class AttemptResult : std::uint8_t {
   ok,
   error,
@@ -98,6 +106,7 @@
   withheld,  ///< nothing of it was sent
 };
 
+/// An attempt has ended. It comes once for each that was sent.
 struct AttemptFinished {
   RequestId request = 0;
   int attempt = 0;
--- a/scheduler/hashing.h
+++ b/scheduler/hashing.h
@@ -14,6 +14,7 @@
   return x ^ (x >> 31);
 }
 
+/// Numbers that depend on the seed alone.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(mix(seed)) {}
--- a/scheduler/key_frequency.h
+++ b/scheduler/key_frequency.h
@@ -6,6 +6,7 @@
 
 namespace keelflow::scheduler {
 
+/// Counts that halve when many keys have been met, so that old traffic fades.
 class KeyFrequency {
  public:
   void count(std::uint64_t key) {
--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -11,6 +11,7 @@
 
 using EndpointId = std::uint32_t;
 
+/// A snapshot by value; it refers to endpoints, classes and kinds by their numbers.
 struct LearnedState {
   /// Of one endpoint.
   struct Health {
--- a/scheduler/request.h
+++ b/scheduler/request.h
@@ -12,6 +12,7 @@
 /// Whether an attempt may have had an effect.
 enum class DeliveryState : std::uint8_t { in_flight, not_delivered, may_have_run };
 
+/// One attempt, from its send until the request is forgotten.
 struct Attempt {
   EndpointId endpoint;
   int zone;
@@ -24,6 +25,7 @@
   bool has_started() const { return started >= 0; }
 };
 
+/// One request, from its arrival until its last attempt has ended.
 struct Request {
   RequestArrived arrival;
   Time deadline = 0;
--- a/scheduler/request_lifecycle.h
+++ b/scheduler/request_lifecycle.h
@@ -12,6 +12,7 @@
 
 namespace keelflow::scheduler {
 
+/// The only place that answers a request; every final answer passes `answer`.
 class RequestLifecycle {
  public:
   RequestLifecycle(Environment& environment, RequestTable& requests, RequestQueue& queue,
--- a/scheduler/request_queue.h
+++ b/scheduler/request_queue.h
@@ -16,6 +16,7 @@
 /// Which of the requests: those that can still be in time, or those that cannot.
 enum class QueueTier : std::uint8_t { in_time, overdue };
 
+/// Owns the order. A request knows whether it is queued; a class and a tier have a queue each.
 class RequestQueue {
  public:
   /// A place in the queue: by cost before calibration, then by arrival.
@@ -23,7 +24,8 @@
     double cost;
     std::uint64_t sequence;
     RequestId request;
-    auto operator<=>(const Position&) const = default;
+    auto operator<=>(const Position&) const =
+        default;  // NOLINT(modernize-use-nullptr): a false alarm of clang-tidy 14
   };
   using ClassQueue = std::set<Position>;
 
--- a/scheduler/request_table.h
+++ b/scheduler/request_table.h
@@ -7,6 +7,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns all requests. References stay valid until the request is forgotten.
 class RequestTable {
  public:
   /// Null: there is none of that id.
--- a/scheduler/retry_policy.h
+++ b/scheduler/retry_policy.h
@@ -9,6 +9,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns no state: decides by the request, the endpoint and the time.
 class RetryPolicy {
  public:
   RetryPolicy(const Environment& environment, const EndpointTable& endpoints,
--- a/scheduler/service_statistics.cpp
+++ b/scheduler/service_statistics.cpp
@@ -12,7 +12,7 @@
 constexpr double kEndpointStep = 0.2;  // EMA step of an endpoint's own ratio
 constexpr double kLeastRatio = 0.25;
 constexpr double kMostRatio = 4;
-constexpr double kStartDelays = 3;        // an attempt is late after so many usual delays
+constexpr double kStartDelays = 3;        // an attempt is late after so many average delays
 constexpr double kStartTicks = 4;         // and so many ticks
 constexpr double kStartAllowanceMs = 10;  // and this
 
@@ -61,8 +61,8 @@
 }
 
 void ServiceStatistics::record_start_delay(int zone, double delay_ms) {
-  double& usual = start_delays_[to_index(zone)];
-  usual = usual > 0 ? usual + kAverageStep * (delay_ms - usual) : delay_ms;
+  double& average = start_delays_[to_index(zone)];
+  average = average > 0 ? average + kAverageStep * (delay_ms - average) : delay_ms;
 }
 
 void ServiceStatistics::restore(const LearnedState& learned) {
--- a/scheduler/service_statistics.h
+++ b/scheduler/service_statistics.h
@@ -9,6 +9,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns the averages; ratios of endpoints by slot.
 class ServiceStatistics {
  public:
   explicit ServiceStatistics(const Settings& settings) { resize(settings); }
--- a/scheduler/sliding_window.h
+++ b/scheduler/sliding_window.h
@@ -5,6 +5,7 @@
 
 namespace keelflow::scheduler {
 
+/// For few amounts: adding and summing go through all of them.
 class SlidingWindow {
  public:
   /// What was added for a time before `from` is forgotten.
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -12,6 +12,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns the spent and granted work of each endpoint, by slot. Work is in ms on a standard core.
 class SlowStart {
  public:
   SlowStart(const Environment& environment, const EndpointTable& endpoints,
--- a/scheduler/slow_start_budget.h
+++ b/scheduler/slow_start_budget.h
@@ -3,6 +3,7 @@
 
 namespace keelflow::scheduler {
 
+/// All zero for an endpoint that has warmed up.
 struct SlowStartBudget {
   double own = 0;      ///< of its own part; below 0: more was sent than is thought right by now
   double granted = 0;  ///< of others' parts
--- a/scheduler/state_transfer.h
+++ b/scheduler/state_transfer.h
@@ -14,6 +14,7 @@
 
 namespace keelflow::scheduler {
 
+/// Owns no state: collects it from its owners, and gives it back to them.
 class StateTransfer {
  public:
   StateTransfer(Environment& environment, const EndpointTable& endpoints, EndpointHealth& health,
--- a/scheduler/tenant_quota.h
+++ b/scheduler/tenant_quota.h
@@ -18,6 +18,7 @@
   std::vector<Bucket> buckets;
 };
 
+/// The quotas of this dispatcher, which may share its buckets with others of the node.
 class TenantQuota {
  public:
   explicit TenantQuota(std::shared_ptr<TenantQuotas> quotas);
--- a/scheduler/timer_queue.h
+++ b/scheduler/timer_queue.h
@@ -19,6 +19,8 @@
   poll_list,
 };
 
+/// Owns the timers of one Dispatcher. Timers are not cancelled: one that is moot when due does
+/// nothing.
 class TimerQueue {
  public:
   struct Entry {
--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -1,4 +1,5 @@
-/// Reads a batch: records of 48 bytes, each an event for the instance that the last address record named.
+/// Reads a batch: records of 48 bytes, each an event for the instance that the last address record
+/// named.
 #include <algorithm>
 
 #include "simulator_adapter/big_endian.h"
@@ -126,7 +127,8 @@
         is_addressed = true;
         continue;
       }
-      if (!is_addressed) fault("event before any 'about'");
+      if (!is_addressed)
+        fault("event before any 'about'");
       all.push_back({instance, read_record()});
     }
     return all;
@@ -141,7 +143,8 @@
   std::string_view tail(std::size_t place, std::size_t unit) const {
     std::uint64_t offset = get<std::uint32_t>(record_, place);
     std::uint64_t bytes = static_cast<std::uint64_t>(get<std::uint32_t>(record_, place + 4)) * unit;
-    if (offset > tail_.size() || bytes > tail_.size() - offset) fault("tail field out of bounds");
+    if (offset > tail_.size() || bytes > tail_.size() - offset)
+      fault("tail field out of bounds");
     return tail_.substr(offset, bytes);
   }
 
@@ -159,7 +162,8 @@
       case kStreamStarted:
         return Event(ResponseStreamStarted{subject});
       case kProgress:
-        if (get_u8(record_, 10) != kProgressStarted) return Ignored{};
+        if (get_u8(record_, 10) != kProgressStarted)
+          return Ignored{};
         return Event(AttemptStarted{subject, get_u8(record_, 5)});
       case kClientDisconnected:
         return Event(ClientDisconnected{subject});
--- a/simulator_adapter/big_endian.h
+++ b/simulator_adapter/big_endian.h
@@ -32,6 +32,8 @@
   for (std::size_t i = sizeof(T); i-- > 0; value = static_cast<T>(value >> 8))
     to[i] = static_cast<char>(value & 0xff);
 }
-inline void put_f64(char* to, double value) { put(to, std::bit_cast<std::uint64_t>(value)); }
+inline void put_f64(char* to, double value) {
+  put(to, std::bit_cast<std::uint64_t>(value));
+}
 
 }  // namespace keelflow::simulator_adapter
--- a/simulator_adapter/instance_table.h
+++ b/simulator_adapter/instance_table.h
@@ -14,6 +14,7 @@
 
 namespace keelflow::simulator_adapter {
 
+/// Plays batches of records to the instances that they address.
 class InstanceTable {
  public:
   /// Plays one batch and returns the reply frame. Throws WireError or SettingsError on malformed
--- a/simulator_adapter/key_values.h
+++ b/simulator_adapter/key_values.h
@@ -13,7 +13,8 @@
 
 namespace keelflow::simulator_adapter {
 
-/// The values by key. The text must outlive it. What cannot be read throws SettingsError naming the key.
+/// The values by key. The text must outlive it. What cannot be read throws SettingsError naming the
+/// key.
 class KeyValues {
  public:
   explicit KeyValues(std::string_view text) {
@@ -81,12 +82,12 @@
     auto v = find(key);
     if (!v || v->empty())
       return items;
-    for (std::string_view rest = *v;;) {
-      auto comma = rest.find(',');
-      items.push_back(rest.substr(0, comma));
+    for (std::string_view remaining = *v;;) {
+      auto comma = remaining.find(',');
+      items.push_back(remaining.substr(0, comma));
       if (comma == std::string_view::npos)
         return items;
-      rest.remove_prefix(comma + 1);
+      remaining.remove_prefix(comma + 1);
     }
   }
   double item(const std::string& key, std::size_t i, double otherwise) const {
--- a/simulator_adapter/reply_writer.cpp
+++ b/simulator_adapter/reply_writer.cpp
@@ -83,11 +83,17 @@
   tail_ += text;
 }
 
-void ReplyWriter::give_in(std::string_view reason) { append_tail(append_record(kGiveIn) + 1, reason); }
+void ReplyWriter::give_in(std::string_view reason) {
+  append_tail(append_record(kGiveIn) + 1, reason);
+}
 
-void ReplyWriter::instance(std::uint32_t id) { put(append_record(kInstance) + 1, id); }
+void ReplyWriter::instance(std::uint32_t id) {
+  put(append_record(kInstance) + 1, id);
+}
 
-void ReplyWriter::action(const Action& action) { std::visit(ActionWriter{*this}, action); }
+void ReplyWriter::action(const Action& action) {
+  std::visit(ActionWriter{*this}, action);
+}
 
 std::string ReplyWriter::finish() {
   std::string frame(kReplyHeader, '\0');
