--- a/scheduler/availability.cpp
+++ b/scheduler/availability.cpp
@@ -8,8 +8,8 @@
   double slots = occupied(slot);
   bool has_capacity = slots <= 0 || slots < health_.concurrency_limit(slot);
   bool is_available = is_ready && !health_.is_ejected(slot) && has_capacity;
-  bool is_own = subset_.entry(slot, slow_start_.is_warming_up(slot)).is_own;
-  endpoints_.index(slot, is_available, is_own);
+  bool is_in_subset = is_available && subset_.entry(slot, slow_start_.is_warming_up(slot)).is_own;
+  endpoints_.index(slot, is_available, is_in_subset);
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/cost_calibration.cpp
+++ b/scheduler/cost_calibration.cpp
@@ -22,14 +22,6 @@
   }
 }
 
-double CostCalibration::factor(int class_index) const {
-  return classes_.at(to_index(class_index)).factor;
-}
-
-double CostCalibration::calibrated_cost(const Request& request) const {
-  return request.arrival.hint * classes_[to_index(request.arrival.class_index)].factor;
-}
-
 void CostCalibration::record_hint(int class_index, double hint) {
   LearnedState::Calibration& learned = classes_[to_index(class_index)];
   learned.hint_sum += hint;
--- a/scheduler/cost_calibration.h
+++ b/scheduler/cost_calibration.h
@@ -4,6 +4,7 @@
 
 #include <vector>
 
+#include "scheduler/hashing.h"
 #include "scheduler/learned_state.h"
 #include "scheduler/request.h"
 
@@ -20,9 +21,11 @@
   /// Classes are numbered anew: for each the number it had, or -1.
   void renumber(const std::vector<int>& learned_from, std::size_t classes);
 
-  double factor(int class_index) const;
+  double factor(int class_index) const { return classes_[to_index(class_index)].factor; }
   /// The cost that is to be expected of the request on an endpoint of usual speed, in ms.
-  double calibrated_cost(const Request& request) const;
+  double calibrated_cost(const Request& request) const {
+    return request.arrival.hint * factor(request.arrival.class_index);
+  }
 
   void record_hint(int class_index, double hint);
   /// What a request without a hint counts as; `otherwise` where there was no hint yet.
--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -171,7 +171,7 @@
 }
 
 double Dispatcher::calibration(int class_index) const {
-  return impl_->calibration.factor(class_index);
+  return impl_->calibration.learned().at(to_index(class_index)).factor;
 }
 
 std::size_t Dispatcher::queued_requests() const {
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -5,13 +5,6 @@
 
 namespace keelflow::scheduler {
 
-std::optional<EndpointSlot> EndpointTable::find(EndpointId id) const {
-  auto it = slots_.find(id);
-  if (it == slots_.end())
-    return std::nullopt;
-  return it->second;
-}
-
 const std::set<EndpointId>& EndpointTable::in_cell(int cell) const {
   static const std::set<EndpointId> none;
   auto it = cells_.find(cell);
@@ -92,8 +85,4 @@
   kind.available_in_subset.set(slot, is_available && is_in_subset);
 }
 
-bool EndpointTable::is_available(EndpointSlot slot) const {
-  return kinds_[to_place(records_[slot].entry.kind)].available.has(slot);
-}
-
 }  // namespace keelflow::scheduler
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -37,7 +37,13 @@
   explicit EndpointTable(int kinds) { resize(kinds); }
   void resize(int kinds) { kinds_.resize(static_cast<std::size_t>(kinds)); }
 
-  std::optional<EndpointSlot> find(EndpointId id) const;
+  /// Empty: it is not known, or has been forgotten.
+  std::optional<EndpointSlot> find(EndpointId id) const {
+    auto it = slots_.find(id);
+    if (it == slots_.end())
+      return std::nullopt;
+    return it->second;
+  }
   const EndpointRecord& at(EndpointSlot slot) const { return records_[slot]; }
   bool is_listed(EndpointId id) const { return listed_.contains(id); }
   const std::set<EndpointId>& listed() const { return listed_; }
@@ -59,7 +65,9 @@
 
   /// Available: ready, not ejected and with capacity. The subset's are sampled first.
   void index(EndpointSlot slot, bool is_available, bool is_in_subset);
-  bool is_available(EndpointSlot slot) const;
+  bool is_available(EndpointSlot slot) const {
+    return kinds_[to_place(records_[slot].entry.kind)].available.has(slot);
+  }
   const SampledSet& available(int kind) const { return kinds_[to_place(kind)].available; }
   const SampledSet& available_in_subset(int kind) const {
     return kinds_[to_place(kind)].available_in_subset;
--- a/scheduler/peer_load.cpp
+++ b/scheduler/peer_load.cpp
@@ -82,11 +82,4 @@
     reports.push_back({peer, in_flight, until});
 }
 
-double PeerLoad::sum(EndpointSlot slot, Time now) const {
-  double all = 0;
-  for (const Report& report : reports_[slot])
-    all += report.until > now ? report.in_flight : 0;
-  return all;
-}
-
 }  // namespace keelflow::scheduler
--- a/scheduler/peer_load.h
+++ b/scheduler/peer_load.h
@@ -55,7 +55,12 @@
   /// A new incarnation.
   void reset(EndpointSlot slot);
   void set(EndpointSlot slot, int peer, double in_flight, Time until);
-  double sum(EndpointSlot slot, Time now) const;
+  double sum(EndpointSlot slot, Time now) const {
+    double all = 0;
+    for (const Report& report : reports_[slot])
+      all += report.until > now ? report.in_flight : 0;
+    return all;
+  }
 
  private:
   struct Report {
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -25,14 +25,7 @@
   states_[slot].fraction = 1.0 / environment_.settings.dispatchers;
 }
 
-bool SlowStart::is_warming_up(EndpointSlot slot) const {
-  Time started_at = endpoints_.at(slot).entry.started_at;
-  return started_at > 0 && environment_.now < started_at + environment_.settings.slow_start_ms;
-}
-
-double SlowStart::weight(EndpointSlot slot) const {
-  if (!is_warming_up(slot))
-    return 1;
+double SlowStart::weight_at_age(EndpointSlot slot) const {
   const Settings& settings = environment_.settings;
   double least = settings.slow_start_initial_fraction;
   double age = std::max(0.0, environment_.now - endpoints_.at(slot).entry.started_at);
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -22,9 +22,12 @@
   /// A new incarnation: an even part, nothing granted, nothing sent.
   void reset(EndpointSlot slot);
 
-  bool is_warming_up(EndpointSlot slot) const;
+  bool is_warming_up(EndpointSlot slot) const {
+    Time started_at = endpoints_.at(slot).entry.started_at;
+    return started_at > 0 && environment_.now < started_at + environment_.settings.slow_start_ms;
+  }
   /// The least fraction of its capacity that the endpoint can have by now.
-  double weight(EndpointSlot slot) const;
+  double weight(EndpointSlot slot) const { return is_warming_up(slot) ? weight_at_age(slot) : 1; }
   /// What the request counts as in the budget: as if its kind were as fast as its size says.
   double work_of(EndpointSlot slot, double hint, double calibrated_cost) const;
 
@@ -52,6 +55,7 @@
     SlidingWindow sent;
   };
 
+  double weight_at_age(EndpointSlot slot) const;
   double granted(const State& state) const;
 
   const Environment& environment_;
