--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -23,7 +23,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/words.h"
+#include "fleet/membership_message.h"
 
 namespace keelflow::fleet {
 
--- a/logic/fleet/words.cpp
+++ b/logic/fleet/membership_message.cpp
@@ -1,4 +1,4 @@
-#include "fleet/words.h"
+#include "fleet/membership_message.h"
 
 #include <algorithm>
 
--- a/logic/fleet/turns.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -1,4 +1,4 @@
-#include "fleet/turns.h"
+#include "fleet/slow_start_leases.h"
 
 #include <algorithm>
 #include <cmath>
--- a/node/config/own_config.h
+++ b/node/config/own_config.h
@@ -8,7 +8,7 @@
 
 #include "config/config.h"
 #include "config/sexp.h"
-#include "fleet/members.h"
+#include "fleet/membership_agent.h"
 #include "log/log.h"
 #include "moves/move.h"
 #include "plugins/settings.h"
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -9,8 +9,8 @@
 
 #include "core/counters.h"
 #include "core/ports.h"
+#include "fleet/slow_start_leases.h"
 #include "fleet/subsets.h"
-#include "fleet/turns.h"
 #include "invariants/monitor.h"
 #include "operation_guard/operation_guard.h"
 
--- a/node/fleet/members.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -1,4 +1,4 @@
-#include "fleet/members.h"
+#include "fleet/membership_agent.h"
 
 #include <nlohmann/json.hpp>
 
--- a/node/handover/knowledge_form.cpp
+++ b/node/handover/learned_state_codec.cpp
@@ -1,4 +1,4 @@
-#include "handover/knowledge_form.h"
+#include "handover/learned_state_codec.h"
 
 #include <nlohmann/json.hpp>
 
--- a/simulator_adapter/instances.h
+++ b/simulator_adapter/instances.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
+#include "fleet/slow_start_leases.h"
 #include "fleet/subsets.h"
-#include "fleet/turns.h"
 #include "simulator_adapter/codec.h"
 
 namespace keelflow::simulator_adapter {
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "fleet/slow_start_leases.h"
 #include "fleet/subsets.h"
-#include "fleet/turns.h"
 #include "scheduler/dispatcher.h"
 
 namespace keelflow::scheduler {
--- a/tests/logic/turns_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <sstream>
 
-#include "turns_world.h"
+#include "slow_start_leases_world.h"
 
 namespace keelflow::fleet {
 namespace {
--- a/tests/logic/turns_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -1,6 +1,6 @@
 // SlowStartLeases: whatever the network and the nodes do, all together send a cold endpoint no more
 // than its budget.
-#include "fleet/turns.h"
+#include "fleet/slow_start_leases.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 #include <memory>
 #include <random>
 
-#include "turns_world.h"
+#include "slow_start_leases_world.h"
 
 namespace keelflow::fleet {
 namespace {
--- a/tests/logic/turns_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -2,7 +2,7 @@
 // they send there is played.
 #pragma once
 
-#include "fleet/turns.h"
+#include "fleet/slow_start_leases.h"
 #include "harness.h"
 
 namespace keelflow::fleet {
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -2,7 +2,7 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
-#include "handover/knowledge_form.h"
+#include "handover/learned_state_codec.h"
 #include "scenario.h"
 #include "start.h"
 
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
+#include "fleet/slow_start_leases.h"
 #include "fleet/subsets.h"
-#include "fleet/turns.h"
 
 namespace keelflow::replay {
 namespace {
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -15,10 +15,10 @@
 
 #include "core/counters.h"
 #include "discovery/outage_presumption.h"
-#include "fleet/turns.h"
-#include "fleet/words.h"
+#include "fleet/membership_message.h"
+#include "fleet/slow_start_leases.h"
 #include "handover/handover.h"
-#include "handover/knowledge_form.h"
+#include "handover/learned_state_codec.h"
 #include "net/event_loop.h"
 #include "recording.h"
 #include "scheduler/peers.h"
