--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -1,122 +1,88 @@
-// Who may send how much to a cold endpoint (rule 4): granted, never inferred. Pure.
-//
-// Each life of an endpoint orders all nodes of the configuration by a hash that all share. The
-// first few own fixed parts of what all together may send it within a window; the parts add up to
-// the whole whatever anyone believes or hears. An owner may grant another node some of its own part
-// for a while. It counts that as sent at the grant's end, which is later by any clock that drifts
-// less than kDrift than the end by which the other goes; what the other tells that it has not used,
-// and will not use, comes back. A lost word wastes a little of the budget and never exceeds it.
-//
-// A node that starts has no part in endpoints that started before it, until all that a former life
-// of it may have sent or granted is out of the window.
+/// Who may send how much to an endpoint that is warming up (rule 4): leased, never inferred. Pure.
+///
+/// Each incarnation of an endpoint orders all dispatchers of the configuration by a hash that all
+/// share. The first few own fixed parts of what all together may send it within a window; the parts
+/// add up to the whole whatever anyone believes or receives. An owner may lease some of its own
+/// part to another dispatcher for a while.
+///
+/// A dispatcher that starts has no part in endpoints that started before it, until all that a
+/// former incarnation of it may have sent or granted is out of the window.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <optional>
-#include <string>
 #include <string_view>
 #include <vector>
 
+#include "fleet/slow_start_borrower.h"
+#include "fleet/slow_start_lease.h"
+#include "fleet/slow_start_message.h"
+#include "fleet/slow_start_order.h"
+#include "fleet/slow_start_owner.h"
 #include "scheduler/dispatcher.h"
 
 namespace keelflow::fleet {
 
-// What goes between nodes: 28 bytes, big-endian: mark fd, version, kind, 0; endpoint (4), its life
-// (4), the asker's life (4), number (4), work and least work in ms (4 each). Of another version,
-// size or kind it is none.
-struct SlowStartMessage {
-  enum class Kind : std::uint8_t { ask, grant, back } kind = Kind::ask;
-  scheduler::EndpointId endpoint = 0;
-  std::uint32_t life = 0;   // of the endpoint
-  std::uint32_t asker = 0;  // life of the node that asked
-  std::uint32_t number = 0;
-  std::uint32_t work = 0,
-                least = 0;  // ms: wanted and the least that is of use, granted, or given back
-};
-std::string encode(const SlowStartMessage& word);
-std::optional<SlowStartMessage> decode_slow_start_message(std::string_view bytes);
-
-// The order of all nodes at one life of an endpoint.
-std::vector<int> order_at(const scheduler::EndpointEntry& endpoint, int dispatchers);
-// The part of the one at that place: all add up to 1.
-double share_at(int place, int dispatchers);
-
-constexpr double kDrift = 0.1;  // clocks may run apart by so much
-
-// Beside one Dispatcher: tells it its parts and its grants, and asks and grants for it.
+/// Stands beside one Dispatcher: notifies it of its parts and of leases, and requests and grants
+/// leases for it. Owns the leases of all endpoints that are warming up; the two sides of a lease
+/// are SlowStartOwner's and SlowStartBorrower's.
 class SlowStartLeases {
  public:
-  struct Statistics {
-    std::uint64_t asked = 0, got = 0, granted = 0, denied = 0, came_back = 0, late = 0;
-    Statistics& operator+=(const Statistics& o);
-  };
-  struct EndpointLease {  // at one cold endpoint
-    scheduler::EndpointEntry entry;
-    std::vector<int> order;
-    int place = 0;  // of this node
-    bool own = false;
-    double told_share = -1;
-    std::uint32_t number = 0;  // of what was asked last, at `owner`
-    int owner = -1;
-    scheduler::Time asked = -1e18, until = 0;  // until: of the grant held
-    bool waiting = false;
-    struct Given {
-      std::uint32_t asker = 0,
-                    number = 0;  // the last one granted; numbers of an asker's life only rise
-      double work = 0;
-      scheduler::Time until = 0;
-      bool back = true;
-    };
-    std::map<int, Given> given;  // by node: one at a time
-  };
+  using EndpointLease = fleet::EndpointLease;
+  using Statistics = SlowStartStatistics;
 
-  // `started`: when this node did, on the Dispatcher's clock.
-  SlowStartLeases(const scheduler::Settings& settings, scheduler::Time started);
-  // For each event that the Dispatcher was given, right after it. `told`: what it is to be told
-  // then.
+  /// `started_at`: when this process did, on the Dispatcher's clock.
+  SlowStartLeases(const scheduler::Settings& settings, scheduler::Time started_at);
+
+  /// For each event that the Dispatcher was given, right after it. `notifications`: the events that
+  /// it is to be given then; `out`: messages to send.
   void after(scheduler::Time now, const scheduler::Event& event,
-             const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
+             const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& notifications,
              scheduler::Actions& out);
 
-  void grants(bool on) { grants_ = on; }  // off: it asks for nothing and grants nothing from now on
+  /// Off: from now on nothing is requested and nothing granted.
+  void grants(bool on) { is_enabled_ = on; }
 
-  const std::map<scheduler::EndpointId, EndpointLease>& turns() const { return turns_; }
-  const Statistics& figures() const { return figures_; }
-  double length() const { return length_; }  // of a grant, ms
+  const std::map<scheduler::EndpointId, EndpointLease>& leases() const { return leases_; }
+  Statistics statistics() const;
+  /// Of a lease, in ms.
+  double length() const { return length_ms_; }
 
  private:
-  bool take(const scheduler::EndpointList& list);
-  void begin(const scheduler::EndpointEntry& entry);
-  void order();
-  double share(const EndpointLease& turn) const;
-  bool waits(const EndpointLease& turn) const;
-  void tell_shares(std::vector<scheduler::Event>& told);
-  void age(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
-           scheduler::Actions& out);
-  void hear(const scheduler::PeerMessage& message, const scheduler::Dispatcher& dispatcher,
-            std::vector<scheduler::Event>& told, scheduler::Actions& out);
-  void grant(int asker, const SlowStartMessage& word, EndpointLease& turn,
-             const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
-             scheduler::Actions& out);
-  void ask(EndpointLease& turn, const scheduler::SlowStartBudget& room, scheduler::Actions& out);
-  void ask_all(const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& told,
-               scheduler::Actions& out);
-  void give_back(EndpointLease& turn, double left, std::vector<scheduler::Event>& told,
-                 scheduler::Actions& out);
-  int next_owner(const EndpointLease& turn) const;
-  bool grants() const { return grants_ && peers_ && dispatchers_ > 1 && !twin_; }
+  void apply_settings(const scheduler::Settings& settings);
+  bool apply_list(const scheduler::EndpointList& list);
+  void rebuild_leases();
+  void notify_fractions(std::vector<scheduler::Event>& notifications);
+  void expire(const scheduler::Dispatcher& dispatcher, SlowStartOutput out);
+  void request_leases(const scheduler::Dispatcher& dispatcher, SlowStartOutput out);
+  void on_message(const scheduler::PeerMessage& message, const scheduler::Dispatcher& dispatcher,
+                  SlowStartOutput out);
+
+  int subset_dispatchers() const;
+  bool is_warming_up(const scheduler::EndpointEntry& entry) const;
+  bool must_wait(const EndpointLease& lease) const;
+  double fraction_of(const EndpointLease& lease) const;
+  /// When a lease that ends then is given back: a little earlier, as the owner learns nothing from
+  /// a return that arrives after the end.
+  scheduler::Time return_time(scheduler::Time until) const;
+  bool may_lease() const;
 
-  int dispatchers_, self_;
-  bool peers_, twin_ = false, grants_ = true;
-  scheduler::Time now_ = 0, started_, next_ = 0;
-  double cold_ms_, window_, length_;
-  std::uint32_t life_, number_ = 0;
-  std::map<scheduler::EndpointId, scheduler::EndpointEntry> endpoints_;
-  std::map<scheduler::EndpointId, EndpointLease> turns_;
-  std::vector<bool> lives_;
-  std::vector<scheduler::Time> silent_;  // by node: it did not answer; it is asked last until then
-  Statistics figures_;
+  int dispatchers_;
+  int self_;
+  bool peers_;  ///< dispatchers may send one another messages
+  bool has_sibling_process_ = false;
+  bool is_enabled_ = true;
+  scheduler::Time now_ = 0;
+  scheduler::Time started_at_;
+  scheduler::Time next_expiry_ = 0;  ///< expire() has nothing to do before it
+  double slow_start_ms_;
+  double window_ms_;
+  double length_ms_;
+  std::map<scheduler::EndpointId, scheduler::EndpointEntry> endpoints_;  ///< the list
+  std::map<scheduler::EndpointId, EndpointLease> leases_;                ///< those warming up
+  std::vector<bool> is_alive_;                                           ///< by dispatcher
+  SlowStartOwner owner_;
+  SlowStartBorrower borrower_;
 };
 
 }  // namespace keelflow::fleet
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -526,14 +526,14 @@
                              const scheduler::SlowStartBudget&)>& look) const {
   double now = clock_.unix_ms(timers_.now());
   for (std::size_t i = 0; i < lanes_.size(); ++i)
-    for (const auto& [endpoint, turn] : lanes_[i]->turns.turns())
+    for (const auto& [endpoint, turn] : lanes_[i]->turns.leases())
       look(static_cast<int>(i), turn, lanes_[i]->dispatcher.slow_start_budget(endpoint, now));
 }
 
 fleet::SlowStartLeases::Statistics Engine::lease_statistics() const {
   fleet::SlowStartLeases::Statistics all;
   for (const auto& lane : lanes_)
-    all += lane->turns.figures();
+    all += lane->turns.statistics();
   return all;
 }
 
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -517,26 +517,26 @@
                                const scheduler::SlowStartBudget& room) {
       const Destination* known = destinations_.find(turn.entry.endpoint);
       double granted = 0;
-      for (const auto& [node, given] : turn.given)
-        granted += given.until > now && !given.back ? given.work : 0;
-      at.push_back(
-          {{"pool", pool},
-           {"executor", known ? known->host : ""},
-           {"age_s", (now - turn.entry.started_at) / 1000},
-           {"share", turn.told_share},
-           {"left_ms", room.own},
-           {"held_ms", room.granted},
-           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-           {"granted_ms", granted}});
+      for (const auto& [node, given] : turn.granted)
+        granted += given.until > now && !given.is_returned ? given.work_ms : 0;
+      at.push_back({{"pool", pool},
+                    {"executor", known ? known->host : ""},
+                    {"age_s", (now - turn.entry.started_at) / 1000},
+                    {"share", turn.last_notified_fraction},
+                    {"left_ms", room.own},
+                    {"held_ms", room.granted},
+                    {"held_of", room.granted > 0 ? nlohmann::json(turn.borrowed.owner)
+                                                 : nlohmann::json(nullptr)},
+                    {"granted_ms", granted}});
     });
     fleet::SlowStartLeases::Statistics f = engine_.lease_statistics();
     return {{"on", own_.turns && config_.settings.peers},
             {"executors", at},
-            {"asked", f.asked},
-            {"got", f.got},
+            {"asked", f.requested},
+            {"got", f.obtained},
             {"granted", f.granted},
             {"denied", f.denied},
-            {"came_back", f.came_back},
+            {"came_back", f.returned},
             {"late", f.late}};
   }
 
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -46,14 +46,14 @@
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
     s_.overload_multiple = 400.0 * 8 / (0.62 * s_.overload_window_ms) +
                            1e-9;  // so that the first owner's part is 400 ms of work
-    auto order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, kNodes);
+    auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
     ranks_ = {order[8], order[9], order[0]};  // two that have no part, and the owner
     for (int rank : ranks_)
-      lives_[static_cast<std::size_t>(rank)] = true;
-    now_ = kBorn - 1;  // before it: nothing can have been sent yet
+      is_alive_[static_cast<std::size_t>(rank)] = true;
+    now_ = kStartedAt - 1;  // before it: nothing can have been sent yet
     for (int i = 0; i < 3; ++i)
       begin(i);
-    now_ = kBorn;
+    now_ = kStartedAt;
   }
 
   void play() {
@@ -63,14 +63,14 @@
   int grants = 0, backs = 0, lates = 0, again = 0;
 
  private:
-  struct Letter {
+  struct Datagram {
     int from, to;
     std::string bytes;
   };
 
   void begin(int i) {
     nodes_[static_cast<std::size_t>(i)] =
-        std::make_unique<Node>(s_, ranks_[static_cast<std::size_t>(i)], now_, lives_);
+        std::make_unique<Node>(s_, ranks_[static_cast<std::size_t>(i)], now_, is_alive_);
   }
   Node& node(int i) {
     Node& n = *nodes_[static_cast<std::size_t>(i)];
@@ -83,14 +83,14 @@
     return ++at_, true;
   }
 
-  // The words that node has to tell are those that the model sends, in this order.
+  // The messages that node sent are those that the model sends, in this order.
   void tell(int i) {
-    for (const SendPeerMessage& word : node(i).words()) {
+    for (const SendPeerMessage& message : node(i).messages()) {
       int to = 0;
-      while (ranks_[static_cast<std::size_t>(to)] != word.peer)
+      while (ranks_[static_cast<std::size_t>(to)] != message.peer)
         ++to;
       if (next_is("sent"))
-        net_.push_back({i, to, word.bytes});
+        net_.push_back({i, to, message.bytes});
       else if (!next_is("unsent"))
         ADD_FAILURE() << "line " << at_ << ": a word that the model does not send";
     }
@@ -99,25 +99,25 @@
   }
 
   void deliver() {
-    Letter letter = net_.front();
+    Datagram datagram = net_.front();
     net_.pop_front();
-    node(letter.to).bench.play(
-        PeerMessage{ranks_[static_cast<std::size_t>(letter.from)], letter.bytes});
-    backs += decode_slow_start_message(letter.bytes)->kind == SlowStartMessage::Kind::back;
+    node(datagram.to)
+        .bench.play(PeerMessage{ranks_[static_cast<std::size_t>(datagram.from)], datagram.bytes});
+    backs += decode_slow_start_message(datagram.bytes)->kind == SlowStartMessage::Kind::returned;
     if (at_ < lines_.size() && lines_[at_].starts_with("grant ")) {
-      auto words = node(letter.to).words();
-      ASSERT_EQ(words.size(), 1u) << "line " << at_;
-      EXPECT_EQ("grant " + std::to_string(decode_slow_start_message(words[0].bytes)->work),
+      auto messages = node(datagram.to).messages();
+      ASSERT_EQ(messages.size(), 1u) << "line " << at_;
+      EXPECT_EQ("grant " + std::to_string(decode_slow_start_message(messages[0].bytes)->work_ms),
                 lines_[at_++]);
       ++grants;
       if (next_is("sent"))
-        net_.push_back({letter.to, letter.from, words[0].bytes});
+        net_.push_back({datagram.to, datagram.from, messages[0].bytes});
       else
         EXPECT_TRUE(next_is("unsent"));
       return;
     }
-    tell(letter.to);
-    double held = node(letter.to).room().granted;
+    tell(datagram.to);
+    double held = node(datagram.to).room().granted;
     if (next_is("late")) {
       EXPECT_EQ(held, 0);
       ++lates;
@@ -129,9 +129,9 @@
   }
 
   void step(const std::string& line) {
-    std::istringstream words(line);
+    std::istringstream fields(line);
     std::string what, how;
-    words >> what;
+    fields >> what;
     if (what == "tick") {
       now_ += 2 * kUnit;
       node(2).bench.play(ClientDisconnected{});  // that its wait is over the module hears with the
@@ -150,12 +150,12 @@
     if (line == "owner again")
       begin(2), ++again;
     if (what == "own") {
-      words >> how;
+      fields >> how;
       EXPECT_EQ(node(2).job(), how == "used") << "line " << at_;
     }
     if (what == "arrive") {
       int i = 0;
-      words >> i >> how;
+      fields >> i >> how;
       EXPECT_EQ(node(i).job(), how == "used") << "line " << at_;
       tell(i);
     }
@@ -165,13 +165,13 @@
   std::size_t at_ = 0;
   Settings s_ = many(kNodes);
   std::array<int, 3> ranks_{};
-  std::vector<bool> lives_ = std::vector<bool>(kNodes, false);
+  std::vector<bool> is_alive_ = std::vector<bool>(kNodes, false);
   std::array<std::unique_ptr<Node>, 3> nodes_;
-  std::deque<Letter> net_;
-  Time now_ = kBorn;
+  std::deque<Datagram> net_;
+  Time now_ = kStartedAt;
 };
 
-TEST(TurnsReplay, TheProgramDoesWhatTheModelDoes) {
+TEST(SlowStartLeasesReplay, TheProgramDoesWhatTheModelDoes) {
   int grants = 0, backs = 0, lates = 0, again = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     auto lines = run_of(seed);
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -19,9 +19,9 @@
 constexpr double kMargin = 0.62;  // of what makes it fall over, as src/decide.cpp has it
 
 struct Faults {
-  unsigned lost = 0, doubled = 0;  // of 100 words
+  unsigned lost = 0, doubled = 0;  // of 100 messages
   int most_delay = 20;             // ms
-  int mute = 0;                    // so many nodes hear all and are heard by nobody
+  int unheard_nodes = 0;           // so many nodes hear all and are heard by nobody
   bool restarts = false, stalls = false;
   unsigned jobs = 10;     // of 1000 steps of a node
   std::size_t busy = 30;  // nodes that have any
@@ -32,17 +32,18 @@
 struct World {
   World(int count, unsigned seed, const Faults& f) : s(many(count)), random(seed), faults(f) {
     for (int n = 0; n < count; ++n)
-      nodes.push_back(std::make_unique<Node>(s, n, kBorn - 1));
+      nodes.push_back(std::make_unique<Node>(s, n, kStartedAt - 1));
     asleep.resize(nodes.size());
-    for (now = kBorn; now < kBorn + 20000; now += 5)
+    for (now = kStartedAt; now < kStartedAt + 20000; now += 5)
       step();
   }
 
   void step() {
-    for (; !coming.empty() && coming.begin()->first <= now; coming.erase(coming.begin())) {
-      auto [from, to, bytes] = coming.begin()->second;
+    for (; !in_flight.empty() && in_flight.begin()->first <= now;
+         in_flight.erase(in_flight.begin())) {
+      auto [from, to, bytes] = in_flight.begin()->second;
       if (asleep[to] > now)
-        coming.emplace(asleep[to], std::tuple(from, to, bytes));
+        in_flight.emplace(asleep[to], std::tuple(from, to, bytes));
       else
         at(to).bench.play(PeerMessage{static_cast<int>(from), bytes});
     }
@@ -55,8 +56,8 @@
         asleep[n] = now + 3000;
       if (n < faults.busy && random() % 1000 < faults.jobs && at(n).job())
         sent.emplace_back(now, kJob);
-      for (const SendPeerMessage& word : at(n).words())
-        post(n, word);
+      for (const SendPeerMessage& message : at(n).messages())
+        post(n, message);
     }
   }
 
@@ -65,13 +66,13 @@
     return *nodes[n];
   }
 
-  void post(std::size_t from, const SendPeerMessage& word) {
-    ++words;
-    if (static_cast<int>(from) < faults.mute || random() % 100 < faults.lost)
+  void post(std::size_t from, const SendPeerMessage& message) {
+    ++messages;
+    if (static_cast<int>(from) < faults.unheard_nodes || random() % 100 < faults.lost)
       return;
     for (unsigned copies = 1 + (random() % 100 < faults.doubled); copies > 0; --copies)
-      coming.emplace(now + 1 + random() % static_cast<unsigned>(faults.most_delay),
-                     std::tuple(from, static_cast<std::size_t>(word.peer), word.bytes));
+      in_flight.emplace(now + 1 + random() % static_cast<unsigned>(faults.most_delay),
+                        std::tuple(from, static_cast<std::size_t>(message.peer), message.bytes));
   }
 
   double fullest() const {  // of what makes it fall over
@@ -96,27 +97,27 @@
   Time now = 0;
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<Time> asleep;
-  std::multimap<Time, std::tuple<std::size_t, std::size_t, std::string>> coming;
+  std::multimap<Time, std::tuple<std::size_t, std::size_t, std::string>> in_flight;
   std::vector<std::pair<Time, double>> sent;
-  std::uint64_t words = 0;
+  std::uint64_t messages = 0;
 };
 
-TEST(Turns, TheSumHoldsWhateverTheNetworkAndTheNodesDo) {
+TEST(SlowStartLeases, TheSumHoldsWhateverTheNetworkAndTheNodesDo) {
   const std::map<const char*, Faults> kinds = {
       {"none", {}},
       {"a rush", {.jobs = 60}},
       {"lost", {.lost = 30, .doubled = 20, .most_delay = 400, .jobs = 60}},
       {"late", {.doubled = 50, .most_delay = 3000, .jobs = 60}},
-      {"one mute", {.mute = 1, .jobs = 60}},
-      {"a third mute", {.mute = 10, .jobs = 60}},
-      {"all but one mute", {.mute = 29, .jobs = 60}},
+      {"one mute", {.unheard_nodes = 1, .jobs = 60}},
+      {"a third mute", {.unheard_nodes = 10, .jobs = 60}},
+      {"all but one mute", {.unheard_nodes = 29, .jobs = 60}},
       {"stalls", {.lost = 10, .doubled = 30, .stalls = true, .jobs = 60}},
       {"restarts", {.lost = 10, .doubled = 30, .restarts = true, .jobs = 60}},
       {"everything",
        {.lost = 20,
         .doubled = 50,
         .most_delay = 1000,
-        .mute = 5,
+        .unheard_nodes = 5,
         .restarts = true,
         .stalls = true,
         .jobs = 60}},
@@ -130,7 +131,7 @@
     }
 }
 
-TEST(Turns, GrantsMakePartsOfUseToThoseWhoHaveTheTraffic) {
+TEST(SlowStartLeases, GrantsMakePartsOfUseToThoseWhoHaveTheTraffic) {
   for (unsigned seed : {1u, 2u, 3u}) {
     World alone(30, seed, {.lost = 100, .jobs = 60, .busy = 6}),
         together(30, seed, {.jobs = 60, .busy = 6}),
@@ -143,11 +144,11 @@
   }
 }
 
-TEST(Turns, PartsAddUpToOne) {
+TEST(SlowStartLeases, PartsAddUpToOne) {
   for (int nodes : {1, 2, 3, 7, 8, 9, 100, 1000}) {
     double sum = 0;
     for (int place = 0; place < nodes; ++place)
-      sum += share_at(place, nodes);
+      sum += fraction_at(place, nodes);
     EXPECT_NEAR(sum, 1, 1e-9) << nodes;
   }
 }
@@ -155,140 +156,140 @@
 // The owner and one that has no part, of many; nobody else lives.
 struct Pair {
   Pair() {
-    lives.assign(20, false);
-    order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, 20);
-    lives[at(0)] = lives[at(10)] = true;
-    owner.emplace(s, order[0], kBorn - 1, lives);
-    asker.emplace(s, order[10], kBorn - 1, lives);
+    is_alive.assign(20, false);
+    order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
+    is_alive[at(0)] = is_alive[at(10)] = true;
+    owner.emplace(s, order[0], kStartedAt - 1, is_alive);
+    borrower.emplace(s, order[10], kStartedAt - 1, is_alive);
   }
   std::size_t at(std::size_t place) const { return static_cast<std::size_t>(order[place]); }
-  void to(Time now) { owner->bench.now = asker->bench.now = now; }
-  std::string ask() {  // the word, or none
-    asker->job();
-    auto words = asker->words();
-    return words.empty() ? std::string() : words.back().bytes;
+  void to(Time now) { owner->bench.now = borrower->bench.now = now; }
+  std::string ask() {  // the message, or none
+    borrower->job();
+    auto messages = borrower->messages();
+    return messages.empty() ? std::string() : messages.back().bytes;
   }
   std::string grant(const std::string& ask) {
     owner->bench.play(PeerMessage{order[10], ask});
-    auto words = owner->words();
-    return words.empty() ? std::string() : words.back().bytes;
+    auto messages = owner->messages();
+    return messages.empty() ? std::string() : messages.back().bytes;
   }
-  void hear(const std::string& grant) { asker->bench.play(PeerMessage{order[0], grant}); }
+  void receive(const std::string& grant) { borrower->bench.play(PeerMessage{order[0], grant}); }
 
   Settings s = many(20);
-  std::vector<bool> lives;
+  std::vector<bool> is_alive;
   std::vector<int> order;
-  std::optional<Node> owner, asker;
+  std::optional<Node> owner, borrower;
 };
 
-TEST(Turns, AGrantEndsAtTheAskersClockBeforeTheOwnersAndIsUsedOnce) {
+TEST(SlowStartLeases, AGrantEndsAtTheAskersClockBeforeTheOwnersAndIsUsedOnce) {
   Pair p;
-  p.to(kBorn + 100);
+  p.to(kStartedAt + 100);
   std::string ask = p.ask();
   ASSERT_FALSE(ask.empty());
   double before = p.owner->room().own;
   std::string grant = p.grant(ask);
   ASSERT_FALSE(grant.empty());
-  double work = decode_slow_start_message(grant)->work;
+  double work = decode_slow_start_message(grant)->work_ms;
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - work);
   EXPECT_TRUE(p.grant(ask).empty()) << "a doubled ask is not granted twice";
-  p.hear(grant);
-  EXPECT_DOUBLE_EQ(p.asker->room().granted, work);
-  EXPECT_TRUE(p.asker->job());
-  EXPECT_DOUBLE_EQ(p.asker->room().granted, work - kJob);
-  p.hear(grant);
-  EXPECT_DOUBLE_EQ(p.asker->room().granted, work - kJob) << "a doubled grant is nothing new";
-  double length = p.asker->bench.turns.length();
-  p.to(kBorn + 100 + length);
-  EXPECT_FALSE(p.asker->job()) << "its end has come";
-  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.overload_window_ms - 1);
+  p.receive(grant);
+  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work);
+  EXPECT_TRUE(p.borrower->job());
+  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob);
+  p.receive(grant);
+  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob) << "a doubled grant is nothing new";
+  double length = p.borrower->bench.turns.length();
+  p.to(kStartedAt + 100 + length);
+  EXPECT_FALSE(p.borrower->job()) << "its end has come";
+  p.to(kStartedAt + 100 + (1 + kDrift) * length + p.s.overload_window_ms - 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - work)
       << "it may have been used up to its end, and fills the window from there";
-  p.to(kBorn + 100 + (1 + kDrift) * length + p.s.overload_window_ms + 1);
+  p.to(kStartedAt + 100 + (1 + kDrift) * length + p.s.overload_window_ms + 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
 }
 
-TEST(Turns, AGrantThatComesLateIsNone) {
+TEST(SlowStartLeases, AGrantThatComesLateIsNone) {
   Pair p;
-  p.to(kBorn + 100);
+  p.to(kStartedAt + 100);
   std::string ask = p.ask();
-  p.to(kBorn + 100 + p.asker->bench.turns.length());
+  p.to(kStartedAt + 100 + p.borrower->bench.turns.length());
   std::string grant = p.grant(ask);  // the ask was on its way all the time; the owner cannot know
   ASSERT_FALSE(grant.empty());
-  p.hear(grant);
-  EXPECT_EQ(p.asker->room().granted, 0);
-  EXPECT_EQ(p.asker->bench.turns.figures().late, 1u);
+  p.receive(grant);
+  EXPECT_EQ(p.borrower->room().granted, 0);
+  EXPECT_EQ(p.borrower->bench.turns.statistics().late, 1u);
 }
 
-TEST(Turns, WhatIsNotUsedComesBackOnce) {
+TEST(SlowStartLeases, WhatIsNotUsedComesBackOnce) {
   Pair p;
-  p.to(kBorn + 100);
+  p.to(kStartedAt + 100);
   double before = p.owner->room().own;
-  p.hear(p.grant(p.ask()));
-  ASSERT_TRUE(p.asker->job());
-  double left = p.asker->room().granted;
+  p.receive(p.grant(p.ask()));
+  ASSERT_TRUE(p.borrower->job());
+  double left = p.borrower->room().granted;
   ASSERT_GT(left, 0);
-  p.to(kBorn + 100 + 0.9 * p.asker->bench.turns.length());
-  p.asker->bench.play(ClientDisconnected{});  // any event
-  auto words = p.asker->words();
-  ASSERT_EQ(words.size(), 1u);
+  p.to(kStartedAt + 100 + 0.9 * p.borrower->bench.turns.length());
+  p.borrower->bench.play(ClientDisconnected{});  // any event
+  auto messages = p.borrower->messages();
+  ASSERT_EQ(messages.size(), 1u);
   for (int twice = 0; twice < 2; ++twice)
-    p.owner->bench.play(PeerMessage{p.order[10], words[0].bytes});
+    p.owner->bench.play(PeerMessage{p.order[10], messages[0].bytes});
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - kJob);
-  EXPECT_EQ(p.asker->room().granted, 0) << "what was given back is not used any more";
+  EXPECT_EQ(p.borrower->room().granted, 0) << "what was given back is not used any more";
 }
 
-TEST(Turns, ANewLifeWaitsOutWhatTheFormerOneMayHaveSentAndGranted) {
+TEST(SlowStartLeases, ANewLifeWaitsOutWhatTheFormerOneMayHaveSentAndGranted) {
   Pair p;
-  p.to(kBorn + 3000);
-  p.owner.emplace(p.s, p.order[0], kBorn + 3000, p.lives);
+  p.to(kStartedAt + 3000);
+  p.owner.emplace(p.s, p.order[0], kStartedAt + 3000, p.is_alive);
   EXPECT_FALSE(p.owner->job());
   EXPECT_TRUE(p.grant(p.ask()).empty());
   double waits = p.s.overload_window_ms + (1 + kDrift) * p.owner->bench.turns.length();
-  p.to(kBorn + 3000 + waits - 1);
+  p.to(kStartedAt + 3000 + waits - 1);
   EXPECT_FALSE(p.owner->job());
-  p.to(kBorn + 3000 + waits + 1);
+  p.to(kStartedAt + 3000 + waits + 1);
   p.owner->job();  // with it comes the news
   EXPECT_TRUE(p.owner->job());
   // Nobody can have sent anything to an endpoint that started later.
   Settings s = many(1);
-  EXPECT_TRUE(Node(s, 0, kBorn - 1).job());
-  EXPECT_FALSE(Node(s, 0, kBorn).job());
+  EXPECT_TRUE(Node(s, 0, kStartedAt - 1).job());
+  EXPECT_FALSE(Node(s, 0, kStartedAt).job());
 }
 
-TEST(Turns, WhoTakesOverFromAnElderWaitsOutItsGrantsWhereNodesMayTalk) {
-  for (bool talk : {true, false}) {
+TEST(SlowStartLeases, WhoTakesOverFromAnElderWaitsOutItsGrantsWhereNodesMayTalk) {
+  for (bool peers_allowed : {true, false}) {
     Settings s = many(1);
-    s.peers = talk;
-    Node elder(s, 0, kBorn - 1), younger(s, 0, kBorn + 100);
-    EXPECT_FALSE(younger.job());
+    s.peers = peers_allowed;
+    Node old_process(s, 0, kStartedAt - 1), new_process(s, 0, kStartedAt + 100);
+    EXPECT_FALSE(new_process.job());
     // The elder may have granted until now.
-    younger.bench.now = kBorn + 2000;
-    younger.bench.play(elder.bench.d.learned_state(kBorn + 2000));
-    younger.bench.now = kBorn + 2000 + s.overload_window_ms;
-    younger.job();
-    EXPECT_EQ(younger.job(), !talk);
-    younger.bench.now += (1 + kDrift) * younger.bench.turns.length() + 1;
-    younger.job();
-    EXPECT_TRUE(younger.job());
+    new_process.bench.now = kStartedAt + 2000;
+    new_process.bench.play(old_process.bench.d.learned_state(kStartedAt + 2000));
+    new_process.bench.now = kStartedAt + 2000 + s.overload_window_ms;
+    new_process.job();
+    EXPECT_EQ(new_process.job(), !peers_allowed);
+    new_process.bench.now += (1 + kDrift) * new_process.bench.turns.length() + 1;
+    new_process.job();
+    EXPECT_TRUE(new_process.job());
   }
 }
 
-TEST(Turns, AnExecutorThatBecomesReadyIsAskedForAndOneThatDrainsIsNot) {
+TEST(SlowStartLeases, AnExecutorThatBecomesReadyIsAskedForAndOneThatDrainsIsNot) {
   Pair p;
   for (auto [state, asks] :
        {std::pair(EndpointState::draining, false), std::pair(EndpointState::ready, true)}) {
-    p.to(kBorn + (asks ? 300 : 100));
+    p.to(kStartedAt + (asks ? 300 : 100));
     EndpointList list;
-    list.entries = {{kCold, 0, 0, 0, state, 1, kBorn}};
-    p.asker->bench.play(list);
+    list.entries = {{kWarmingUp, 0, 0, 0, state, 1, kStartedAt}};
+    p.borrower->bench.play(list);
     EXPECT_EQ(!p.ask().empty(), asks);
   }
 }
 
-TEST(Turns, ForeignWordsChangeNothing) {
+TEST(SlowStartLeases, ForeignWordsChangeNothing) {
   Pair p;
-  p.to(kBorn + 100);
+  p.to(kStartedAt + 100);
   std::string ask = p.ask();
   double before = p.owner->room().own;
   for (std::size_t size = 0; size < ask.size(); ++size)
@@ -300,35 +301,36 @@
   }
   EXPECT_TRUE(p.grant(ask + "x").empty());
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
-  p.hear(encode({SlowStartMessage::Kind::grant, kCold, decode_slow_start_message(ask)->life,
-                 decode_slow_start_message(ask)->asker, decode_slow_start_message(ask)->number + 1,
-                 5000, 0}));
-  EXPECT_EQ(p.asker->room().granted, 0) << "nothing was asked with that number";
+  p.receive(encode({SlowStartMessage::Kind::grant, kWarmingUp,
+                    decode_slow_start_message(ask)->endpoint_incarnation,
+                    decode_slow_start_message(ask)->requester_incarnation,
+                    decode_slow_start_message(ask)->number + 1, 5000, 0}));
+  EXPECT_EQ(p.borrower->room().granted, 0) << "nothing was asked with that number";
 }
 
-TEST(Turns, WhereGrantsAreOffNobodyAsksAndNobodyGrants) {
+TEST(SlowStartLeases, WhereGrantsAreOffNobodyAsksAndNobodyGrants) {
   Pair p;
-  p.to(kBorn + 100);
+  p.to(kStartedAt + 100);
   std::string ask = p.ask();
   p.owner->bench.turns.grants(false);
   EXPECT_TRUE(p.grant(ask).empty());
-  p.to(kBorn + 2000);
-  p.asker->bench.turns.grants(false);
+  p.to(kStartedAt + 2000);
+  p.borrower->bench.turns.grants(false);
   EXPECT_TRUE(p.ask().empty());
 }
 
-TEST(Turns, OwnersThatAreDeadOrSilentAreNotAskedAgainAtOnce) {
+TEST(SlowStartLeases, OwnersThatAreDeadOrSilentAreNotAskedAgainAtOnce) {
   Settings s = many(20);
-  auto order = order_at({kCold, 0, 0, 0, EndpointState::ready, 1, kBorn}, 20);
-  std::vector<bool> lives(20, true);
-  lives[static_cast<std::size_t>(order[0])] = false;
-  Node asker(s, order[10], kBorn - 1, lives);
+  auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
+  std::vector<bool> is_alive(20, true);
+  is_alive[static_cast<std::size_t>(order[0])] = false;
+  Node borrower(s, order[10], kStartedAt - 1, is_alive);
   std::map<int, int> asked;
   for (Time t = 100; t < 900; t += 100) {
-    asker.bench.now = kBorn + t;
-    asker.job();
-    for (const SendPeerMessage& word : asker.words())
-      ++asked[word.peer];
+    borrower.bench.now = kStartedAt + t;
+    borrower.job();
+    for (const SendPeerMessage& message : borrower.messages())
+      ++asked[message.peer];
   }
   EXPECT_EQ(asked.count(order[0]), 0u);
   EXPECT_EQ(asked.size(), 7u) << "each of the others in turn";
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -7,8 +7,8 @@
 
 namespace keelflow::fleet {
 
-constexpr scheduler::EndpointId kCold = 7, kWarm = 8;
-constexpr scheduler::Time kBorn = 10000, kJob = 100;
+constexpr scheduler::EndpointId kWarmingUp = 7, kWarm = 8;
+constexpr scheduler::Time kStartedAt = 10000, kJob = 100;
 
 // The budget does not change beneath the sums: the endpoint counts as cold and is as fast as if it
 // were warm.
@@ -24,21 +24,21 @@
 }
 
 struct Node {
-  Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& lives = {})
+  Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& is_alive = {})
       : bench((s.rank = rank, s), static_cast<std::uint64_t>(rank) + 1) {
     bench.turns = SlowStartLeases(s, now);
     bench.now = now - kJob;
     scheduler::EndpointList list;
     list.entries = {{kWarm, 0, 0, 0, scheduler::EndpointState::ready, 1, 0}};
     bench.play(list);
-    if (!lives.empty())
-      bench.play(scheduler::MembershipChanged{lives});
+    if (!is_alive.empty())
+      bench.play(scheduler::MembershipChanged{is_alive});
     bench.arrive(1, kJob);  // from then on it knows what a usual job takes
     bench.play(scheduler::AttemptStarted{1, 0});
     bench.now = now;
     bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
     bench.sends.clear();
-    list.entries[0] = {kCold, 0, 0, 0, scheduler::EndpointState::ready, 1, kBorn};
+    list.entries[0] = {kWarmingUp, 0, 0, 0, scheduler::EndpointState::ready, 1, kStartedAt};
     bench.play(list);
   }
 
@@ -54,15 +54,17 @@
       bench.play(scheduler::ClientDisconnected{id});
     return went;
   }
-  // The words of turns that it has to tell.
-  std::vector<scheduler::SendPeerMessage> words() {
+  // The lease messages that it sent since the last call.
+  std::vector<scheduler::SendPeerMessage> messages() {
     std::vector<scheduler::SendPeerMessage> out;
     for (scheduler::SendPeerMessage& t : std::exchange(bench.tells, {}))
       if (decode_slow_start_message(t.bytes))
         out.push_back(std::move(t));
     return out;
   }
-  scheduler::SlowStartBudget room() const { return bench.d.slow_start_budget(kCold, bench.now); }
+  scheduler::SlowStartBudget room() const {
+    return bench.d.slow_start_budget(kWarmingUp, bench.now);
+  }
 
   scheduler::Bench bench;
   scheduler::RequestId last = 1;
