--- a/logic/fleet/slow_start_leases.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -142,8 +142,8 @@
 }
 
 int SlowStartLeases::subset_dispatchers() const {
-  return homes_at_each(wanted_homes(peers_, dispatchers_), dispatchers_,
-                       static_cast<int>(endpoints_.size()));
+  return dispatchers_per_endpoint(desired_subset_size(peers_, dispatchers_), dispatchers_,
+                                  static_cast<int>(endpoints_.size()));
 }
 
 bool SlowStartLeases::is_warming_up(const EndpointEntry& entry) const {
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -10,38 +10,56 @@
 namespace keelflow::fleet {
 namespace {
 
-constexpr double kWanted = 4,
-                 kWantedWhereTold =
-                     6;  // home endpoints for each dispatcher; where dispatchers talk of them
-constexpr int kTellingFleet = 16;  // dispatchers from which on they do
-constexpr int kFree = 2;           // of its homes a dispatcher has wherever its best pairs fall
-// By how much an endpoint's dispatchers may lie under and over its part. Narrower bounds move more
-// at each change, and bounds on whole or half numbers, where parts often lie, would all jump with
-// one dispatcher more or less.
-constexpr double kUnder = 1.25, kOver = 1.75, kFew = 4;
-constexpr double kLooked = 5;  // times as many pairs are looked at as are taken, the best ones
+// Endpoints in each subset.
+constexpr double kDesiredSize = 4;
+// The same where dispatchers share load: they know more of each endpoint, and can use more of them.
+constexpr double kDesiredSizeSharingLoad = 6;
+// Dispatchers from which on they share load.
+constexpr int kLeastSharingDispatchers = 16;
+// Endpoints of its subset that a dispatcher takes wherever its best pairs fall.
+constexpr int kUnboundedPicks = 2;
+// By how much an endpoint's dispatchers may lie under and over the mean. Narrower bounds move more
+// at each change, and bounds on whole or half numbers, where the mean often lies, would all jump
+// with one dispatcher more or less.
+constexpr double kUnderMean = 1.25;
+constexpr double kOverMean = 1.75;
+// A mean below this takes bounds narrower by one: of a few, one more or less is much.
+constexpr double kSmallMean = 4;
+// As many times the pairs that are taken are sorted, the best ones.
+constexpr double kCandidateFactor = 5;
 
 struct Pair {
-  std::uint64_t score;
-  std::uint32_t dispatcher, endpoint;  // places in the lists
-  bool taken = false;
-  auto operator<=>(const Pair& o) const {
-    return std::tie(score, dispatcher, endpoint) <=> std::tie(o.score, o.dispatcher, o.endpoint);
+  std::uint64_t score = 0;
+  std::uint32_t dispatcher = 0;  // place in the list
+  std::uint32_t endpoint = 0;    // place in the list
+  bool is_taken = false;
+  auto operator<=>(const Pair& other) const {
+    return std::tie(score, dispatcher, endpoint) <=>
+           std::tie(other.score, other.dispatcher, other.endpoint);
   }
 };
 
+// The highest score of a candidate: such that about kCandidateFactor times the pairs needed lie
+// below.
+std::uint64_t candidate_bound(std::size_t endpoints, int subset_size) {
+  double fraction =
+      std::min(1.0, kCandidateFactor * (subset_size + 2.0) / static_cast<double>(endpoints));
+  if (fraction >= 1)
+    return ~std::uint64_t{0};
+  return static_cast<std::uint64_t>(fraction * 0x1p64);
+}
+
 // The best pairs, in order: they are enough, and sorting all would cost most of the time.
 std::vector<Pair> best_pairs(const std::vector<scheduler::EndpointId>& endpoints,
-                             const std::vector<int>& dispatchers, int each) {
-  double share = std::min(1.0, kLooked * (each + 2.0) / static_cast<double>(endpoints.size()));
-  auto most = share >= 1 ? ~std::uint64_t{0} : static_cast<std::uint64_t>(share * 0x1p64);
+                             const std::vector<int>& dispatchers, int subset_size) {
+  std::uint64_t bound = candidate_bound(endpoints.size(), subset_size);
   std::vector<Pair> pairs;
-  for (std::size_t w = 0; w < endpoints.size(); ++w) {
-    std::uint64_t seed = mix(endpoints[w]);
+  for (std::size_t e = 0; e < endpoints.size(); ++e) {
+    std::uint64_t seed = mix(endpoints[e]);
     for (std::size_t d = 0; d < dispatchers.size(); ++d) {
       std::uint64_t score = mix(seed + static_cast<std::uint64_t>(dispatchers[d]));
-      if (score <= most)
-        pairs.push_back({score, static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(w)});
+      if (score <= bound)
+        pairs.push_back({score, static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(e)});
     }
   }
   std::sort(pairs.begin(), pairs.end());
@@ -51,116 +69,133 @@
 }  // namespace
 
 std::vector<std::vector<int>> subsets(const std::vector<scheduler::EndpointId>& endpoints,
-                                      const std::vector<int>& dispatchers, int each) {
-  std::vector<std::vector<int>> homes(endpoints.size());
+                                      const std::vector<int>& dispatchers, int subset_size) {
+  std::vector<std::vector<int>> assigned(endpoints.size());
   if (endpoints.empty() || dispatchers.empty())
-    return homes;
-  each = std::min(each, static_cast<int>(endpoints.size()));
-  double part = static_cast<double>(each) * static_cast<double>(dispatchers.size()) /
+    return assigned;
+  subset_size = std::min(subset_size, static_cast<int>(endpoints.size()));
+  double mean = static_cast<double>(subset_size) * static_cast<double>(dispatchers.size()) /
                 static_cast<double>(endpoints.size());
-  std::vector<Pair> pairs = best_pairs(endpoints, dispatchers, each);
-  std::vector<int> has(dispatchers.size());
-  auto pass = [&](int most, double bound) {
-    for (Pair& p : pairs) {
-      if (p.taken || has[p.dispatcher] >= most ||
-          static_cast<double>(homes[p.endpoint].size()) + 1 > bound)
+  std::vector<Pair> pairs = best_pairs(endpoints, dispatchers, subset_size);
+  std::vector<int> sizes(dispatchers.size());
+  auto pass = [&](int most_endpoints, double most_dispatchers) {
+    for (Pair& pair : pairs) {
+      std::vector<int>& at = assigned[pair.endpoint];
+      if (pair.is_taken || sizes[pair.dispatcher] >= most_endpoints ||
+          static_cast<double>(at.size()) + 1 > most_dispatchers)
         continue;
-      p.taken = true;
-      ++has[p.dispatcher];
-      homes[p.endpoint].push_back(dispatchers[p.dispatcher]);
+      pair.is_taken = true;
+      ++sizes[pair.dispatcher];
+      at.push_back(dispatchers[pair.dispatcher]);
     }
   };
-  // Of a few, one more or less is much.
-  double under = part < kFew ? kUnder - 1 : kUnder, over = part < kFew ? kOver - 1 : kOver;
-  pass(std::min(kFree, each), part + over);
-  pass(each, std::max(1.0, part - under));
-  pass(each, part + over);
-  pass(each, static_cast<double>(dispatchers.size()));
-  for (auto& of : homes)
-    std::sort(of.begin(), of.end());
-  return homes;
+  double under = mean < kSmallMean ? kUnderMean - 1 : kUnderMean;
+  double over = mean < kSmallMean ? kOverMean - 1 : kOverMean;
+  pass(std::min(kUnboundedPicks, subset_size), mean + over);
+  pass(subset_size, std::max(1.0, mean - under));
+  pass(subset_size, mean + over);
+  pass(subset_size, static_cast<double>(dispatchers.size()));
+  for (std::vector<int>& at : assigned)
+    std::sort(at.begin(), at.end());
+  return assigned;
 }
 
-bool talks_of_homes(bool peers, int dispatchers) {
-  return peers && dispatchers >= kTellingFleet;
+bool shares_load(bool peers, int dispatchers) {
+  return peers && dispatchers >= kLeastSharingDispatchers;
 }
-double wanted_homes(bool peers, int dispatchers) {
-  return talks_of_homes(peers, dispatchers) ? kWantedWhereTold : kWanted;
+
+double desired_subset_size(bool peers, int dispatchers) {
+  return shares_load(peers, dispatchers) ? kDesiredSizeSharingLoad : kDesiredSize;
 }
 
-int homes_at_each(double wanted, int dispatchers, int endpoints) {
-  return endpoints == 0 ? 0
-                        : static_cast<int>(std::min<double>(
-                              dispatchers, 1 + std::ceil(wanted * dispatchers / endpoints)));
+int dispatchers_per_endpoint(double desired_size, int dispatchers, int endpoints) {
+  if (endpoints == 0)
+    return 0;
+  double needed = 1 + std::ceil(desired_size * dispatchers / endpoints);
+  return static_cast<int>(std::min<double>(dispatchers, needed));
 }
 
-int homes_for_each(double wanted, int dispatchers, int endpoints) {
+int endpoints_per_dispatcher(double desired_size, int dispatchers, int endpoints) {
   if (endpoints == 0)
     return 0;
-  double all = static_cast<double>(homes_at_each(wanted, dispatchers, endpoints)) * endpoints;
-  return std::clamp(static_cast<int>(std::lround(all / dispatchers)), 1, endpoints);
+  int per_endpoint = dispatchers_per_endpoint(desired_size, dispatchers, endpoints);
+  double pairs = static_cast<double>(per_endpoint) * endpoints;
+  return std::clamp(static_cast<int>(std::lround(pairs / dispatchers)), 1, endpoints);
 }
 
-Subsets::Subsets(const scheduler::Settings& s)
-    : dispatchers_(s.dispatchers),
-      self_(s.rank),
-      peers_(s.peers),
-      lives_(static_cast<std::size_t>(std::max(1, s.dispatchers)), true) {}
+Subsets::Subsets(const scheduler::Settings& settings)
+    : dispatchers_(settings.dispatchers),
+      self_(settings.rank),
+      peers_(settings.peers),
+      is_alive_(static_cast<std::size_t>(std::max(1, settings.dispatchers)), true) {}
 
 std::optional<scheduler::SubsetChanged> Subsets::after(const scheduler::Event& event) {
-  if (const auto* list = std::get_if<scheduler::EndpointList>(&event)) {
-    if (!take(*list))
-      return std::nullopt;
-  } else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event)) {
-    if (members->is_alive.size() != lives_.size() || members->is_alive == lives_)
-      return std::nullopt;
-    lives_ = members->is_alive;
-  } else if (const auto* retune = std::get_if<scheduler::SettingsChanged>(&event)) {
-    if (retune->settings.dispatchers == dispatchers_ && retune->settings.peers == peers_)
-      return std::nullopt;
-    dispatchers_ = retune->settings.dispatchers, peers_ = retune->settings.peers;
-    lives_.assign(static_cast<std::size_t>(dispatchers_), true);
-  } else {
+  bool changed = false;
+  if (const auto* list = std::get_if<scheduler::EndpointList>(&event))
+    changed = apply_list(*list);
+  else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event))
+    changed = apply_members(*members);
+  else if (const auto* settings = std::get_if<scheduler::SettingsChanged>(&event))
+    changed = apply_settings(settings->settings);
+  if (!changed)
     return std::nullopt;
-  }
-  return told_ = divide();
+  last_notification_ = assign();
+  return last_notification_;
 }
 
-bool Subsets::take(const scheduler::EndpointList& list) {
+bool Subsets::apply_list(const scheduler::EndpointList& list) {
   if (list.scope == scheduler::ListScope::failed)
     return false;
-  std::set<scheduler::EndpointId> now;
+  std::set<scheduler::EndpointId> updated;
   if (list.scope == scheduler::ListScope::delta)
-    now = endpoints_;
-  for (const scheduler::EndpointEntry& e : list.entries)
-    if (e.state == scheduler::EndpointState::gone)
-      now.erase(e.endpoint);
+    updated = endpoints_;
+  for (const scheduler::EndpointEntry& entry : list.entries) {
+    if (entry.state == scheduler::EndpointState::gone)
+      updated.erase(entry.endpoint);
     else
-      now.insert(e.endpoint);
-  if (now == endpoints_)
+      updated.insert(entry.endpoint);
+  }
+  if (updated == endpoints_)
+    return false;
+  endpoints_ = std::move(updated);
+  return true;
+}
+
+bool Subsets::apply_members(const scheduler::MembershipChanged& members) {
+  if (members.is_alive.size() != is_alive_.size() || members.is_alive == is_alive_)
+    return false;
+  is_alive_ = members.is_alive;
+  return true;
+}
+
+bool Subsets::apply_settings(const scheduler::Settings& settings) {
+  if (settings.dispatchers == dispatchers_ && settings.peers == peers_)
     return false;
-  endpoints_ = std::move(now);
+  dispatchers_ = settings.dispatchers;
+  peers_ = settings.peers;
+  is_alive_.assign(static_cast<std::size_t>(dispatchers_), true);
   return true;
 }
 
-scheduler::SubsetChanged Subsets::divide() const {
+scheduler::SubsetChanged Subsets::assign() const {
   std::vector<scheduler::EndpointId> endpoints(endpoints_.begin(), endpoints_.end());
-  std::vector<int> living;
+  std::vector<int> alive;
   for (int d = 0; d < dispatchers_; ++d)
-    if (lives_[static_cast<std::size_t>(d)] || d == self_)
-      living.push_back(d);
-  // By the number of all: who is left keeps as many as before.
-  int each = homes_for_each(wanted_homes(peers_, dispatchers_), dispatchers_,
-                            static_cast<int>(endpoints.size()));
-  auto homes = subsets(endpoints, living, each);
+    if (is_alive_[static_cast<std::size_t>(d)] || d == self_)
+      alive.push_back(d);
+  // By the number of all, dead ones too: whoever is left keeps as many as before.
+  int subset_size = endpoints_per_dispatcher(desired_subset_size(peers_, dispatchers_),
+                                             dispatchers_, static_cast<int>(endpoints.size()));
+  std::vector<std::vector<int>> assigned = subsets(endpoints, alive, subset_size);
   scheduler::SubsetChanged out;
-  out.shares_load = talks_of_homes(peers_, dispatchers_);
-  for (std::size_t w = 0; w < endpoints.size(); ++w) {
-    auto self = std::find(homes[w].begin(), homes[w].end(), self_);
-    bool home = self != homes[w].end();
-    if (home)
-      homes[w].erase(self);
-    out.endpoints.push_back({endpoints[w], home, std::move(homes[w])});
+  out.shares_load = shares_load(peers_, dispatchers_);
+  for (std::size_t e = 0; e < endpoints.size(); ++e) {
+    std::vector<int>& at = assigned[e];
+    auto self = std::find(at.begin(), at.end(), self_);
+    bool is_own = self != at.end();
+    if (is_own)
+      at.erase(self);
+    out.endpoints.push_back({endpoints[e], is_own, std::move(at)});
   }
   return out;
 }
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -38,8 +38,8 @@
 Pairs pairs_of(const std::vector<EndpointId>& endpoints, const std::vector<int>& dispatchers,
                int of) {  // of so many, all told
   Pairs out;
-  auto homes =
-      subsets(endpoints, dispatchers, homes_for_each(6, of, static_cast<int>(endpoints.size())));
+  auto homes = subsets(endpoints, dispatchers,
+                       endpoints_per_dispatcher(6, of, static_cast<int>(endpoints.size())));
   for (std::size_t w = 0; w < endpoints.size(); ++w)
     for (int d : homes[w])
       out.emplace(d, endpoints[w]);
@@ -55,7 +55,7 @@
   for (auto [dispatchers, endpoints] : kSizes)
     for (unsigned seed = 1; seed <= 50; ++seed) {
       auto ids = draw(endpoints, seed);
-      int each = homes_for_each(6, dispatchers, endpoints);
+      int each = endpoints_per_dispatcher(6, dispatchers, endpoints);
       auto homes = subsets(ids, first(dispatchers), each);
       std::map<int, int> has;
       double part = 1.0 * each * dispatchers / endpoints;
@@ -107,13 +107,13 @@
     stale.resize(ids.size() * 9 / 10);
     auto fewer = first(dispatchers);
     std::erase_if(fewer, [](int d) { return d % 3 == 0; });
-    int each = homes_for_each(6, dispatchers, endpoints);
+    int each = endpoints_per_dispatcher(6, dispatchers, endpoints);
     std::map<EndpointId, int> sum;
     for (int d : first(dispatchers)) {
       const auto& list = d % 3 == 1 ? stale : ids;
       const auto& members = d % 3 == 2 ? fewer : first(dispatchers);
-      auto homes =
-          subsets(list, members, homes_for_each(6, dispatchers, static_cast<int>(list.size())));
+      auto homes = subsets(list, members,
+                           endpoints_per_dispatcher(6, dispatchers, static_cast<int>(list.size())));
       int has = 0;
       for (std::size_t w = 0; w < list.size(); ++w)
         if (std::binary_search(homes[w].begin(), homes[w].end(), d))
