--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -1,4 +1,4 @@
-// Who is at home where: the sums over all dispatchers, and what one change moves.
+// Which endpoints each dispatcher has: the sums over all dispatchers, and what one change moves.
 #include "fleet/subsets.h"
 
 #include <gtest/gtest.h>
@@ -36,12 +36,12 @@
 
 using Pairs = std::set<std::pair<int, EndpointId>>;
 Pairs pairs_of(const std::vector<EndpointId>& endpoints, const std::vector<int>& dispatchers,
-               int of) {  // of so many, all told
+               int of) {  // of so many in all
   Pairs out;
-  auto homes = subsets(endpoints, dispatchers,
-                       endpoints_per_dispatcher(6, of, static_cast<int>(endpoints.size())));
+  auto assigned = subsets(endpoints, dispatchers,
+                          endpoints_per_dispatcher(6, of, static_cast<int>(endpoints.size())));
   for (std::size_t w = 0; w < endpoints.size(); ++w)
-    for (int d : homes[w])
+    for (int d : assigned[w])
       out.emplace(d, endpoints[w]);
   return out;
 }
@@ -56,10 +56,10 @@
     for (unsigned seed = 1; seed <= 50; ++seed) {
       auto ids = draw(endpoints, seed);
       int each = endpoints_per_dispatcher(6, dispatchers, endpoints);
-      auto homes = subsets(ids, first(dispatchers), each);
+      auto assigned = subsets(ids, first(dispatchers), each);
       std::map<int, int> has;
       double part = 1.0 * each * dispatchers / endpoints;
-      for (const auto& of : homes) {
+      for (const auto& of : assigned) {
         EXPECT_GE(of.size(), 1u);
         EXPECT_LE(std::abs(static_cast<double>(of.size()) - part), 2)
             << dispatchers << "/" << endpoints << " seed " << seed;
@@ -73,7 +73,7 @@
 
 TEST(Subsets, OneMoreOrLessMovesLittle) {
   for (auto [dispatchers, endpoints] : kSizes) {
-    double by_dispatcher = 0, by_worker = 0, own_d = 0, own_w = 0;
+    double by_dispatcher = 0, by_endpoint = 0, own_of_dispatcher = 0, own_of_endpoint = 0;
     for (unsigned seed = 1; seed <= 12; ++seed) {
       auto ids = draw(endpoints, seed);
       Pairs before = pairs_of(ids, first(dispatchers), dispatchers);
@@ -81,20 +81,21 @@
       int gone = static_cast<int>(seed) % dispatchers;
       std::erase(fewer, gone);
       by_dispatcher += static_cast<double>(added(before, pairs_of(ids, fewer, dispatchers)));
-      own_d += static_cast<double>(std::count_if(before.begin(), before.end(),
-                                                 [&](const auto& p) { return p.first == gone; }));
+      own_of_dispatcher += static_cast<double>(std::count_if(
+          before.begin(), before.end(), [&](const auto& p) { return p.first == gone; }));
       EndpointId lost = ids[seed];
       auto rest = ids;
       std::erase(rest, lost);
-      by_worker +=
+      by_endpoint +=
           static_cast<double>(added(before, pairs_of(rest, first(dispatchers), dispatchers)));
-      own_w += static_cast<double>(std::count_if(before.begin(), before.end(),
-                                                 [&](const auto& p) { return p.second == lost; }));
+      own_of_endpoint += static_cast<double>(std::count_if(
+          before.begin(), before.end(), [&](const auto& p) { return p.second == lost; }));
     }
     std::printf("%3d/%3d: moved %.2f times its own homes by a dispatcher, %.2f by an executor\n",
-                dispatchers, endpoints, by_dispatcher / own_d, by_worker / own_w);
-    EXPECT_LT(by_dispatcher / own_d, 2);
-    EXPECT_LT(by_worker / own_w, 2);
+                dispatchers, endpoints, by_dispatcher / own_of_dispatcher,
+                by_endpoint / own_of_endpoint);
+    EXPECT_LT(by_dispatcher / own_of_dispatcher, 2);
+    EXPECT_LT(by_endpoint / own_of_endpoint, 2);
   }
 }
 
@@ -112,11 +113,11 @@
     for (int d : first(dispatchers)) {
       const auto& list = d % 3 == 1 ? stale : ids;
       const auto& members = d % 3 == 2 ? fewer : first(dispatchers);
-      auto homes = subsets(list, members,
-                           endpoints_per_dispatcher(6, dispatchers, static_cast<int>(list.size())));
+      auto assigned = subsets(
+          list, members, endpoints_per_dispatcher(6, dispatchers, static_cast<int>(list.size())));
       int has = 0;
       for (std::size_t w = 0; w < list.size(); ++w)
-        if (std::binary_search(homes[w].begin(), homes[w].end(), d))
+        if (std::binary_search(assigned[w].begin(), assigned[w].end(), d))
           ++sum[list[w]], ++has;
       EXPECT_LE(has, each + 2);
       EXPECT_GE(has, each - 2);
@@ -128,32 +129,32 @@
   }
 }
 
-TEST(Homes, ADispatcherIsToldWhenItsListOrTheMembersChangeAndOnlyThen) {
+TEST(Subsets, ADispatcherIsToldWhenItsListOrTheMembersChangeAndOnlyThen) {
   scheduler::Settings s;
   s.dispatchers = 40;
   s.rank = 7;
-  Subsets homes(s);
+  Subsets assigned(s);
   scheduler::EndpointList list;
   for (EndpointId w : draw(30, 3))
     list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
-  auto told = homes.after(list);
-  ASSERT_TRUE(told);
-  EXPECT_EQ(told->endpoints.size(), 30u);
-  EXPECT_FALSE(homes.after(list));
+  auto notification = assigned.after(list);
+  ASSERT_TRUE(notification);
+  EXPECT_EQ(notification->endpoints.size(), 30u);
+  EXPECT_FALSE(assigned.after(list));
   list.scope = scheduler::ListScope::delta;
   list.entries.resize(1);
   list.entries[0].state = scheduler::EndpointState::draining;
-  EXPECT_FALSE(homes.after(list));  // it is still there
+  EXPECT_FALSE(assigned.after(list));  // it is still there
   list.entries[0].state = scheduler::EndpointState::gone;
-  EXPECT_EQ(homes.after(list)->endpoints.size(), 29u);
-  std::vector<bool> lives(40, true);
-  EXPECT_FALSE(homes.after(scheduler::MembershipChanged{lives}));
-  lives[3] = false;
-  auto without = homes.after(scheduler::MembershipChanged{lives});
+  EXPECT_EQ(assigned.after(list)->endpoints.size(), 29u);
+  std::vector<bool> is_alive(40, true);
+  EXPECT_FALSE(assigned.after(scheduler::MembershipChanged{is_alive}));
+  is_alive[3] = false;
+  auto without = assigned.after(scheduler::MembershipChanged{is_alive});
   ASSERT_TRUE(without);
   for (const auto& at : without->endpoints)
     EXPECT_EQ(std::count(at.peers.begin(), at.peers.end(), 3), 0);
-  EXPECT_FALSE(homes.after(scheduler::TimerFired{}));
+  EXPECT_FALSE(assigned.after(scheduler::TimerFired{}));
 }
 
 }  // namespace
