--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -1,141 +1,112 @@
-// Which nodes of the tier live, found out in common: SWIM with the refinements of Lifeguard, on
-// datagrams that may be lost, late, doubled or out of order. Pure: what is heard and the time go
-// in, verdicts and words to tell come out.
-//
-// - Each period everyone is looked at by one other, by the clock that all share; who has been heard
-// of late is spared
-//   most of that while there is no news. One that does not answer is asked again through three
-//   others, then accused.
-// - Who is accused is told, and clears itself by a new incarnation. Death is never taken over from
-// others: each node
-//   waits out its own time, the shorter the more others accuse independently.
-// - A node that was stalled, or hears nobody, accuses nobody aloud.
-// - Members that were never heard of count as living, as nothing is known.
-//
-// All times are milliseconds on the caller's clock, which only moves forward and is the same at all
-// nodes (a difference costs only evenness of the looks).
+/// Which nodes of the tier are alive, found out in common: SWIM with the refinements of Lifeguard,
+/// on datagrams that may be lost, late, doubled or out of order. Pure: datagrams and the time go
+/// in; changes and messages come out.
+///
+/// - Each period every member is probed by one other, by the clock that all share; a member whose
+///   datagrams arrive is spared most of that while no updates are queued. One that does not answer
+///   is probed through three others, then suspected.
+/// - A suspect is notified, and refutes by a new incarnation. A death is never taken over from
+///   others: each node waits out its own suspicion timeout, the shorter the more accuse
+///   independently.
+/// - A node that was stalled, or receives nothing from anyone, tells nobody of its suspicions.
+/// - Members of which nothing was ever received count as alive, as nothing is known.
+///
+/// All times are milliseconds on the caller's clock, which only moves forward and is the same at
+/// all nodes (a difference costs only evenness of the probes).
 #pragma once
 
 #include <cstdint>
-#include <map>
-#include <set>
 #include <string>
 #include <string_view>
-#include <vector>
 
+#include "fleet/dissemination.h"
+#include "fleet/local_health.h"
+#include "fleet/member_sampler.h"
+#include "fleet/member_table.h"
 #include "fleet/membership_message.h"
+#include "fleet/probing.h"
 
 namespace keelflow::fleet {
 
-using Time = double;  // ms
-
+/// One node's part in the protocol. Owns its table, probing and dissemination, and decides on
+/// suspicion and death; the caller sends what comes out, and calls tick() in time.
 class Membership {
  public:
   struct Settings {
-    int members = 1, self = 0;   // numbers from 0 on, as the configuration has them
-    Time period = 250;           // everyone is looked at so often
-    Time least_suspicion = 500;  // from an accusation to death, where three others accuse too
-    Time most_suspicion = 1200;  // and where nobody else does
-  };
-  struct Change {
-    int member = 0;
-    MemberState from = MemberState::unknown, to = MemberState::unknown;
-    std::uint32_t incarnation = 0;
-    std::string evidence;  // in words
-  };
-  struct Letter {
-    int to = 0;
-    std::string bytes;
-  };
-  struct Output {
-    std::vector<Letter> letters;
-    std::vector<Change> changes;
+    int members = 1;             ///< numbered from 0 on, as the configuration has them
+    int self = 0;                ///< this node's number
+    Time period = 250;           ///< every member is probed once in it
+    Time least_suspicion = 500;  ///< from suspicion to death, where three others accuse too
+    Time most_suspicion = 1200;  ///< and where nobody else does
   };
-  struct Member {
-    MemberState state = MemberState::unknown;
-    std::uint32_t incarnation = 0;
-    Time since = 0;  // its life is this one
-    Time heard = -1e18,
-         worded = -1e18;     // when a datagram of its own came last, and one that was a word
-    std::set<int> accusers;  // of a suspect
-    bool left = false;       // it said that it ends: only a new life of it counts
-  };
-  struct Figures {
-    std::uint64_t letters = 0, bytes = 0, accusations = 0, refutations = 0, deaths = 0, stalls = 0,
-                  held_back = 0;
+  using Member = fleet::Member;
+  using Change = MemberChange;
+  using Output = MembershipOutput;
+  /// Counters since the start.
+  struct Statistics {
+    std::uint64_t messages = 0;
+    std::uint64_t bytes = 0;
+    std::uint64_t suspicions = 0;
+    std::uint64_t refutations = 0;
+    std::uint64_t deaths = 0;
+    std::uint64_t stalls = 0;
+    std::uint64_t held_back = 0;  ///< gossip that the budget forbade
   };
 
-  // `incarnation`: greater than that of this node's former lives, as Unix seconds are.
+  /// `incarnation`: greater than that of this node's former incarnations, as Unix seconds are.
   Membership(const Settings& settings, Time now, std::uint32_t incarnation);
+  Membership(const Membership&) = delete;
+  Membership& operator=(const Membership&) = delete;
 
-  // False: not a word of membership, or from nobody; the sender was heard all the same if it is a
-  // member.
-  bool hear(Time now, int from, std::string_view bytes, Output& out);
-  void tick(Time now, Output& out);  // at `next`, or as soon after as can be
+  /// False: no membership message, or from no member. A member's datagram counts as a sign of life
+  /// whatever is in it.
+  bool on_datagram(Time now, int from, std::string_view bytes, Output& out);
+  /// At next(), or as soon after as can be.
+  void tick(Time now, Output& out);
   Time next() const { return next_; }
-  void leave(Time now, Output& out);  // it ends by itself: the others need not wait for it
+  /// This node ends by itself: the others need not wait for it.
+  void leave(Time now, Output& out);
 
-  bool lives(int member) const { return at(member).state != MemberState::dead; }
-  int living() const { return living_; }  // this one among them
-  const Member& at(int member) const { return members_[static_cast<std::size_t>(member)]; }
-  int members() const { return settings_.members; }
-  int health() const { return doubt_; }  // 0: well; up to 8: it mistrusts itself
-  const Figures& figures() const { return figures_; }
+  bool is_alive(int member) const { return members_.is_alive(member); }
+  int alive_count() const { return members_.alive_count(); }  ///< this node among them
+  const Member& at(int member) const { return members_.at(member); }
+  int members() const { return members_.size(); }
+  /// Lifeguard's local health. 0: healthy; up to 8: this node doubts its own observations.
+  int health() const { return health_.score(); }
+  Statistics statistics() const;
 
  private:
-  struct Look {  // at one member, under way
-    Time begun = 0, next = 0;
-    int tries = 0;
-    std::uint16_t number = 0;
-    bool asked_others = false, nacked = false;
-  };
-  struct Errand {  // a look for someone else
-    int asker = 0, target = 0;
-    std::uint16_t number = 0;
-    Time until = 0, next = 0;
-  };
-
-  Member& member(int m) { return members_[static_cast<std::size_t>(m)]; }
-  bool is_other(int m) const { return m >= 0 && m < settings_.members && m != settings_.self; }
-  void met(int from, std::uint32_t incarnation, Output& out);
-  void take(const MemberUpdate& rumour, Output& out);
-  void take_of_self(const MemberUpdate& rumour, Output& out);
-  void accuse(int m, int by, Output& out);
-  void set(int m, MemberState state, std::uint32_t incarnation, std::string evidence, Output& out);
-  void answer(int from, const MembershipMessage& word, Output& out);
-  void forgive(Output& out);
-  void notice_stall();
-  void begin_round(Output& out);
-  void look_at(int m);
-  bool go_on(int m, Look& look, Output& out);  // true: it is over
-  void go_on(Output& out);
-  void run_errands(Output& out);
-  void bury(Output& out);
-  void remind_dead(Output& out);
-  Time patience(const Member& m) const;
-  bool alone() const;
-  bool heard_of_late(int m) const { return now_ - at(m).heard < settings_.period; }
-  void spread(int m);
-  void pass_on(int m, Output& out);
-  std::vector<MemberUpdate> rumours_of(int m) const;
-  void send(int to, MembershipMessage word, Output& out, bool all = false);
-  double random();
-  int random_living(int but);
-  void plan();
+  void on_sign_of_life(int from, std::uint32_t incarnation, Output& out);
+  void on_message(int from, const MembershipMessage& message, Output& out);
+  void apply_update(const MemberUpdate& update, Output& out);
+  void apply_own_update(const MemberUpdate& update, Output& out);
+  void apply_suspicion(const MemberUpdate& update, Output& out);
+  void on_probe_failed(int member, Output& out);
+  void suspect(int member, int accuser, Output& out);
+  void declare_dead(int member, Output& out);
+  void revert_conclusions(Output& out);
+  void check_stall();
+  void check_suspects(Output& out);
+  void change_state(int member, MemberState state, std::uint32_t incarnation, std::string evidence,
+                    Output& out);
+  Time suspicion_timeout(const Member& member) const;
+  bool is_isolated() const;
+  bool has_older_release(const Member& member, std::uint32_t incarnation) const;
+  void update_next();
 
   Settings settings_;
-  std::vector<Member> members_;
-  Time now_ = 0, next_ = 0, round_due_ = 0, last_heard_ = 0, dead_due_ = 0, budget_at_ = 0;
-  std::uint32_t incarnation_, digest_ = 0;
-  std::uint64_t random_;
-  double budget_ = 0;  // words that may go out at once, beside the looks
-  int living_ = 0, suspects_ = 0, doubt_ = 0, cursor_ = 0, dead_cursor_ = 0, told_last_ = -1;
-  bool leaving_ = false, came_back_ = false;
-  std::uint16_t last_number_ = 0;
-  std::map<int, Look> looks_;    // by member
-  std::vector<Errand> errands_;  // kMostErrands at most
-  std::map<int, int> to_tell_;   // members whose word is to be told so many times more
-  Figures figures_;
+  Time now_;
+  Time next_ = 0;
+  Time last_received_at_;  ///< of anyone
+  bool is_leaving_ = false;
+  std::uint64_t suspicions_ = 0;
+  std::uint64_t refutations_ = 0;
+  std::uint64_t stalls_ = 0;
+  LocalHealth health_;
+  MemberTable members_;
+  MemberSampler sampler_;
+  Dissemination dissemination_;
+  Probing probing_;
 };
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/membership_message.cpp
+++ b/logic/fleet/membership_message.cpp
@@ -5,76 +5,95 @@
 namespace keelflow::fleet {
 namespace {
 
-constexpr std::uint8_t kMark = 0xfe, kVersion = 1;
+constexpr std::uint8_t kTypeByte = 0xfe;  // no other message between nodes begins with it
+constexpr std::uint8_t kVersion = 1;
+constexpr auto kLastKind = static_cast<std::uint8_t>(MembershipMessage::Kind::gossip);
 
 void put(std::string& out, std::uint64_t value, int bytes) {
   for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
     out += static_cast<char>(value >> shift & 0xff);
 }
 
-struct Reader {
-  std::string_view left;
+// Big-endian values, one after the other. The caller sees to it that there are enough bytes.
+class Reader {
+ public:
+  explicit Reader(std::string_view bytes) : left_(bytes) {}
   std::uint64_t take(std::size_t bytes) {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < bytes; ++i)
-      value = value << 8 | static_cast<std::uint8_t>(left[i]);
-    left.remove_prefix(bytes);
+      value = value << 8 | static_cast<std::uint8_t>(left_[i]);
+    left_.remove_prefix(bytes);
     return value;
   }
+
+ private:
+  std::string_view left_;
 };
 
+bool is_sent(std::uint64_t state) {
+  return state >= static_cast<std::uint8_t>(MemberState::alive) &&
+         state <= static_cast<std::uint8_t>(MemberState::dead);
+}
+
+std::optional<MemberUpdate> decode_update(Reader& in) {
+  MemberUpdate update;
+  update.member = static_cast<int>(in.take(2));
+  std::uint64_t state = in.take(1);
+  if (!is_sent(state))
+    return std::nullopt;
+  update.state = static_cast<MemberState>(state);
+  update.incarnation = static_cast<std::uint32_t>(in.take(4));
+  update.reported_by = static_cast<int>(in.take(2));
+  return update;
+}
+
 }  // namespace
 
-std::string encode(const MembershipMessage& w) {
+std::string encode(const MembershipMessage& message) {
   std::string out;
-  put(out, kMark, 1);
+  std::size_t count = std::min(message.updates.size(), kMaxUpdates);
+  put(out, kTypeByte, 1);
   put(out, kVersion, 1);
-  put(out, static_cast<std::uint8_t>(w.kind), 1);
-  std::size_t count = std::min(w.updates.size(), kMostRumours);
+  put(out, static_cast<std::uint8_t>(message.kind), 1);
   put(out, count, 1);
-  put(out, w.number, 2);
-  put(out, static_cast<std::uint64_t>(w.about), 2);
-  put(out, w.incarnation, 4);
-  put(out, w.digest, 4);
+  put(out, message.number, 2);
+  put(out, static_cast<std::uint64_t>(message.subject), 2);
+  put(out, message.incarnation, 4);
+  put(out, message.digest, 4);
   for (std::size_t i = 0; i < count; ++i) {
-    const MemberUpdate& r = w.updates[i];
-    put(out, static_cast<std::uint64_t>(r.member), 2);
-    put(out, static_cast<std::uint8_t>(r.state), 1);
-    put(out, r.incarnation, 4);
-    put(out, static_cast<std::uint64_t>(r.by), 2);
+    const MemberUpdate& update = message.updates[i];
+    put(out, static_cast<std::uint64_t>(update.member), 2);
+    put(out, static_cast<std::uint8_t>(update.state), 1);
+    put(out, update.incarnation, 4);
+    put(out, static_cast<std::uint64_t>(update.reported_by), 2);
   }
   return out;
 }
 
 std::optional<MembershipMessage> decode_membership_message(std::string_view bytes) {
-  if (bytes.size() < kHeadSize || bytes.size() > kMostBytes)
-    return std::nullopt;
-  Reader in{bytes};
-  if (in.take(1) != kMark || in.take(1) != kVersion)
+  if (bytes.size() < kHeaderBytes || bytes.size() > kMaxMessageBytes)
     return std::nullopt;
-  std::uint64_t kind = in.take(1), count = in.take(1);
-  if (kind > static_cast<std::uint8_t>(MembershipMessage::Kind::tell) ||
-      bytes.size() != kHeadSize + count * kRumourSize)
+  Reader in(bytes);
+  std::uint64_t type = in.take(1);
+  std::uint64_t version = in.take(1);
+  std::uint64_t kind = in.take(1);
+  std::uint64_t count = in.take(1);
+  if (type != kTypeByte || version != kVersion || kind > kLastKind ||
+      bytes.size() != kHeaderBytes + count * kUpdateBytes)
     return std::nullopt;
-  MembershipMessage w;
-  w.kind = static_cast<MembershipMessage::Kind>(kind);
-  w.number = static_cast<std::uint16_t>(in.take(2));
-  w.about = static_cast<int>(in.take(2));
-  w.incarnation = static_cast<std::uint32_t>(in.take(4));
-  w.digest = static_cast<std::uint32_t>(in.take(4));
+  MembershipMessage message;
+  message.kind = static_cast<MembershipMessage::Kind>(kind);
+  message.number = static_cast<std::uint16_t>(in.take(2));
+  message.subject = static_cast<int>(in.take(2));
+  message.incarnation = static_cast<std::uint32_t>(in.take(4));
+  message.digest = static_cast<std::uint32_t>(in.take(4));
   for (std::uint64_t i = 0; i < count; ++i) {
-    MemberUpdate r;
-    r.member = static_cast<int>(in.take(2));
-    std::uint64_t state = in.take(1);
-    if (state < static_cast<std::uint8_t>(MemberState::alive) ||
-        state > static_cast<std::uint8_t>(MemberState::dead))
+    std::optional<MemberUpdate> update = decode_update(in);
+    if (!update)
       return std::nullopt;
-    r.state = static_cast<MemberState>(state);
-    r.incarnation = static_cast<std::uint32_t>(in.take(4));
-    r.by = static_cast<int>(in.take(2));
-    w.updates.push_back(r);
+    message.updates.push_back(*update);
   }
-  return w;
+  return message;
 }
 
 }  // namespace keelflow::fleet
--- /dev/null
+++ b/logic/fleet/probing.cpp
@@ -0,0 +1,248 @@
+#include "fleet/probing.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace keelflow::fleet {
+namespace {
+
+// Messages of one probe: with 30 % loss each way 7 of 100 probes then fail.
+constexpr int kAttempts = 4;
+// Periods between them.
+constexpr double kAttemptGap = 0.32;
+// Periods after which others are asked to probe too.
+constexpr double kIndirectAfter = 0.6;
+// Periods after which a probe has failed.
+constexpr double kVerdictAfter = 1.8;
+// Each so many rounds a member is probed even if it was received just now.
+constexpr std::int64_t kUnconditionalRounds = 4;
+// Milliseconds between probes of dead members.
+constexpr Time kDeadProbeMs = 1000;
+// Dead members that are probed at once when one has returned: it rarely returns alone.
+constexpr int kReturnBurst = 8;
+constexpr std::size_t kMostIndirectProbes = 16;
+// The golden ratio's fraction: multiples of it lie evenly in a period.
+constexpr double kGoldenFraction = 0.6180339887;
+
+}  // namespace
+
+Probing::Probing(const MemberTable& members, MemberSampler& sampler, Dissemination& dissemination,
+                 LocalHealth& health, Time period, Time now, FailureHandler on_failed)
+    : members_(members),
+      sampler_(sampler),
+      dissemination_(dissemination),
+      health_(health),
+      on_failed_(std::move(on_failed)),
+      period_(period),
+      dead_due_(now + kDeadProbeMs) {
+  // Spread over the period, so that not all probe at once.
+  double phase = std::fmod(members.self() * kGoldenFraction, 1.0) * period;
+  round_due_ = (std::floor(now / period) + 1) * period + phase;
+}
+
+void Probing::tick(Time now, MembershipOutput& out) {
+  if (now >= round_due_)
+    begin_round(now, out);
+  for (auto it = probes_.begin(); it != probes_.end();) {
+    bool is_over = now >= it->second.next && advance(it->first, it->second, now, out);
+    it = is_over ? probes_.erase(it) : std::next(it);
+  }
+  advance_indirect(now, out);
+}
+
+Time Probing::next(Time now) const {
+  Time next = std::min(round_due_, dead_due_);
+  for (const auto& [member, probe] : probes_)
+    next = std::min(next, probe.next);
+  for (const IndirectProbe& probe : indirect_probes_)
+    next = std::min({next, probe.until, is_answered(probe) ? now : probe.next});
+  return next;
+}
+
+void Probing::start(int member, Time now) {
+  if (probes_.contains(member))
+    return;
+  probes_[member] = {.begun = now, .next = now, .attempts = 0, .number = ++last_number_};
+}
+
+void Probing::stop_all() {
+  probes_.clear();
+}
+
+void Probing::stop_indirect() {
+  indirect_probes_.clear();
+}
+
+void Probing::on_datagram(int from) {
+  if (probes_.erase(from) > 0)
+    health_.improve();
+}
+
+void Probing::on_returned(Time now) {
+  has_returned_ = true;
+  dead_due_ = now;
+}
+
+void Probing::on_indirect_probe(int requester, int subject, std::uint16_t number, Time now) {
+  if (!members_.is_other(subject) || indirect_probes_.size() >= kMostIndirectProbes)
+    return;
+  indirect_probes_.push_back({.requester = requester,
+                              .subject = subject,
+                              .number = number,
+                              .until = now + indirect_timeout(),
+                              .next = now});
+}
+
+void Probing::on_ack(int subject, std::uint16_t number) {
+  if (!find(subject, number))
+    return;
+  probes_.erase(subject);
+  health_.improve();
+}
+
+void Probing::on_nack(int subject, std::uint16_t number) {
+  if (Probe* probe = find(subject, number))
+    probe->is_nacked = true;
+}
+
+Probing::Probe* Probing::find(int member, std::uint16_t number) {
+  auto found = probes_.find(member);
+  bool is_it = found != probes_.end() && found->second.number == number;
+  return is_it ? &found->second : nullptr;
+}
+
+void Probing::begin_round(Time now, MembershipOutput& out) {
+  auto round = static_cast<std::int64_t>(std::floor(now / period_));
+  round_due_ += period_ * std::max(1.0, std::ceil((now - round_due_ + 1) / period_));
+  if (members_.size() < 2)
+    return;
+  int member = member_of_round(round);
+  // Who was received of late need not be probed; but updates ride on messages, and where only load
+  // updates arrive none would go round.
+  bool is_spared = is_recently_received(member, now) && !dissemination_.has_queued() &&
+                   round % kUnconditionalRounds != 0;
+  if (members_.is_other(member) && members_.is_alive(member) && !is_spared)
+    start(member, now);
+  probe_suspects(out);
+}
+
+// Each member is probed by one other: all nodes are the same distance from the one that they probe.
+int Probing::member_of_round(std::int64_t round) const {
+  int count = members_.size();
+  int distance = 1 + static_cast<int>(round % (count - 1));
+  int member = (members_.self() + distance) % count;
+  for (int i = 0; i < count && (member == members_.self() || !members_.is_alive(member)); ++i)
+    member = (member + 1) % count;
+  return member;
+}
+
+bool Probing::is_recently_received(int member, Time now) const {
+  return now - members_.at(member).last_datagram_at < period_;
+}
+
+// The probe has the accusation with it, as long as it lasts: a suspect may refute it.
+void Probing::probe_suspects(MembershipOutput& out) {
+  int probed = 0;
+  for (int member = 0; member < members_.size() && probed < kIndirectProbers; ++member) {
+    if (members_.at(member).state != MemberState::suspect || probes_.contains(member))
+      continue;
+    dissemination_.send_probe(member, ++last_number_, out);
+    ++probed;
+  }
+}
+
+Time Probing::verdict_time(const Probe& probe) const {
+  return probe.begun + kVerdictAfter * period_ * health_.timeout_factor();
+}
+
+// True: the probe is over.
+bool Probing::advance(int member, Probe& probe, Time now, MembershipOutput& out) {
+  Time verdict = verdict_time(probe);
+  if (now >= verdict) {
+    fail(member, probe, out);
+    return true;
+  }
+  send_due_messages(member, probe, now, out);
+  probe.next = verdict;
+  if (probe.attempts < kAttempts)
+    probe.next = std::min(probe.next, probe.begun + probe.attempts * kAttemptGap * period_);
+  if (!probe.is_indirect)
+    probe.next = std::min(probe.next, probe.begun + kIndirectAfter * period_);
+  return false;
+}
+
+void Probing::send_due_messages(int member, Probe& probe, Time now, MembershipOutput& out) {
+  if (probe.attempts < kAttempts && now >= probe.begun + probe.attempts * kAttemptGap * period_) {
+    ++probe.attempts;
+    dissemination_.send_probe(member, probe.number, out);
+  }
+  if (probe.is_indirect || now < probe.begun + kIndirectAfter * period_)
+    return;
+  probe.is_indirect = true;
+  for (int i = 0; i < kIndirectProbers; ++i) {
+    int prober = sampler_.alive_member_except(member);
+    if (prober < 0)
+      continue;
+    dissemination_.send(prober,
+                        {.kind = MembershipMessage::Kind::indirect_probe,
+                         .number = probe.number,
+                         .subject = member,
+                         .updates = {}},
+                        out);
+  }
+}
+
+// Without an answer from those who were asked either, the fault may be here.
+void Probing::fail(int member, const Probe& probe, MembershipOutput& out) {
+  if (probe.is_indirect && !probe.is_nacked)
+    health_.worsen();
+  on_failed_(member, out);
+}
+
+Time Probing::indirect_timeout() const {
+  return kVerdictAfter * period_ / 2;
+}
+
+bool Probing::is_answered(const IndirectProbe& probe) const {
+  return members_.at(probe.subject).last_datagram_at >= probe.until - indirect_timeout();
+}
+
+void Probing::advance_indirect(Time now, MembershipOutput& out) {
+  for (auto it = indirect_probes_.begin(); it != indirect_probes_.end();) {
+    IndirectProbe& probe = *it;
+    bool answered = is_answered(probe);
+    if (answered || now >= probe.until) {
+      dissemination_.send(
+          probe.requester,
+          {.kind = answered ? MembershipMessage::Kind::ack : MembershipMessage::Kind::nack,
+           .number = probe.number,
+           .subject = probe.subject,
+           .updates = {}},
+          out);
+      it = indirect_probes_.erase(it);
+      continue;
+    }
+    if (now >= probe.next) {
+      dissemination_.send_probe(probe.subject, ++last_number_, out);
+      probe.next = now + kAttemptGap * period_;
+    }
+    ++it;
+  }
+}
+
+void Probing::tick_dead(Time now, MembershipOutput& out) {
+  if (now < dead_due_)
+    return;
+  int left = std::exchange(has_returned_, false) ? kReturnBurst : 1;
+  for (int i = 0; i < members_.size() && left > 0; ++i) {
+    dead_cursor_ = (dead_cursor_ + 1) % members_.size();
+    if (!members_.is_other(dead_cursor_) || members_.is_alive(dead_cursor_))
+      continue;
+    dissemination_.send_probe(dead_cursor_, ++last_number_, out);
+    --left;
+  }
+  dead_due_ = now + kDeadProbeMs;
+}
+
+}  // namespace keelflow::fleet
--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -10,7 +10,7 @@
 using fleet::MemberState;
 using nlohmann::json;
 
-std::string_view word(MemberState state) {
+std::string_view to_string(MemberState state) {
   switch (state) {
     case MemberState::unknown:
       return "unknown";
@@ -24,23 +24,40 @@
   return "";
 }
 
+bool changes_who_is_alive(const fleet::MemberChange& change) {
+  return change.to == MemberState::dead || change.from == MemberState::dead;
+}
+
+// A member that is received for the first time is no event for operators.
+log::Level level_of(const fleet::MemberChange& change) {
+  if (change.to == MemberState::dead)
+    return log::Level::warning;
+  return change.from == MemberState::unknown ? log::Level::debug : log::Level::info;
+}
+
+json seconds_since(double then, double now) {
+  return then > 0 ? json((now - then) / 1000) : json(nullptr);
+}
+
 }  // namespace
 
 MembershipAgent::~MembershipAgent() {
   timers_.cancel(timer_);
 }
 
-void MembershipAgent::start(const Settings& s, int members, int self) {
-  if (!s.on || membership_ || members < 2)
+void MembershipAgent::start(const Settings& settings, int members, int self) {
+  if (!settings.on || membership_ || members < 2)
     return;
   double now = now_ms();
-  membership_.emplace(fleet::Membership::Settings{.members = members,
-                                                  .self = self,
-                                                  .period = to_ms(s.period),
-                                                  .least_suspicion = to_ms(s.least_suspicion),
-                                                  .most_suspicion = to_ms(s.most_suspicion)},
-                      now, static_cast<std::uint32_t>(now / 1000));
-  arm();
+  auto incarnation = static_cast<std::uint32_t>(now / 1000);
+  membership_.emplace(
+      fleet::Membership::Settings{.members = members,
+                                  .self = self,
+                                  .period = to_ms(settings.period),
+                                  .least_suspicion = to_ms(settings.least_suspicion),
+                                  .most_suspicion = to_ms(settings.most_suspicion)},
+      now, incarnation);
+  arm_timer();
 }
 
 void MembershipAgent::leave() {
@@ -48,61 +65,77 @@
     return;
   fleet::Membership::Output out;
   membership_->leave(now_ms(), out);
-  carry(out);
+  execute(out);
 }
 
 bool MembershipAgent::hear(int from, const std::string& bytes) {
   if (!membership_)
     return fleet::decode_membership_message(bytes).has_value();  // off here, on there
   fleet::Membership::Output out;
-  bool word = membership_->hear(now_ms(), from, bytes, out);
-  carry(out);
-  arm();
-  return word;
+  bool is_membership_message = membership_->on_datagram(now_ms(), from, bytes, out);
+  execute(out);
+  arm_timer();
+  return is_membership_message;
 }
 
-void MembershipAgent::arm() {
-  if (timer_ != 0 && armed_ <= membership_->next())
+// A timer that is armed for later than needed is replaced; an earlier one finds nothing to do.
+void MembershipAgent::arm_timer() {
+  if (timer_ != 0 && timer_due_ <= membership_->next())
     return;
   timers_.cancel(timer_);
-  armed_ = membership_->next();
-  timer_ = timers_.at(clock_.at(armed_), [this] {
-    timer_ = 0;
-    fleet::Membership::Output out;
-    membership_->tick(now_ms(), out);
-    carry(out);
-    arm();
-  });
+  timer_due_ = membership_->next();
+  timer_ = timers_.at(clock_.at(timer_due_), [this] { on_timer(); });
+}
+
+void MembershipAgent::on_timer() {
+  timer_ = 0;
+  fleet::Membership::Output out;
+  membership_->tick(now_ms(), out);
+  execute(out);
+  arm_timer();
 }
 
-void MembershipAgent::carry(fleet::Membership::Output& out) {
-  for (const auto& letter : out.letters) {
+void MembershipAgent::execute(const fleet::Membership::Output& out) {
+  for (const fleet::OutgoingMessage& message : out.messages) {
     ++counters_.fleet_words_sent;
-    counters_.fleet_bytes_sent += letter.bytes.size();
-    peers_.tell(letter.to, letter.bytes);
+    counters_.fleet_bytes_sent += message.bytes.size();
+    peers_.tell(message.to, message.bytes);
   }
-  bool living = false;
-  for (const auto& c : out.changes) {
-    counters_.members_suspected += c.to == MemberState::suspect;
-    counters_.members_dead += c.to == MemberState::dead;
-    living = living || c.to == MemberState::dead || c.from == MemberState::dead;
-    // Whom it hears of for the first time is no news.
-    log::Level level = c.to == MemberState::dead        ? log::Level::warning
-                       : c.from == MemberState::unknown ? log::Level::debug
-                                                        : log::Level::info;
-    log::write(log::Subsystem::fleet, level, "member",
-               {{"member", c.member},
-                {"from", word(c.from)},
-                {"to", word(c.to)},
-                {"incarnation", std::uint64_t{c.incarnation}},
-                {"evidence", c.evidence}});
+  bool is_engine_affected = false;
+  for (const fleet::MemberChange& change : out.changes) {
+    counters_.members_suspected += change.to == MemberState::suspect;
+    counters_.members_dead += change.to == MemberState::dead;
+    is_engine_affected = is_engine_affected || changes_who_is_alive(change);
+    report(change);
   }
-  if (!living)
-    return;
-  std::vector<bool> lives;
-  for (int m = 0; m < membership_->members(); ++m)
-    lives.push_back(membership_->lives(m));
-  engine_.members(lives);
+  if (is_engine_affected)
+    notify_engine();
+}
+
+void MembershipAgent::report(const fleet::MemberChange& change) {
+  log::write(log::Subsystem::fleet, level_of(change), "member",
+             {{"member", change.member},
+              {"from", to_string(change.from)},
+              {"to", to_string(change.to)},
+              {"incarnation", std::uint64_t{change.incarnation}},
+              {"evidence", change.evidence}});
+}
+
+void MembershipAgent::notify_engine() {
+  std::vector<bool> is_alive;
+  for (int member = 0; member < membership_->members(); ++member)
+    is_alive.push_back(membership_->is_alive(member));
+  engine_.members(is_alive);
+}
+
+json MembershipAgent::status_of(int member, double now) const {
+  const fleet::Member& of = membership_->at(member);
+  return {{"member", member},
+          {"life", to_string(of.state)},
+          {"incarnation", of.incarnation},
+          {"accusers", of.accusers},
+          {"since_s", seconds_since(of.since, now)},
+          {"heard_s", seconds_since(of.last_datagram_at, now)}};
 }
 
 json MembershipAgent::status() const {
@@ -110,23 +143,15 @@
     return nullptr;
   json members = json::array();
   double now = now_ms();
-  for (int m = 0; m < membership_->members(); ++m) {
-    const auto& of = membership_->at(m);
-    json one = {{"member", m},
-                {"life", word(of.state)},
-                {"incarnation", of.incarnation},
-                {"accusers", of.accusers}};
-    one["since_s"] = of.since > 0 ? json((now - of.since) / 1000) : json(nullptr);
-    one["heard_s"] = of.heard > 0 ? json((now - of.heard) / 1000) : json(nullptr);
-    members.push_back(std::move(one));
-  }
-  const auto& f = membership_->figures();
+  for (int member = 0; member < membership_->members(); ++member)
+    members.push_back(status_of(member, now));
+  fleet::Membership::Statistics statistics = membership_->statistics();
   return {{"members", members},
-          {"living", membership_->living()},
+          {"living", membership_->alive_count()},
           {"doubt", membership_->health()},
-          {"refuted", f.refutations},
-          {"stalls", f.stalls},
-          {"held_back", f.held_back}};
+          {"refuted", statistics.refutations},
+          {"stalls", statistics.stalls},
+          {"held_back", statistics.held_back}};
 }
 
 }  // namespace keelflow
--- a/node/fleet/membership_agent.h
+++ b/node/fleet/membership_agent.h
@@ -1,6 +1,5 @@
-// The hands of logic/fleet/membership: its words go out and come in with the other datagrams
-// between nodes, its timer is the loop's, and who lives is told to the module, the log and the
-// operators.
+/// Runs logic/fleet/membership in a node: its messages are datagrams between nodes, its timer is
+/// the event loop's, and who is alive goes to the engine, the log and the operators.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -14,13 +13,14 @@
 
 namespace keelflow {
 
+/// Owns this node's Membership and its timer. Off until start(), and where settings say so.
 class MembershipAgent {
  public:
   struct Settings {
     bool on = false;
-    Duration period = std::chrono::milliseconds(250),
-             least_suspicion = std::chrono::milliseconds(500),
-             most_suspicion = std::chrono::milliseconds(1200);
+    Duration period = std::chrono::milliseconds(250);
+    Duration least_suspicion = std::chrono::milliseconds(500);
+    Duration most_suspicion = std::chrono::milliseconds(1200);
   };
 
   MembershipAgent(TimerPort& timers, const UnixClock& clock, PeerSender& peers, Engine& engine,
@@ -28,16 +28,22 @@
       : timers_(timers), clock_(clock), peers_(peers), engine_(engine), counters_(counters) {}
   ~MembershipAgent();
 
-  // From here on it takes part. `members` and `self` as in the platform's settings.
+  /// From here on it takes part. `members` and `self` as in the platform's settings.
   void start(const Settings& settings, int members, int self);
-  void leave();  // this node ends, and no other process goes on in its place
-  // A datagram from another node. True: it was a word of who lives, and nobody else's.
+  /// This node ends, and no other process goes on in its place.
+  void leave();
+  /// A datagram of another node. True: it was a membership message, and nobody else's.
   bool hear(int from, const std::string& bytes);
-  nlohmann::json status() const;  // null while it is off
+  /// For operators; null while it is off.
+  nlohmann::json status() const;
 
  private:
-  void carry(fleet::Membership::Output& out);
-  void arm();
+  void execute(const fleet::Membership::Output& out);
+  void report(const fleet::MemberChange& change);
+  void notify_engine();
+  void arm_timer();
+  void on_timer();
+  nlohmann::json status_of(int member, double now) const;
   double now_ms() const { return clock_.unix_ms(timers_.now()); }
 
   TimerPort& timers_;
@@ -46,8 +52,8 @@
   Engine& engine_;
   Counters& counters_;
   std::optional<fleet::Membership> membership_;
-  TimerId timer_ = 0;
-  double armed_ = 0;
+  TimerId timer_ = 0;     ///< 0: none is armed
+  double timer_due_ = 0;  ///< Unix ms
 };
 
 }  // namespace keelflow
--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -1,5 +1,5 @@
-// Who lives, found out in common: many nodes' memberships on one simulated network, and what each
-// fault does to the sum of their views.
+// Membership: many nodes' instances on one simulated network, and what each fault does to the sum
+// of their views.
 #include "fleet/membership.h"
 
 #include <gtest/gtest.h>
@@ -13,22 +13,22 @@
 namespace keelflow::fleet {
 namespace {
 
-TEST(Words, AreReadAsTheyWereWrittenAndNothingElseIsTakenForOne) {
-  MembershipMessage w{.kind = MembershipMessage::Kind::ask,
+TEST(MembershipMessage, IsReadAsItWasWrittenAndNothingElseIsTakenForOne) {
+  MembershipMessage w{.kind = MembershipMessage::Kind::indirect_probe,
                       .number = 513,
                       .incarnation = 0xfedcba98,
                       .digest = 7,
-                      .about = 299,
+                      .subject = 299,
                       .updates = {}};
-  for (int i = 0; i < static_cast<int>(kMostRumours); ++i)
+  for (int i = 0; i < static_cast<int>(kMaxUpdates); ++i)
     w.updates.push_back({i, MemberState::suspect, 5u + static_cast<unsigned>(i), 298});
   std::string bytes = encode(w);
-  EXPECT_LE(bytes.size(), kMostBytes);
+  EXPECT_LE(bytes.size(), kMaxMessageBytes);
   ASSERT_EQ(decode_membership_message(bytes), w);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
     EXPECT_FALSE(decode_membership_message(bytes.substr(0, cut)));
   EXPECT_FALSE(decode_membership_message(bytes + "x"));
-  EXPECT_FALSE(decode_membership_message("12345678"));  // a note of the release before
+  EXPECT_FALSE(decode_membership_message("12345678"));  // a load update of the release before
   bytes[1] = 2;                                         // a later version
   EXPECT_FALSE(decode_membership_message(bytes));
   std::mt19937 random(1);
@@ -37,8 +37,8 @@
     for (char& c : noise)
       c = static_cast<char>(random());
     if (noise.size() > 4)
-      noise[0] = '\xfe', noise[1] = 1, noise[2] = static_cast<char>(random() % 6),
-      noise[3] = static_cast<char>(random() % 28);
+      noise.replace(0, 4,
+                    {'\xfe', 1, static_cast<char>(random() % 6), static_cast<char>(random() % 28)});
     if (auto read = decode_membership_message(noise)) {
       EXPECT_EQ(encode(*read), noise);
     }
@@ -46,8 +46,8 @@
 }
 
 struct Tier {
-  explicit Tier(int count, unsigned seed = 1, double share_lost = 0)
-      : nodes(static_cast<std::size_t>(count)), loss(share_lost), random(seed) {
+  explicit Tier(int count, unsigned seed = 1, double loss_fraction = 0)
+      : nodes(static_cast<std::size_t>(count)), loss(loss_fraction), random(seed) {
     for (int i = 0; i < count; ++i)
       start(i);
   }
@@ -85,13 +85,13 @@
           continue;
         Membership::Output out;
         for (auto& [from, bytes] : std::exchange(n.unread, {}))
-          n.membership->hear(now, from, bytes, out);
+          n.membership->on_datagram(now, from, bytes, out);
         if (now >= n.membership->next()) {
           n.membership->tick(now, out);
           EXPECT_GT(n.membership->next(), now) << "it wants to be called for ever";
         }
-        carry(i, out);
-        for (int to = 0; notes && static_cast<int>(now / 5) % 20 == i % 20 &&
+        send_all(i, out);
+        for (int to = 0; sends_load_updates && static_cast<int>(now / 5) % 20 == i % 20 &&
                          to < static_cast<int>(nodes.size());
              ++to)
           if (to != i && std::generate_canonical<double, 32>(random) >= loss)
@@ -99,11 +99,11 @@
       }
     }
   }
-  void carry(int from, Membership::Output& out) {
-    for (const auto& l : out.letters) {
-      EXPECT_LE(l.bytes.size(), kMostBytes);
+  void send_all(int from, Membership::Output& out) {
+    for (const auto& l : out.messages) {
+      EXPECT_LE(l.bytes.size(), kMaxMessageBytes);
       EXPECT_NE(l.to, from);
-      ++letters;
+      ++messages;
       if (cut && cut(from, l.to))
         continue;
       for (int copies = doubled && random() % 3 == 0 ? 2 : 1; copies > 0; --copies)
@@ -115,12 +115,12 @@
       if (c.to == MemberState::dead || c.from == MemberState::dead)
         events.push_back({now, from, from, c.member, c.to});
   }
-  // Whether all nodes of `among` hold exactly `living` for living.
-  bool agree(const std::vector<int>& among, const std::vector<int>& living) const {
+  // Whether all nodes of `among` hold exactly `alive` for alive.
+  bool agree(const std::vector<int>& among, const std::vector<int>& alive) const {
     for (int i : among)
       for (int m = 0; m < static_cast<int>(nodes.size()); ++m)
-        if (m != i && nodes[at(i)].membership->lives(m) !=
-                          (std::find(living.begin(), living.end(), m) != living.end()))
+        if (m != i && nodes[at(i)].membership->is_alive(m) !=
+                          (std::find(alive.begin(), alive.end(), m) != alive.end()))
           return false;
     return true;
   }
@@ -132,11 +132,11 @@
     return out;
   }
   // Until they agree; the time it took, or -1.
-  Time until_agreed(const std::vector<int>& among, const std::vector<int>& living,
+  Time until_agreed(const std::vector<int>& among, const std::vector<int>& alive,
                     Time most = 20'000) {
     Time from = now;
     while (now < from + most) {
-      if (agree(among, living))
+      if (agree(among, alive))
         return now - from;
       run(10);
     }
@@ -159,8 +159,9 @@
   std::function<bool(int from, int to)> cut;
   Time now = 1'000'000;
   double loss;
-  bool doubled = false, notes = false;  // notes: each sends everyone one ten times a second
-  std::uint64_t letters = 0;
+  bool doubled = false;
+  bool sends_load_updates = false;  // each sends everyone one ten times a second
+  std::uint64_t messages = 0;
   std::mt19937 random;
 };
 
@@ -206,18 +207,18 @@
     tier.run(600'000);
     EXPECT_TRUE(tier.events.empty());
     for (const auto& n : tier.nodes)
-      EXPECT_EQ(n.membership->figures().accusations, 0u);
-    double rate = static_cast<double>(tier.letters) / count / 600;
-    EXPECT_LT(rate, 9) << "words a second and node";  // four looks and as many answers
+      EXPECT_EQ(n.membership->statistics().suspicions, 0u);
+    double rate = static_cast<double>(tier.messages) / count / 600;
+    EXPECT_LT(rate, 9) << "words a second and node";  // four probes and as many acks
   }
 }
 
-// Notes go between all and spare the looks: news must go round all the same.
+// Load updates go between all and spare the probes: updates must go round all the same.
 TEST(Membership, WhereEverybodyHearsNotesADeathIsKnownToAllAsSoon) {
   std::vector<double> took;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     Tier tier(40, seed, 0.1);
-    tier.notes = true;
+    tier.sends_load_updates = true;
     tier.run(3000 + seed * 17);
     tier.kill(7);
     took.push_back(tier.until_agreed(tier.all_but({7}), tier.all_but({7})));
@@ -230,19 +231,19 @@
   Tier tier(4);
   tier.run(2000);
   Membership::Output out;
-  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 1, "12345678", out));
-  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 9, encode({}), out));  // nobody
-  EXPECT_FALSE(tier.nodes[0].membership->hear(tier.now, 0, encode({}), out));  // itself
+  EXPECT_FALSE(tier.nodes[0].membership->on_datagram(tier.now, 1, "12345678", out));
+  EXPECT_FALSE(tier.nodes[0].membership->on_datagram(tier.now, 9, encode({}), out));  // nobody
+  EXPECT_FALSE(tier.nodes[0].membership->on_datagram(tier.now, 0, encode({}), out));  // itself
   EXPECT_TRUE(out.changes.empty());
 }
 
 TEST(Membership, ANodeOfTheReleaseBeforeCountsAsLivingBySilenceAndByItsNotes) {
   Tier tier(3);
-  tier.kill(2);  // it never says a word of this kind
+  tier.kill(2);  // it never sends a message of this kind
   tier.run(10'000);
   EXPECT_TRUE(tier.agree({0, 1}, {0, 1, 2}));
   Membership::Output out;
-  tier.nodes[0].membership->hear(tier.now, 2, "12345678", out);
+  tier.nodes[0].membership->on_datagram(tier.now, 2, "12345678", out);
   EXPECT_EQ(tier.nodes[0].membership->at(2).state, MemberState::alive);
 }
 
@@ -294,13 +295,13 @@
       return to < deaf;
     };
     tier.run(10'000);
-    std::map<std::pair<int, int>, int> buried;  // by whom, who
+    std::map<std::pair<int, int>, int> deaths_seen;  // by whom, who
     for (const auto& e : tier.events) {
       if (e.node < deaf)
         continue;
       EXPECT_LT(e.to, deaf) << "n" << e.node
                             << " heard the others and took the word of a deaf one on n" << e.to;
-      int& times = buried[std::pair(e.node, e.to)];
+      int& times = deaths_seen[std::pair(e.node, e.to)];
       EXPECT_LE(times += e.state == MemberState::dead, 1) << "it flaps";
     }
     tier.cut = nullptr;
@@ -339,7 +340,7 @@
   tier.run(3000);
   Membership::Output out;
   tier.nodes[4].membership->leave(tier.now, out);
-  tier.carry(4, out);
+  tier.send_all(4, out);
   EXPECT_LT(tier.until_agreed(tier.all_but({4}), tier.all_but({4})), 300);
   tier.run(1500);  // it still answers
   EXPECT_TRUE(tier.agree(tier.all_but({4}), tier.all_but({4})));
@@ -348,26 +349,26 @@
   EXPECT_LT(tier.until_agreed(tier.all_but({}), tier.all_but({})), 2000);
 }
 
-// One membership alone, with all it hears given by hand.
+// One membership alone, with all that it receives given by the test.
 struct Alone {
   Alone() : node({.members = 8, .self = 0}, now, 1000) {
     for (int from = 1; from < 8; ++from)
-      word(from, {});
+      receive(from, {});
   }
-  void word(int from, std::vector<MemberUpdate> updates) {
+  void receive(int from, std::vector<MemberUpdate> updates) {
     Membership::Output out;
-    node.hear(now, from,
-              encode({.kind = MembershipMessage::Kind::tell,
-                      .number = 0,
-                      .incarnation = 1000,
-                      .digest = 0,
-                      .about = from,
-                      .updates = std::move(updates)}),
-              out);
+    node.on_datagram(now, from,
+                     encode({.kind = MembershipMessage::Kind::gossip,
+                             .number = 0,
+                             .incarnation = 1000,
+                             .digest = 0,
+                             .subject = from,
+                             .updates = std::move(updates)}),
+                     out);
   }
-  void note(int from) {
+  void receive_load_update(int from) {
     Membership::Output out;
-    node.hear(now, from, "12345678", out);
+    node.on_datagram(now, from, "12345678", out);
   }
   void silence(Time span) {
     Membership::Output out;
@@ -382,7 +383,7 @@
 
 TEST(Membership, AStallCountsForNobodysSuspicion) {
   Alone a;
-  a.word(1, {{3, MemberState::suspect, 1000, 1}});
+  a.receive(1, {{3, MemberState::suspect, 1000, 1}});
   a.now += 3000;  // it slept, and its timer rings late
   Membership::Output out;
   a.node.tick(a.now, out);
@@ -393,25 +394,28 @@
 TEST(Membership, WhatWasConcludedWhileNobodyWasHeardIsDroppedWithTheFirstWord) {
   Alone a;
   a.silence(6000);
-  EXPECT_EQ(a.node.living(), 1);
-  a.word(1, {});
-  EXPECT_EQ(a.node.living(), 8);
+  EXPECT_EQ(a.node.alive_count(), 1);
+  a.receive(1, {});
+  EXPECT_EQ(a.node.alive_count(), 8);
 }
 
 TEST(Membership, NotesAloneBringBackWhoWentBackToTheReleaseBeforeButNotWhoSaidThatItEnds) {
   Alone a;
   a.now += 10;
-  a.word(1, {{2, MemberState::dead, 1000, 2}});  // 2 says that it ends
-  a.word(1, {{3, MemberState::suspect, 1000, 1},
-             {3, MemberState::suspect, 1000, 4},
-             {3, MemberState::suspect, 1000, 5},
-             {3, MemberState::suspect, 1000, 6}});
-  for (int i = 0; i < 40; ++i)
-    a.silence(40), a.word(1, {}), a.word(4, {});
+  a.receive(1, {{2, MemberState::dead, 1000, 2}});  // 2 says that it ends
+  a.receive(1, {{3, MemberState::suspect, 1000, 1},
+                {3, MemberState::suspect, 1000, 4},
+                {3, MemberState::suspect, 1000, 5},
+                {3, MemberState::suspect, 1000, 6}});
+  for (int i = 0; i < 40; ++i) {
+    a.silence(40);
+    a.receive(1, {});
+    a.receive(4, {});
+  }
   ASSERT_EQ(a.node.at(3).state, MemberState::dead);
   a.now += 1500;
-  a.note(2);
-  a.note(3);
+  a.receive_load_update(2);
+  a.receive_load_update(3);
   EXPECT_EQ(a.node.at(2).state, MemberState::dead);
   EXPECT_EQ(a.node.at(3).state, MemberState::alive);
 }
@@ -421,8 +425,10 @@
   tier.run(3000);
   std::vector<int> gone;
   for (int i = 0; i < 300; ++i)
-    if (i % 10 < 7)
-      gone.push_back(i), tier.kill(i);
+    if (i % 10 < 7) {
+      gone.push_back(i);
+      tier.kill(i);
+    }
   Time took = tier.until_agreed(tier.all_but(gone), tier.all_but(gone));
   std::printf("210 of 300 die: known to all after %.0f ms\n", took);
   EXPECT_GE(took, 0);
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -75,7 +75,7 @@
       if (!node.membership || now_ < node.stalled_until)
         continue;
       fleet::Membership::Output out;
-      bool known = node.membership->hear(now_, datagram.from, datagram.bytes, out);
+      bool known = node.membership->on_datagram(now_, datagram.from, datagram.bytes, out);
       recording_.line("heard " + std::to_string(datagram.to) + " " + std::to_string(known));
       carry(datagram.to, out);
     }
@@ -97,14 +97,14 @@
                       std::to_string(static_cast<int>(change.from)) + " " +
                       std::to_string(static_cast<int>(change.to)) + " " +
                       std::to_string(change.incarnation));
-    for (const auto& letter : out.letters) {
-      recording_.line("letter " + std::to_string(from) + " " + std::to_string(letter.to) + " " +
-                      hex_of(letter.bytes));
+    for (const auto& message : out.messages) {
+      recording_.line("letter " + std::to_string(from) + " " + std::to_string(message.to) + " " +
+                      hex_of(message.bytes));
       int copies = draw_.chance(0.1) ? 0 : draw_.chance(0.05) ? 2 : 1;
       for (int copy = 0; copy < copies; ++copy)
         on_way_.emplace(
             now_ + draw_.between(1, draw_.chance(0.05) ? 300 : 12),
-            Datagram{static_cast<std::size_t>(letter.to), static_cast<int>(from), letter.bytes});
+            Datagram{static_cast<std::size_t>(message.to), static_cast<int>(from), message.bytes});
     }
   }
 
@@ -131,7 +131,7 @@
   void describe(const Node& node) {
     if (!node.membership)
       return recording_.line("none");
-    std::string line = "living " + std::to_string(node.membership->living()) + " health " +
+    std::string line = "living " + std::to_string(node.membership->alive_count()) + " health " +
                        std::to_string(node.membership->health());
     for (int m = 0; m < node.membership->members(); ++m)
       line += " " + std::to_string(static_cast<int>(node.membership->at(m).state));
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -134,7 +134,7 @@
     word.number = static_cast<std::uint16_t>(draw.bits());
     word.incarnation = static_cast<std::uint32_t>(draw.bits());
     word.digest = static_cast<std::uint32_t>(draw.bits());
-    word.about = draw.below(900);
+    word.subject = draw.below(900);
     for (int i = 0; i < 7 * kind; ++i)
       word.updates.push_back({draw.below(900), static_cast<fleet::MemberState>(1 + draw.below(3)),
                               static_cast<std::uint32_t>(draw.bits()), draw.below(900)});
