--- a/node/peers/peers.cpp
+++ b/node/peers/peers.cpp
@@ -12,8 +12,11 @@
 
 namespace keelflow {
 namespace {
-constexpr int kMostInATurn = 64;  // a flood of datagrams must not hold up the other sockets
-}
+
+// Datagrams read before other sockets have their turn: a flood must not delay them.
+constexpr int kMostReadsAtOnce = 64;
+
+}  // namespace
 
 Peers::Peers(net::EventLoop& loop, std::vector<net::Address> peers, int rank, Listener listener,
              Counters& counters)
@@ -23,7 +26,7 @@
       listener_(std::move(listener)),
       counters_(counters) {
   for (std::size_t i = 0; i < peers_.size(); ++i)
-    rank_of_[{peers_[i].in.sin_addr.s_addr, peers_[i].in.sin_port}] = static_cast<int>(i);
+    rank_of_[address_of(peers_[i])] = static_cast<int>(i);
 }
 
 Peers::~Peers() {
@@ -33,6 +36,10 @@
   ::close(fd_);
 }
 
+Peers::PeerAddress Peers::address_of(const net::Address& address) {
+  return {.ip = address.in.sin_addr.s_addr, .port = address.in.sin_port};
+}
+
 bool Peers::open(const net::Address& listen) {
   fd_ = net::open_socket(AF_INET, SOCK_DGRAM);
   if (fd_ < 0)
@@ -47,17 +54,19 @@
 }
 
 net::Address Peers::address() const {
-  net::Address mine;
-  socklen_t size = sizeof mine.in;
+  net::Address own;
+  socklen_t size = sizeof own.in;
   if (fd_ >= 0)
-    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&mine.in), &size);
-  return mine;
+    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&own.in), &size);
+  return own;
 }
 
 void Peers::tell(int peer, std::string_view bytes) {
-  bool known = peer >= 0 && static_cast<std::size_t>(peer) < peers_.size() && peer != rank_;
-  if (fd_ < 0 || !known || bytes.size() > kMostBytes)
-    return void(++counters_.peer_messages_dropped);
+  bool is_peer = peer >= 0 && static_cast<std::size_t>(peer) < peers_.size() && peer != rank_;
+  if (fd_ < 0 || !is_peer || bytes.size() > kMaxMessageBytes) {
+    ++counters_.peer_messages_dropped;
+    return;
+  }
   const net::Address& to = peers_[static_cast<std::size_t>(peer)];
   ssize_t sent = ::sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL,
                           reinterpret_cast<const sockaddr*>(&to.in), sizeof to.in);
@@ -70,24 +79,31 @@
 }
 
 void Peers::read() {
-  std::array<char, kMostBytes + 1> buffer;
-  for (int count = 0; count < kMostInATurn; ++count) {
+  std::array<char, kMaxMessageBytes + 1> buffer;  // one more: a longer datagram is seen as such
+  for (int count = 0; count < kMostReadsAtOnce; ++count) {
     net::Address from;
     socklen_t size = sizeof from.in;
     ssize_t got = ::recvfrom(fd_, buffer.data(), buffer.size(), 0,
                              reinterpret_cast<sockaddr*>(&from.in), &size);
     if (got < 0 && (errno == EINTR || errno == ECONNREFUSED))
-      continue;  // refused: an earlier send, its peer is away
+      continue;  // refused: an earlier send, whose peer does not run
     if (got < 0)
       return;  // nothing left, or a fault that would last if it were tried again at once
-    auto peer = rank_of_.find({from.in.sin_addr.s_addr, from.in.sin_port});
-    bool good = peer != rank_of_.end() && peer->second != rank_ && got > 0 &&
-                got <= static_cast<ssize_t>(kMostBytes);
-    ++(good ? counters_.peer_messages_received : counters_.peer_messages_unknown);
-    if (good)
-      listener_(peer->second, std::string(buffer.data(), static_cast<std::size_t>(got)));
+    on_datagram(address_of(from), {buffer.data(), static_cast<std::size_t>(got)});
   }
   loop_.next_turn(registration_);
 }
 
+void Peers::on_datagram(const PeerAddress& from, std::string_view bytes) {
+  auto peer = rank_of_.find(from);
+  bool is_accepted = peer != rank_of_.end() && peer->second != rank_ && !bytes.empty() &&
+                     bytes.size() <= kMaxMessageBytes;
+  if (!is_accepted) {
+    ++counters_.peer_messages_unknown;
+    return;
+  }
+  ++counters_.peer_messages_received;
+  listener_(peer->second, std::string(bytes));
+}
+
 }  // namespace keelflow
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -19,8 +19,8 @@
     ::bind(fd, reinterpret_cast<sockaddr*>(&address.in), sizeof address.in);
     socklen_t size = sizeof address.in;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&address.in), &size);
-    timeval patience{.tv_sec = 20, .tv_usec = 0};
-    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    timeval timeout{.tv_sec = 20, .tv_usec = 0};
+    ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
   ~Stranger() { ::close(fd); }
   void send(const net::Address& to, std::string_view text) const {
@@ -40,39 +40,39 @@
   PeersTest()
       : peers(
             loop, {*net::parse_address("127.0.0.1:1"), friendly.address}, 0,
-            [this](int peer, const std::string& bytes) { heard.emplace_back(peer, bytes); },
+            [this](int peer, const std::string& bytes) { received.emplace_back(peer, bytes); },
             counters) {}
-  // Until so many datagrams have been looked at.
+  // Until so many datagrams were read.
   void run_until(std::uint64_t count) {
     TimePoint limit = loop.now() + 20s;
-    std::function<void()> look = [&] {
+    std::function<void()> check = [&] {
       if (counters.peer_messages_received + counters.peer_messages_unknown >= count ||
           loop.now() > limit)
         return loop.stop();
-      loop.at(loop.now() + 1ms, look);
+      loop.at(loop.now() + 1ms, check);
     };
-    look();
+    check();
     loop.run();
   }
-  Stranger friendly, unknown;
+  Stranger friendly, stranger;
   net::EventLoop loop;
   Counters counters;
-  std::vector<std::pair<int, std::string>> heard;
+  std::vector<std::pair<int, std::string>> received;
   Peers peers;
 };
 
 TEST_F(PeersTest, OnlyPeersAreHeardAndByTheirRank) {
   ASSERT_TRUE(peers.open(*net::parse_address("127.0.0.1:0")));
-  unknown.send(peers.address(), "who am I");
+  stranger.send(peers.address(), "who am I");
   friendly.send(peers.address(), "");
   friendly.send(peers.address(), std::string(257, 'x'));
   for (int i = 0; i < 200; ++i)
-    friendly.send(peers.address(), std::to_string(i));  // more than one turn reads
+    friendly.send(peers.address(), std::to_string(i));  // more than are read at once
   run_until(203);
   EXPECT_EQ(counters.peer_messages_unknown, 3u);
-  ASSERT_EQ(heard.size(), 200u);
-  EXPECT_EQ(heard.front(), (std::pair<int, std::string>(1, "0")));
-  EXPECT_EQ(heard.back().second, "199");
+  ASSERT_EQ(received.size(), 200u);
+  EXPECT_EQ(received.front(), (std::pair<int, std::string>(1, "0")));
+  EXPECT_EQ(received.back().second, "199");
 }
 
 TEST_F(PeersTest, WhatCannotBeToldIsDroppedAndCounted) {
@@ -89,7 +89,7 @@
 }
 
 TEST_F(PeersTest, AnAddressThatIsTakenIsToldAndTheNodeGoesOn) {
-  EXPECT_FALSE(peers.open(unknown.address));
+  EXPECT_FALSE(peers.open(stranger.address));
   peers.tell(1, "dropped");
   EXPECT_EQ(counters.peer_messages_dropped, 1u);
 }
