--- a/logic/handover/succession.h
+++ b/logic/handover/succession.h
@@ -1,54 +1,64 @@
-// When a process that takes over from another one is ready, and what each of the two does
-// meanwhile. Pure; times are Unix milliseconds, as the module's.
+/// When a new process that takes over from an old one is ready, and what each of the two does
+/// meanwhile. Pure; times are Unix milliseconds.
 #pragma once
 
 #include <string>
 
 namespace keelflow::handover {
 
-// What the younger process waits for, each for so long at most. The platform wants it ready within
-// 6 s.
-constexpr double kAnswerWithin =
-    1500;  // the elder's word: who is out by hand, what it has sent and learned
-constexpr double kListWithin =
-    2500;  // discovery's list; until then it has the one that the platform keeps for it
+/// What the new process waits for, each for so many milliseconds at most. The platform wants it
+/// ready within 6 s, and both together leave a margin.
+///
+/// The old process's state: administrative overrides, what it has sent and learned.
+constexpr double kAnswerWithin = 1500;
+/// Discovery's endpoint list; until then the process has the one that the platform keeps for it.
+constexpr double kListWithin = 2500;
 
+/// Owns what the new process still waits for.
 class Succession {
  public:
-  // `asked`: there is an elder. Without one nothing is waited for.
-  Succession(double start_ms, bool asked)
-      : start_(start_ms), waits_answer_(asked), waits_list_(asked) {}
+  /// `is_asked`: there is an old process, and it was asked for its state. Without one nothing is
+  /// waited for.
+  Succession(double start_ms, bool is_asked)
+      : start_ms_(start_ms), is_awaiting_state_(is_asked), is_awaiting_list_(is_asked) {}
 
-  void answered() { waits_answer_ = false; }
-  void gone() { waits_answer_ = false; }  // the elder has ended: nothing is left to be asked
-  void listed() { waits_list_ = false; }
+  /// The old process's state arrived.
+  void answered() { is_awaiting_state_ = false; }
+  /// The old process has ended: nobody is left to answer.
+  void gone() { is_awaiting_state_ = false; }
+  /// Discovery's list arrived.
+  void listed() { is_awaiting_list_ = false; }
 
-  // Empty: it may serve. Once it may, it always may.
+  /// Why it may not serve yet, for people. Empty: it may serve, and always may from then on.
   std::string waits_for(double now_ms) const {
-    if (waits_answer_ && now_ms < start_ + kAnswerWithin)
+    if (is_awaiting_state_ && now_ms < start_ms_ + kAnswerWithin)
       return "it waits for the process that it takes over from";
-    if (waits_list_ && now_ms < start_ + kListWithin)
+    if (is_awaiting_list_ && now_ms < start_ms_ + kListWithin)
       return "it waits for discovery's list";
     return "";
   }
+  /// When it may serve at the latest.
   double latest() const {
-    return start_ + (waits_list_ ? kListWithin : waits_answer_ ? kAnswerWithin : 0);
+    if (is_awaiting_list_)
+      return start_ms_ + kListWithin;
+    return is_awaiting_state_ ? start_ms_ + kAnswerWithin : start_ms_;
   }
 
  private:
-  double start_;
-  bool waits_answer_, waits_list_;
+  double start_ms_;
+  bool is_awaiting_state_;
+  bool is_awaiting_list_;
 };
 
-// A process that has been told to end goes on accepting clients only while no other accepts them.
-inline bool leaves_accepting(bool told_to_end, bool successor_ready) {
-  return told_to_end && successor_ready;
+/// A process that is shutting down goes on accepting clients only while no other accepts them.
+inline bool leaves_accepting(bool is_shutting_down, bool is_successor_ready) {
+  return is_shutting_down && is_successor_ready;
 }
 
-// Of a limit that both processes share; what two halves leave over is nobody's.
+/// What one process has of a limit that both share; a rest of the halving is nobody's.
 template <typename T>
-T part(T limit, bool partner_here) {
-  return partner_here ? limit / 2 : limit;
+T part(T limit, bool has_sibling_process) {
+  return has_sibling_process ? limit / 2 : limit;
 }
 
 }  // namespace keelflow::handover
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -6,9 +6,11 @@
 #include <unistd.h>
 #include <xxhash.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <cstdio>
 #include <optional>
+#include <stdexcept>
 #include <utility>
 
 #include "log/log.h"
@@ -17,11 +19,11 @@
 namespace {
 
 using log::Subsystem;
-using nlohmann::json;
-constexpr std::size_t kMostLinks = 4;
-constexpr std::size_t kMostLine =
-    1024 * 1024;  // a call-back's body of 64 KiB, each byte escaped in six
-constexpr std::size_t kMostQueued = 1024 * 1024;
+
+// An old process, a new one, and two that start over while one of those hangs.
+constexpr std::size_t kMaxLinks = 4;
+// Nobody but this user connects.
+constexpr mode_t kSocketMask = 0177;
 
 // Empty: the folder's name is too long for a socket in it.
 std::optional<sockaddr_un> address_of(const std::string& path) {
@@ -33,82 +35,26 @@
   return to;
 }
 
-std::string hex(std::string_view bytes) {
-  std::string out;
-  for (unsigned char c : bytes) {
-    char two[3];
-    std::snprintf(two, sizeof two, "%02x", c);
-    out += two;
-  }
-  return out;
+int open_unix_socket() {
+  return ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-std::string unhex(const std::string& text) {
-  std::string out;
-  for (std::size_t i = 0; i + 1 < text.size(); i += 2)
-    out += static_cast<char>(std::stoi(text.substr(i, 2), nullptr, 16));
-  return out;
+std::string socket_name_of(const std::string& node) {
+  char name[32];
+  std::snprintf(name, sizeof name, "/keelflow-%016llx",
+                static_cast<unsigned long long>(XXH3_64bits(node.data(), node.size())));
+  return name;
 }
 
 }  // namespace
 
-class Handover::Link final : net::Connection::Events {
- public:
-  Link(Handover& owner, std::uint64_t number, bool elder)
-      : owner_(owner), number_(number), elder_(elder), connection_(owner.loop_, *this) {}
-
-  bool adopt(int fd) { return connection_.adopt(fd); }
-  std::uint64_t number() const { return number_; }
-  bool elder() const { return elder_; }  // the other process is the elder one
-  std::size_t pending() const { return connection_.pending(); }
-  bool welcomed = false;  // the versions fit
-
-  bool tell(const json& message) {
-    if (connection_.pending() > kMostQueued)
-      return ++owner_.counters_.handover_dropped, false;
-    connection_.write(message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n");
-    return true;
-  }
-
- private:
-  void on_data(std::string_view bytes) override {
-    in_ += bytes;
-    std::size_t from = 0;
-    for (std::size_t end; connection_.open() && (end = in_.find('\n', from)) != std::string::npos;
-         from = end + 1) {
-      try {
-        owner_.take(*this, json::parse(in_.begin() + static_cast<std::ptrdiff_t>(from),
-                                       in_.begin() + static_cast<std::ptrdiff_t>(end)));
-      } catch (const std::exception& fault) {
-        return give_up(fault.what());
-      }
-    }
-    in_.erase(0, from);
-    if (in_.size() > kMostLine)
-      give_up("a message is too long");
-  }
-  void on_closed(int) override { owner_.remove(*this); }
-  void give_up(const char* why) {
-    log::warning(Subsystem::node, "handover-broken", {{"fault", why}});
-    connection_.close();
-    owner_.remove(*this);
-  }
-
-  Handover& owner_;
-  std::uint64_t number_;
-  bool elder_;
-  net::Connection connection_;
-  std::string in_;
-};
-
 Handover::Handover(net::EventLoop& loop, std::string folder, const std::string& node,
-                   Callbacks deeds, Counters& counters)
-    : loop_(loop), node_(node), callbacks_(std::move(deeds)), counters_(counters) {
-  char name[32];
-  std::snprintf(name, sizeof name, "/keelflow-%016llx",
-                static_cast<unsigned long long>(XXH3_64bits(node.data(), node.size())));
-  path_ = std::move(folder) + name;
-}
+                   Callbacks callbacks, Counters& counters)
+    : loop_(loop),
+      path_(std::move(folder) + socket_name_of(node)),
+      node_(node),
+      callbacks_(std::move(callbacks)),
+      counters_(counters) {}
 
 // The name stays: it is the successor's by now, or nobody answers there.
 Handover::~Handover() {
@@ -121,28 +67,37 @@
 
 bool Handover::ask() {
   auto to = address_of(path_);
-  int fd = to ? ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0) : -1;
+  int fd = to ? open_unix_socket() : -1;
   if (fd < 0)
     return false;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0)
-    return ::close(fd), false;
-  Link* link = add(fd, true);
-  return link && link->tell({{"say", "hello"}, {"version", kVersion}, {"node", node_}});
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0) {
+    ::close(fd);
+    return false;
+  }
+  HandoverLink* link = add_link(fd, HandoverLink::Peer::old_process);
+  return link && link->send(HelloMessage{kVersion, node_});
 }
 
 void Handover::listen() {
-  std::string mine = path_ + "." + std::to_string(::getpid());
-  auto at = address_of(mine);
-  ::unlink(mine.c_str());  // of a process with our number that ended in between
-  fd_ = at ? ::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0) : -1;
-  mode_t usual = ::umask(0177);
-  bool good = fd_ >= 0 && ::bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) == 0;
-  ::umask(usual);
-  good = good && ::listen(fd_, kMostLinks) == 0 && (registration_ = loop_.watch(fd_, *this)) != 0 &&
-         std::rename(mine.c_str(), path_.c_str()) == 0;
-  if (!good)
+  if (!open_socket(path_ + "." + std::to_string(::getpid())))
     log::error(Subsystem::node, "handover-closed", {{"path", path_}, {"errno", errno}});
-  tell({{"say", "ready"}});
+  send_to_all(ReadyMessage{});
+}
+
+// Listens under a name of this process's own, which then replaces the common one in one step: there
+// is no moment at which nobody answers. False: errno.
+bool Handover::open_socket(const std::string& path) {
+  auto address = address_of(path);
+  ::unlink(path.c_str());  // of a process with our number that ended in between
+  fd_ = address ? open_unix_socket() : -1;
+  mode_t mask = ::umask(kSocketMask);
+  bool bound =
+      fd_ >= 0 && ::bind(fd_, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) == 0;
+  ::umask(mask);
+  if (!bound || ::listen(fd_, static_cast<int>(kMaxLinks)) != 0)
+    return false;
+  registration_ = loop_.watch(fd_, *this);
+  return registration_ != 0 && std::rename(path.c_str(), path_.c_str()) == 0;
 }
 
 void Handover::on_ready(std::uint32_t) {
@@ -152,97 +107,108 @@
       continue;
     if (fd < 0)
       return;
-    if (links_.size() >= kMostLinks)
-      ::close(fd), ++counters_.handover_dropped;
-    else
-      add(fd, false);
+    if (links_.size() < kMaxLinks) {
+      add_link(fd, HandoverLink::Peer::new_process);
+      continue;
+    }
+    ::close(fd);
+    ++counters_.handover_dropped;
   }
 }
 
-Handover::Link* Handover::add(int fd, bool elder) {
-  auto link = std::make_unique<Link>(*this, ++next_, elder);
-  Link* raw = link.get();
-  if (!link->adopt(fd))
+HandoverLink* Handover::add_link(int fd, HandoverLink::Peer peer) {
+  ++last_link_id_;
+  HandoverLink::Events& events = *this;
+  auto link = std::make_unique<HandoverLink>(loop_, events, counters_, last_link_id_, peer);
+  HandoverLink* added = link.get();
+  if (!added->adopt(fd))
     return nullptr;
-  links_.emplace(next_, std::move(link));
+  links_.emplace(last_link_id_, std::move(link));
   if (links_.size() == 1)
-    callbacks_.partner(true);
-  return raw;
+    callbacks_.on_sibling_process(true);
+  return added;
 }
 
-void Handover::remove(Link& link) {
-  auto it = links_.find(link.number());
-  if (it == links_.end())
+void Handover::on_link_closed(HandoverLink& link) {
+  auto found = links_.find(link.id());
+  if (found == links_.end())
     return;
-  loop_.dispose(std::move(it->second));
-  links_.erase(it);
+  loop_.dispose(std::move(found->second));
+  links_.erase(found);
   if (links_.empty())
-    callbacks_.partner(false);
-}
-
-void Handover::take(Link& link, const json& message) {
-  const std::string say = message.at("say").get<std::string>();
-  if (say == "hello" || say == "welcome") {
-    if (message.at("version").get<int>() != kVersion ||
-        message.at("node").get<std::string>() != node_)
-      throw std::runtime_error("another release, or another node");
-    link.welcomed = true;
-    if (say == "hello") {
-      json welcome = callbacks_.welcome();
-      welcome.update({{"say", "welcome"}, {"version", kVersion}, {"node", node_}});
-      link.tell(welcome);
-    } else {
-      callbacks_.welcomed(message);
-    }
-  } else if (say == "ready") {
-    if (!link.elder())
-      callbacks_.successor_ready();
-  } else if (say == "by-hand") {
-    callbacks_.by_hand(message.at("host").get<std::string>(), message.at("out").get<bool>());
-    tell(message, &link);
-  } else if (say == "note") {
-    callbacks_.note(unhex(message.at("note").get<std::string>()));
-  } else if (say == "news") {
-    if (!callbacks_.news(message.at("body").get<std::string>()))
-      tell(message, &link);
-  }
+    callbacks_.on_sibling_process(false);
+}
+
+void Handover::on_message(HandoverLink& link, const HandoverMessage& message) {
+  std::visit([&](const auto& of_kind) { on(link, of_kind); }, message);
+}
+
+void Handover::check_is_same(int version, const std::string& node) const {
+  if (version != kVersion || node != node_)
+    throw std::runtime_error("another release, or another node");
+}
+
+void Handover::on(HandoverLink& link, const HelloMessage& message) {
+  check_is_same(message.version, message.node);
+  link.send(WelcomeMessage{kVersion, node_, callbacks_.welcome()});
+}
+
+void Handover::on(HandoverLink&, const WelcomeMessage& message) {
+  check_is_same(message.version, message.node);
+  callbacks_.welcomed(message.state);
+}
+
+void Handover::on(HandoverLink& link, const ReadyMessage&) {
+  if (link.peer() == HandoverLink::Peer::new_process)
+    callbacks_.successor_ready();
+}
+
+void Handover::on(HandoverLink& link, const AdminOverrideMessage& message) {
+  callbacks_.on_admin_override(message.host, message.is_out);
+  send_to_all(message, &link);
+}
+
+void Handover::on(HandoverLink&, const LoadUpdateMessage& message) {
+  callbacks_.on_load_update(message.bytes);
+}
+
+void Handover::on(HandoverLink& link, const StatusCallbackMessage& message) {
+  if (!callbacks_.on_status_callback(message.body))
+    send_to_all(message, &link);
 }
 
-bool Handover::tell(const json& message, const Link* except) {
-  bool all = true;
-  for (auto& [number, link] : links_)
+bool Handover::send_to_all(const HandoverMessage& message, const HandoverLink* except) {
+  bool all_sent = true;
+  for (auto& [id, link] : links_)
     if (link.get() != except)
-      all = link->tell(message) && all;
-  return all;
+      all_sent = link->send(message) && all_sent;
+  return all_sent;
 }
 
 void Handover::send_admin_override(const std::string& host, bool out) {
-  tell({{"say", "by-hand"}, {"host", host}, {"out", out}});
+  send_to_all(AdminOverrideMessage{host, out});
 }
 
-void Handover::send_load_update(std::string_view note) {
-  tell({{"say", "note"}, {"note", hex(note)}});
+void Handover::send_load_update(std::string_view bytes) {
+  send_to_all(LoadUpdateMessage{std::string(bytes)});
 }
 
 bool Handover::forward_status_callback(std::string_view body) {
   if (links_.empty())
     return true;
   ++counters_.news_passed;
-  return tell({{"say", "news"}, {"body", body}});
+  return send_to_all(StatusCallbackMessage{std::string(body)});
 }
 
 bool Handover::has_old_process() const {
-  for (const auto& [number, link] : links_)
-    if (link->elder())
-      return true;
-  return false;
+  return std::any_of(links_.begin(), links_.end(), [](const auto& link) {
+    return link.second->peer() == HandoverLink::Peer::old_process;
+  });
 }
 
 bool Handover::flushed() const {
-  for (const auto& [number, link] : links_)
-    if (link->pending() > 0)
-      return false;
-  return true;
+  return std::all_of(links_.begin(), links_.end(),
+                     [](const auto& link) { return link.second->pending_bytes() == 0; });
 }
 
 }  // namespace keelflow
--- a/node/handover/learned_state_codec.cpp
+++ b/node/handover/learned_state_codec.cpp
@@ -1,71 +1,132 @@
 #include "handover/learned_state_codec.h"
 
 #include <nlohmann/json.hpp>
+#include <utility>
 
 namespace keelflow {
+namespace {
 
 using nlohmann::json;
 using scheduler::LearnedState;
 
-json to_json(const LearnedState& k, const Names& names) {
-  json out = {{"mean_run", k.fleet.mean_run_ms}, {"crowding", k.fleet.congestion},
-              {"classes", json::object()},       {"kinds", json::object()},
-              {"zones", json::object()},         {"workers", json::array()}};
-  for (std::size_t i = 0; i < k.classes.size() && i < names.classes.size(); ++i) {
-    const LearnedState::Calibration& c = k.classes[i];
-    if (names.class_of(names.classes[i]) == static_cast<int>(i))
-      out["classes"][names.classes[i]] = {
-          {"factor", c.factor}, {"hint_sum", c.hint_sum}, {"hint_count", c.hint_count}};
+// The keys of the release before, and of the next one: they stay.
+constexpr const char* kMeanRunMs = "mean_run";
+constexpr const char* kCongestion = "crowding";
+constexpr const char* kClasses = "classes";
+constexpr const char* kFactor = "factor";
+constexpr const char* kHintSum = "hint_sum";
+constexpr const char* kHintCount = "hint_count";
+constexpr const char* kKinds = "kinds";
+constexpr const char* kObservedCores = "cores";
+constexpr const char* kServiceTimeRatio = "slow";  // of kinds and of endpoints
+constexpr const char* kStartDelays = "zones";
+constexpr const char* kEndpoints = "workers";
+constexpr const char* kEndpoint = "id";
+constexpr const char* kStartedAt = "born";
+constexpr const char* kConcurrencyLimit = "cap";
+constexpr const char* kOutlierSigns = "strikes";
+constexpr const char* kConsecutiveFailures = "faults";
+constexpr const char* kEjectedUntil = "shut_until";
+constexpr const char* kInFlight = "load";
+constexpr const char* kSlowStartWorkMs = "cold_work";
+
+double number_at(const json& form, const char* key) {
+  return form.at(key).get<double>();
+}
+
+json classes_to_json(const LearnedState& learned, const Names& names) {
+  json out = json::object();
+  for (std::size_t i = 0; i < learned.classes.size() && i < names.classes.size(); ++i) {
+    const LearnedState::Calibration& calibration = learned.classes[i];
+    bool is_current = names.class_of(names.classes[i]) == static_cast<int>(i);
+    if (is_current)
+      out[names.classes[i]] = {{kFactor, calibration.factor},
+                               {kHintSum, calibration.hint_sum},
+                               {kHintCount, calibration.hint_count}};
   }
-  for (std::size_t i = 0; i < k.kinds.size() && i < names.kinds.size(); ++i)
-    out["kinds"][names.kinds[i]] = {{"cores", k.kinds[i].observed_cores},
-                                    {"slow", k.kinds[i].service_time_ratio}};
-  for (std::size_t i = 0; i < k.fleet.start_delay_ms.size() && i < names.zones.size(); ++i)
-    out["zones"][names.zones[i]] = k.fleet.start_delay_ms[i];
-  for (const LearnedState::Endpoint& w : k.endpoints)
-    out["workers"].push_back({{"id", w.endpoint},
-                              {"born", w.started_at},
-                              {"slow", w.health.service_time_ratio},
-                              {"cap", w.health.concurrency_limit},
-                              {"strikes", w.health.outlier_signs},
-                              {"faults", w.health.consecutive_failures},
-                              {"shut_until", w.health.ejected_until},
-                              {"load", w.in_flight},
-                              {"cold_work", w.slow_start_work_ms}});
   return out;
 }
 
-LearnedState from_json(const json& told, const Names& names) {
-  LearnedState k;
-  k.classes.resize(names.classes.size());
-  k.kinds.resize(names.kinds.size());
-  k.fleet.start_delay_ms.resize(names.zones.size());
-  k.fleet.mean_run_ms = told.at("mean_run").get<double>();
-  k.fleet.congestion = told.at("crowding").get<double>();
-  for (const auto& [name, c] : told.at("classes").items())
+json kinds_to_json(const LearnedState& learned, const Names& names) {
+  json out = json::object();
+  for (std::size_t i = 0; i < learned.kinds.size() && i < names.kinds.size(); ++i)
+    out[names.kinds[i]] = {{kObservedCores, learned.kinds[i].observed_cores},
+                           {kServiceTimeRatio, learned.kinds[i].service_time_ratio}};
+  return out;
+}
+
+json start_delays_to_json(const LearnedState& learned, const Names& names) {
+  const auto& delays = learned.fleet.start_delay_ms;
+  json out = json::object();
+  for (std::size_t i = 0; i < delays.size() && i < names.zones.size(); ++i)
+    out[names.zones[i]] = delays[i];
+  return out;
+}
+
+json endpoint_to_json(const LearnedState::Endpoint& endpoint) {
+  return {{kEndpoint, endpoint.endpoint},
+          {kStartedAt, endpoint.started_at},
+          {kServiceTimeRatio, endpoint.health.service_time_ratio},
+          {kConcurrencyLimit, endpoint.health.concurrency_limit},
+          {kOutlierSigns, endpoint.health.outlier_signs},
+          {kConsecutiveFailures, endpoint.health.consecutive_failures},
+          {kEjectedUntil, endpoint.health.ejected_until},
+          {kInFlight, endpoint.in_flight},
+          {kSlowStartWorkMs, endpoint.slow_start_work_ms}};
+}
+
+LearnedState::Endpoint endpoint_from_json(const json& form) {
+  LearnedState::Endpoint endpoint;
+  endpoint.endpoint = form.at(kEndpoint).get<EndpointId>();
+  endpoint.started_at = number_at(form, kStartedAt);
+  endpoint.in_flight = number_at(form, kInFlight);
+  endpoint.slow_start_work_ms = number_at(form, kSlowStartWorkMs);
+  endpoint.health.service_time_ratio = number_at(form, kServiceTimeRatio);
+  endpoint.health.concurrency_limit = number_at(form, kConcurrencyLimit);
+  endpoint.health.outlier_signs = form.at(kOutlierSigns).get<int>();
+  endpoint.health.consecutive_failures = form.at(kConsecutiveFailures).get<int>();
+  endpoint.health.ejected_until = number_at(form, kEjectedUntil);
+  return endpoint;
+}
+
+}  // namespace
+
+json to_json(const LearnedState& learned, const Names& names) {
+  json endpoints = json::array();
+  for (const LearnedState::Endpoint& endpoint : learned.endpoints)
+    endpoints.push_back(endpoint_to_json(endpoint));
+  json out = json::object();
+  out[kMeanRunMs] = learned.fleet.mean_run_ms;
+  out[kCongestion] = learned.fleet.congestion;
+  out[kClasses] = classes_to_json(learned, names);
+  out[kKinds] = kinds_to_json(learned, names);
+  out[kStartDelays] = start_delays_to_json(learned, names);
+  out[kEndpoints] = std::move(endpoints);
+  return out;
+}
+
+LearnedState from_json(const json& form, const Names& names) {
+  LearnedState learned;
+  learned.classes.resize(names.classes.size());
+  learned.kinds.resize(names.kinds.size());
+  learned.fleet.start_delay_ms.resize(names.zones.size());
+  learned.fleet.mean_run_ms = number_at(form, kMeanRunMs);
+  learned.fleet.congestion = number_at(form, kCongestion);
+  for (const auto& [name, calibration] : form.at(kClasses).items())
     if (int i = names.class_of(name); i >= 0)
-      k.classes[static_cast<std::size_t>(i)] = {c.at("factor").get<double>(),
-                                                c.at("hint_sum").get<double>(),
-                                                c.at("hint_count").get<double>()};
-  for (const auto& [name, kind] : told.at("kinds").items())
+      learned.classes[static_cast<std::size_t>(i)] = {number_at(calibration, kFactor),
+                                                      number_at(calibration, kHintSum),
+                                                      number_at(calibration, kHintCount)};
+  for (const auto& [name, kind] : form.at(kKinds).items())
     if (int i = Names::place(names.kinds, name); i >= 0)
-      k.kinds[static_cast<std::size_t>(i)] = {kind.at("cores").get<double>(),
-                                              kind.at("slow").get<double>()};
-  for (const auto& [name, delay] : told.at("zones").items())
+      learned.kinds[static_cast<std::size_t>(i)] = {number_at(kind, kObservedCores),
+                                                    number_at(kind, kServiceTimeRatio)};
+  for (const auto& [name, delay] : form.at(kStartDelays).items())
     if (int i = Names::place(names.zones, name); i >= 0)
-      k.fleet.start_delay_ms[static_cast<std::size_t>(i)] = delay.get<double>();
-  for (const json& w : told.at("workers")) {
-    LearnedState::Endpoint seen{w.at("id").get<EndpointId>(),
-                                w.at("born").get<double>(),
-                                {},
-                                w.at("load").get<double>(),
-                                w.at("cold_work").get<double>()};
-    seen.health = {w.at("slow").get<double>(), w.at("cap").get<double>(),
-                   w.at("strikes").get<int>(), w.at("faults").get<int>(),
-                   w.at("shut_until").get<double>()};
-    k.endpoints.push_back(seen);
-  }
-  return k;
+      learned.fleet.start_delay_ms[static_cast<std::size_t>(i)] = delay.get<double>();
+  for (const json& endpoint : form.at(kEndpoints))
+    learned.endpoints.push_back(endpoint_from_json(endpoint));
+  return learned;
 }
 
 }  // namespace keelflow
--- a/node/handover/learned_state_codec.h
+++ b/node/handover/learned_state_codec.h
@@ -1,5 +1,5 @@
-// What the module has learned, as the elder process tells it: by name, as the other may number
-// things differently.
+/// The form in which the old process hands its scheduler's learned state to the new one: JSON, by
+/// name, as the other process may number things differently. docs/design/handover.md has the keys.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,8 +9,11 @@
 
 namespace keelflow {
 
-nlohmann::json to_json(const scheduler::LearnedState& knowledge, const Names& names);
-// Of what is not told there the defaults of a fresh module. Throws what nlohmann-json throws.
-scheduler::LearnedState from_json(const nlohmann::json& told, const Names& names);
+/// Classes that a former configuration had under the same name are left out.
+nlohmann::json to_json(const scheduler::LearnedState& learned, const Names& names);
+
+/// What has no value there, or a name that this process lacks, keeps the defaults of a fresh
+/// scheduler. Throws what nlohmann-json throws on what is malformed.
+scheduler::LearnedState from_json(const nlohmann::json& form, const Names& names);
 
 }  // namespace keelflow
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -257,7 +257,7 @@
     try {
       server.listen(where);
     } catch (const std::system_error& fault) {
-      if (!handover_ || !handover_->partner() || fault.code().value() != EADDRINUSE)
+      if (!handover_ || !handover_->has_sibling_process() || fault.code().value() != EADDRINUSE)
         throw;
       return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
         try {
@@ -319,21 +319,21 @@
     else
       handover_ = std::make_unique<Handover>(
           loop_, folder, config_.name,
-          Handover::Callbacks{
-              .welcome = [this] { return welcome(); },
-              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
-              .partner = [this](bool here) { partner(here); },
-              .successor_ready = [this] { successor_ready(); },
-              .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
-              .note =
-                  [this](const std::string& note) {
-                    engine_.on_peer_message(config_.settings.rank, note);
-                  },
-              .news =
-                  [this](const std::string& body) {
-                    auto news = decode_status_callback(body, config_.report_names);
-                    return news && outbound_.news(*news);
-                  }},
+          Handover::Callbacks{.welcome = [this] { return welcome(); },
+                              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
+                              .on_sibling_process = [this](bool here) { partner(here); },
+                              .successor_ready = [this] { successor_ready(); },
+                              .on_admin_override = [this](const std::string& host,
+                                                          bool out) { lay_over(host, out); },
+                              .on_load_update =
+                                  [this](const std::string& note) {
+                                    engine_.on_peer_message(config_.settings.rank, note);
+                                  },
+                              .on_status_callback =
+                                  [this](const std::string& body) {
+                                    auto news = decode_status_callback(body, config_.report_names);
+                                    return news && outbound_.news(*news);
+                                  }},
           counters_);
     succession_.emplace(clock_.unix_ms(loop_.now()), handover_ && handover_->ask());
     loop_.at(clock_.at(succession_->latest()), [this] { serve_if_ready(); });
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -15,7 +15,7 @@
   return options;
 }
 
-// The younger process has its own watch.
+// The new process has its own watch.
 const std::string kUpgrade = R"(
     upgrade
     accept disco disco
@@ -32,7 +32,7 @@
     scenario.play(text);
 }
 
-const std::string kJobAtTheElder = R"(
+const std::string kJobAtTheOldProcess = R"(
     open c
     send c job A sale 15000
     accept b box
@@ -42,7 +42,7 @@
 )";
 
 TEST(Handover, ACallBackThatReachesTheOtherProcessIsPassedToItsOwner) {
-  play(kJobAtTheElder + kUpgrade + R"(
+  play(kJobAtTheOldProcess + kUpgrade + R"(
     elder STOP
     news A box done {"result":"passed on"}
     news nobody box done {"result":"x"}
@@ -54,7 +54,7 @@
 }
 
 TEST(Handover, WhenToldToEndTheElderLeavesClientsToTheOtherAndFinishesWhatItHas) {
-  play(kJobAtTheElder + kUpgrade + R"(
+  play(kJobAtTheOldProcess + kUpgrade + R"(
     elder TERM
     open d
     send d job B price 9000
@@ -91,7 +91,7 @@
 }
 
 TEST(Handover, TwoUpgradesInARowStillPassCallBacksToTheEldest) {
-  play(kJobAtTheElder + kUpgrade + R"(
+  play(kJobAtTheOldProcess + kUpgrade + R"(
     elder TERM
   )" + kUpgrade +
        R"(
@@ -154,36 +154,36 @@
 }
 
 TEST(Handover, WhatWasLearnedIsToldByNameAndFitsOtherNumbers) {
-  Names elder{.classes = {"price", "hold", "price"},
-              .tenants = {},
-              .zones = {"east", "west"},
-              .kinds = {"fast", "slow"},
-              .former = {true, false, false}};
-  Names younger{.classes = {"hold", "price", "new"},
-                .tenants = {},
-                .zones = {"west"},
-                .kinds = {"slow", "fast"}};
+  Names old_process{.classes = {"price", "hold", "price"},
+                    .tenants = {},
+                    .zones = {"east", "west"},
+                    .kinds = {"fast", "slow"},
+                    .former = {true, false, false}};
+  Names new_process{.classes = {"hold", "price", "new"},
+                    .tenants = {},
+                    .zones = {"west"},
+                    .kinds = {"slow", "fast"}};
   scheduler::LearnedState k;
   k.classes = {{9, 9, 9}, {2, 20, 10}, {3, 30, 10}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
   k.fleet = {{11, 22}, 150, 0.25};
   k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400}};
-  scheduler::LearnedState back =
-      from_json(nlohmann::json::parse(to_json(k, elder).dump()), younger);
-  ASSERT_EQ(back.classes.size(), 3u);
-  EXPECT_EQ(back.classes[0].factor, 2);
-  EXPECT_EQ(back.classes[1].factor, 3);
-  EXPECT_EQ(back.classes[1].hint_sum, 30);
-  EXPECT_EQ(back.classes[2].factor, 1);
-  EXPECT_EQ(back.kinds[0].service_time_ratio, 1.5);
-  EXPECT_EQ(back.kinds[1].observed_cores, 4);
-  EXPECT_EQ(back.fleet.start_delay_ms, std::vector<double>{22});
-  EXPECT_EQ(back.fleet.mean_run_ms, 150);
-  ASSERT_EQ(back.endpoints.size(), 1u);
-  EXPECT_EQ(back.endpoints[0].health.concurrency_limit, 5);
-  EXPECT_EQ(back.endpoints[0].health.consecutive_failures, 2);
-  EXPECT_EQ(back.endpoints[0].slow_start_work_ms, 400);
-  EXPECT_THROW(from_json(nlohmann::json::parse(R"({"mean_run":1})"), younger),
+  scheduler::LearnedState restored =
+      from_json(nlohmann::json::parse(to_json(k, old_process).dump()), new_process);
+  ASSERT_EQ(restored.classes.size(), 3u);
+  EXPECT_EQ(restored.classes[0].factor, 2);
+  EXPECT_EQ(restored.classes[1].factor, 3);
+  EXPECT_EQ(restored.classes[1].hint_sum, 30);
+  EXPECT_EQ(restored.classes[2].factor, 1);
+  EXPECT_EQ(restored.kinds[0].service_time_ratio, 1.5);
+  EXPECT_EQ(restored.kinds[1].observed_cores, 4);
+  EXPECT_EQ(restored.fleet.start_delay_ms, std::vector<double>{22});
+  EXPECT_EQ(restored.fleet.mean_run_ms, 150);
+  ASSERT_EQ(restored.endpoints.size(), 1u);
+  EXPECT_EQ(restored.endpoints[0].health.concurrency_limit, 5);
+  EXPECT_EQ(restored.endpoints[0].health.consecutive_failures, 2);
+  EXPECT_EQ(restored.endpoints[0].slow_start_work_ms, 400);
+  EXPECT_THROW(from_json(nlohmann::json::parse(R"({"mean_run":1})"), new_process),
                nlohmann::json::exception);
 }
 
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -211,14 +211,15 @@
                 [this](const nlohmann::json& message) {
                   heard_.push_back("welcome " + message.dump());
                 },
-            .partner = [](bool) {},
+            .on_sibling_process = [](bool) {},
             .successor_ready = [this] { heard_.push_back("ready"); },
-            .by_hand =
+            .on_admin_override =
                 [this](const std::string& host, bool out) {
                   heard_.push_back("by-hand " + host + " " + std::to_string(out));
                 },
-            .note = [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
-            .news =
+            .on_load_update =
+                [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
+            .on_status_callback =
                 [this](const std::string& body) {
                   heard_.push_back("news " + body);
                   return true;
