--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -209,12 +209,12 @@
     for (const auto& n : tier.nodes)
       EXPECT_EQ(n.membership->statistics().suspicions, 0u);
     double rate = static_cast<double>(tier.messages) / count / 600;
-    EXPECT_LT(rate, 9) << "words a second and node";  // four probes and as many acks
+    EXPECT_LT(rate, 9) << "messages a second and node";  // four probes and as many acks
   }
 }
 
 // Load updates go between all and spare the probes: updates must go round all the same.
-TEST(Membership, WhereEverybodyHearsNotesADeathIsKnownToAllAsSoon) {
+TEST(Membership, WithLoadUpdatesBetweenAllADeathIsKnownToAllWithinTwoSeconds) {
   std::vector<double> took;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     Tier tier(40, seed, 0.1);
@@ -237,7 +237,7 @@
   EXPECT_TRUE(out.changes.empty());
 }
 
-TEST(Membership, ANodeOfTheReleaseBeforeCountsAsLivingBySilenceAndByItsNotes) {
+TEST(Membership, ANodeOfAnEarlierReleaseCountsAsAliveBySilenceAndByItsLoadUpdates) {
   Tier tier(3);
   tier.kill(2);  // it never sends a message of this kind
   tier.run(10'000);
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(Membership, ANodeThatIsStartedAgainAtOnceIsKnownByItsNewLife) {
+TEST(Membership, ANodeThatRestartsIsKnownByItsNewIncarnation) {
   Tier tier(8);
   tier.run(3000);
   tier.kill(3);
@@ -271,7 +271,7 @@
   EXPECT_GT(tier.nodes[0].membership->at(3).incarnation, 4000u + 1'000'000u - 1);
 }
 
-TEST(Membership, AStalledNodeCondemnsNobodyWhenItWakes) {
+TEST(Membership, AStalledNodeDeclaresNobodyDeadWhenItRunsAgain) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     Tier tier(8, seed);
     tier.run(3000 + seed * 23);
@@ -287,7 +287,7 @@
   }
 }
 
-TEST(Membership, WhoHearsNobodyCondemnsNobodyToTheOthers) {
+TEST(Membership, AnIsolatedNodeAccusesNobodyToTheOthers) {
   for (int deaf : {1, 5, 15}) {  // of sixteen: one, a third, all but one
     Tier tier(16);
     tier.run(3000);
@@ -311,7 +311,7 @@
   }
 }
 
-TEST(Membership, TwoHalvesKnowTheirOwnAndAreOneWhenTheCutHeals) {
+TEST(Membership, EachSideOfAPartitionKnowsItsOwnAndBothAreOneWhenItHeals) {
   for (int half : {1, 8})  // one against the rest, and halves
     for (unsigned seed = 1; seed <= 5; ++seed) {
       Tier tier(16, seed);
@@ -335,7 +335,7 @@
     }
 }
 
-TEST(Membership, WhoSaysThatItEndsIsGoneAtOnceAndItsOwnLaterWordsDoNotBringItBack) {
+TEST(Membership, ANodeThatAnnouncesItsEndIsDeadAtOnceAndItsLaterMessagesDoNotRevertThat) {
   Tier tier(8);
   tier.run(3000);
   Membership::Output out;
@@ -384,14 +384,14 @@
 TEST(Membership, AStallCountsForNobodysSuspicion) {
   Alone a;
   a.receive(1, {{3, MemberState::suspect, 1000, 1}});
-  a.now += 3000;  // it slept, and its timer rings late
+  a.now += 3000;  // it was stalled, and its timer fires late
   Membership::Output out;
   a.node.tick(a.now, out);
   EXPECT_EQ(a.node.at(3).state, MemberState::suspect);
   EXPECT_GT(a.node.health(), 0);
 }
 
-TEST(Membership, WhatWasConcludedWhileNobodyWasHeardIsDroppedWithTheFirstWord) {
+TEST(Membership, WhatWasConcludedInIsolationIsRevertedWithTheFirstMessage) {
   Alone a;
   a.silence(6000);
   EXPECT_EQ(a.node.alive_count(), 1);
@@ -399,7 +399,7 @@
   EXPECT_EQ(a.node.alive_count(), 8);
 }
 
-TEST(Membership, NotesAloneBringBackWhoWentBackToTheReleaseBeforeButNotWhoSaidThatItEnds) {
+TEST(Membership, LoadUpdatesAloneReviveANodeOfAnEarlierReleaseButNotOneThatAnnouncedItsEnd) {
   Alone a;
   a.now += 10;
   a.receive(1, {{2, MemberState::dead, 1000, 2}});  // 2 says that it ends
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -60,7 +60,7 @@
     while (at_ < lines_.size() && !::testing::Test::HasFailure())
       step(lines_[at_++]);
   }
-  int grants = 0, backs = 0, lates = 0, again = 0;
+  int grants = 0, returns = 0, late_grants = 0, restarts = 0;
 
  private:
   struct Datagram {
@@ -80,11 +80,12 @@
   bool next_is(const std::string& line) {
     if (at_ >= lines_.size() || lines_[at_] != line)
       return false;
-    return ++at_, true;
+    ++at_;
+    return true;
   }
 
   // The messages that node sent are those that the model sends, in this order.
-  void tell(int i) {
+  void expect_messages(int i) {
     for (const SendPeerMessage& message : node(i).messages()) {
       int to = 0;
       while (ranks_[static_cast<std::size_t>(to)] != message.peer)
@@ -103,7 +104,7 @@
     net_.pop_front();
     node(datagram.to)
         .bench.play(PeerMessage{ranks_[static_cast<std::size_t>(datagram.from)], datagram.bytes});
-    backs += decode_slow_start_message(datagram.bytes)->kind == SlowStartMessage::Kind::returned;
+    returns += decode_slow_start_message(datagram.bytes)->kind == SlowStartMessage::Kind::returned;
     if (at_ < lines_.size() && lines_[at_].starts_with("grant ")) {
       auto messages = node(datagram.to).messages();
       ASSERT_EQ(messages.size(), 1u) << "line " << at_;
@@ -116,11 +117,11 @@
         EXPECT_TRUE(next_is("unsent"));
       return;
     }
-    tell(datagram.to);
+    expect_messages(datagram.to);
     double held = node(datagram.to).room().granted;
     if (next_is("late")) {
       EXPECT_EQ(held, 0);
-      ++lates;
+      ++late_grants;
     } else if (at_ < lines_.size() && lines_[at_].starts_with("got ")) {
       EXPECT_EQ("got " + std::to_string(static_cast<int>(held)), lines_[at_++]);
     } else {
@@ -134,8 +135,7 @@
     fields >> what;
     if (what == "tick") {
       now_ += 2 * kUnit;
-      node(2).bench.play(ClientDisconnected{});  // that its wait is over the module hears with the
-                                                 // next event, whatever that is
+      node(2).bench.play(ClientDisconnected{});  // any event: with it the waiting time ends
     }
     if (what == "deliver")
       deliver();
@@ -143,12 +143,18 @@
       net_.pop_front();
     if (what == "double")
       net_.push_back(net_.front());
-    if (what == "rotate")
-      net_.push_back(net_.front()), net_.pop_front();
-    if (what == "again")
-      begin(0), ++again;
-    if (line == "owner again")
-      begin(2), ++again;
+    if (what == "rotate") {
+      net_.push_back(net_.front());
+      net_.pop_front();
+    }
+    if (what == "again") {
+      begin(0);
+      ++restarts;
+    }
+    if (line == "owner again") {
+      begin(2);
+      ++restarts;
+    }
     if (what == "own") {
       fields >> how;
       EXPECT_EQ(node(2).job(), how == "used") << "line " << at_;
@@ -157,7 +163,7 @@
       int i = 0;
       fields >> i >> how;
       EXPECT_EQ(node(i).job(), how == "used") << "line " << at_;
-      tell(i);
+      expect_messages(i);
     }
   }
 
@@ -172,23 +178,26 @@
 };
 
 TEST(SlowStartLeasesReplay, TheProgramDoesWhatTheModelDoes) {
-  int grants = 0, backs = 0, lates = 0, again = 0;
+  int grants = 0, returns = 0, late_grants = 0, restarts = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
     auto lines = run_of(seed);
     ASSERT_GT(lines.size(), 100u) << "is spin installed? .ci/packages does it";
     Replay replay(lines);
     replay.play();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    grants += replay.grants, backs += replay.backs, lates += replay.lates, again += replay.again;
+    grants += replay.grants;
+    returns += replay.returns;
+    late_grants += replay.late_grants;
+    restarts += replay.restarts;
   }
-  RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(backs) +
-                             " given back " + std::to_string(lates) + " late " +
-                             std::to_string(again) + " restarts");
+  RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(returns) +
+                             " given back " + std::to_string(late_grants) + " late " +
+                             std::to_string(restarts) + " restarts");
   // Runs in which nothing happens would prove nothing.
   EXPECT_GT(grants, 100);
-  EXPECT_GT(backs, 5);
-  EXPECT_GT(lates, 3);
-  EXPECT_GT(again, 60);
+  EXPECT_GT(returns, 5);
+  EXPECT_GT(late_grants, 3);
+  EXPECT_GT(restarts, 60);
 }
 
 }  // namespace
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -1,5 +1,5 @@
-// SlowStartLeases: whatever the network and the nodes do, all together send a cold endpoint no more
-// than its budget.
+// SlowStartLeases: whatever the network and the nodes do, all together send an endpoint that is
+// warming up no more than its budget.
 #include "fleet/slow_start_leases.h"
 
 #include <gtest/gtest.h>
@@ -16,19 +16,19 @@
 
 using namespace keelflow::scheduler;
 
-constexpr double kMargin = 0.62;  // of what makes it fall over, as src/decide.cpp has it
+constexpr double kMargin = 0.62;  // of what makes it fall over, as scheduler/decide.cpp has it
 
 struct Faults {
   unsigned lost = 0, doubled = 0;  // of 100 messages
   int most_delay = 20;             // ms
-  int unheard_nodes = 0;           // so many nodes hear all and are heard by nobody
+  int unheard_nodes = 0;           // so many nodes receive all, and nobody receives theirs
   bool restarts = false, stalls = false;
   unsigned jobs = 10;     // of 1000 steps of a node
   std::size_t busy = 30;  // nodes that have any
 };
 
-// Words come late, doubled, out of order or never; nodes stop for 3 s and find everything at once
-// when they wake, or start again and know nothing.
+// Messages arrive late, doubled, out of order or never; nodes stall for 3 s and read everything at
+// once then, or start again and know nothing.
 struct World {
   World(int count, unsigned seed, const Faults& f) : s(many(count)), random(seed), faults(f) {
     for (int n = 0; n < count; ++n)
@@ -153,7 +153,7 @@
   }
 }
 
-// The owner and one that has no part, of many; nobody else lives.
+// The owner and one that has no part, of many; nobody else is alive.
 struct Pair {
   Pair() {
     is_alive.assign(20, false);
@@ -182,7 +182,7 @@
   std::optional<Node> owner, borrower;
 };
 
-TEST(SlowStartLeases, AGrantEndsAtTheAskersClockBeforeTheOwnersAndIsUsedOnce) {
+TEST(SlowStartLeases, ALeaseEndsAtTheBorrowersClockBeforeTheOwnersAndIsUsedOnce) {
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
@@ -209,19 +209,20 @@
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
 }
 
-TEST(SlowStartLeases, AGrantThatComesLateIsNone) {
+TEST(SlowStartLeases, AGrantThatArrivesLateBeginsNoLease) {
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
   p.to(kStartedAt + 100 + p.borrower->bench.turns.length());
-  std::string grant = p.grant(ask);  // the ask was on its way all the time; the owner cannot know
+  std::string grant =
+      p.grant(ask);  // the request was on its way all the time; the owner cannot know
   ASSERT_FALSE(grant.empty());
   p.receive(grant);
   EXPECT_EQ(p.borrower->room().granted, 0);
   EXPECT_EQ(p.borrower->bench.turns.statistics().late, 1u);
 }
 
-TEST(SlowStartLeases, WhatIsNotUsedComesBackOnce) {
+TEST(SlowStartLeases, WhatIsNotUsedIsReturnedOnce) {
   Pair p;
   p.to(kStartedAt + 100);
   double before = p.owner->room().own;
@@ -239,7 +240,7 @@
   EXPECT_EQ(p.borrower->room().granted, 0) << "what was given back is not used any more";
 }
 
-TEST(SlowStartLeases, ANewLifeWaitsOutWhatTheFormerOneMayHaveSentAndGranted) {
+TEST(SlowStartLeases, ANewIncarnationWaitsOutWhatTheFormerOneMayHaveSentAndGranted) {
   Pair p;
   p.to(kStartedAt + 3000);
   p.owner.emplace(p.s, p.order[0], kStartedAt + 3000, p.is_alive);
@@ -249,7 +250,7 @@
   p.to(kStartedAt + 3000 + waits - 1);
   EXPECT_FALSE(p.owner->job());
   p.to(kStartedAt + 3000 + waits + 1);
-  p.owner->job();  // with it comes the news
+  p.owner->job();  // it is notified with it
   EXPECT_TRUE(p.owner->job());
   // Nobody can have sent anything to an endpoint that started later.
   Settings s = many(1);
@@ -257,13 +258,13 @@
   EXPECT_FALSE(Node(s, 0, kStartedAt).job());
 }
 
-TEST(SlowStartLeases, WhoTakesOverFromAnElderWaitsOutItsGrantsWhereNodesMayTalk) {
+TEST(SlowStartLeases, ANewProcessWaitsOutTheOldOnesGrantsWherePeersAreAllowed) {
   for (bool peers_allowed : {true, false}) {
     Settings s = many(1);
     s.peers = peers_allowed;
     Node old_process(s, 0, kStartedAt - 1), new_process(s, 0, kStartedAt + 100);
     EXPECT_FALSE(new_process.job());
-    // The elder may have granted until now.
+    // The old process may have granted until now.
     new_process.bench.now = kStartedAt + 2000;
     new_process.bench.play(old_process.bench.d.learned_state(kStartedAt + 2000));
     new_process.bench.now = kStartedAt + 2000 + s.overload_window_ms;
@@ -275,7 +276,7 @@
   }
 }
 
-TEST(SlowStartLeases, AnExecutorThatBecomesReadyIsAskedForAndOneThatDrainsIsNot) {
+TEST(SlowStartLeases, LeasesAreRequestedAtAReadyEndpointAndNotAtADrainingOne) {
   Pair p;
   for (auto [state, asks] :
        {std::pair(EndpointState::draining, false), std::pair(EndpointState::ready, true)}) {
@@ -287,14 +288,14 @@
   }
 }
 
-TEST(SlowStartLeases, ForeignWordsChangeNothing) {
+TEST(SlowStartLeases, ForeignMessagesChangeNothing) {
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
   double before = p.owner->room().own;
   for (std::size_t size = 0; size < ask.size(); ++size)
     EXPECT_TRUE(p.grant(ask.substr(0, size)).empty());
-  for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // mark, version, kind, endpoint, its life
+  for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // type, version, kind, endpoint, its incarnation
     std::string other = ask;
     other[i] = static_cast<char>(other[i] ^ 0x55);
     EXPECT_TRUE(p.grant(other).empty()) << "byte " << i;
@@ -308,7 +309,7 @@
   EXPECT_EQ(p.borrower->room().granted, 0) << "nothing was asked with that number";
 }
 
-TEST(SlowStartLeases, WhereGrantsAreOffNobodyAsksAndNobodyGrants) {
+TEST(SlowStartLeases, WhereGrantsAreOffNobodyRequestsAndNobodyGrants) {
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
@@ -319,7 +320,7 @@
   EXPECT_TRUE(p.ask().empty());
 }
 
-TEST(SlowStartLeases, OwnersThatAreDeadOrSilentAreNotAskedAgainAtOnce) {
+TEST(SlowStartLeases, OwnersThatAreDeadOrUnresponsiveAreNotRequestedAgainAtOnce) {
   Settings s = many(20);
   auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
   std::vector<bool> is_alive(20, true);
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -1,5 +1,5 @@
-// Nodes that share a cold endpoint: each a Dispatcher with its SlowStartLeases; nothing but what
-// they send there is played.
+// Nodes that share an endpoint that is warming up: each a Dispatcher with its SlowStartLeases;
+// nothing but what they send there is played.
 #pragma once
 
 #include "fleet/slow_start_leases.h"
@@ -10,8 +10,8 @@
 constexpr scheduler::EndpointId kWarmingUp = 7, kWarm = 8;
 constexpr scheduler::Time kStartedAt = 10000, kJob = 100;
 
-// The budget does not change beneath the sums: the endpoint counts as cold and is as fast as if it
-// were warm.
+// The budget does not change beneath the sums: the endpoint counts as warming up and is as
+// fast as if it had.
 inline scheduler::Settings many(int nodes) {
   scheduler::Settings s = scheduler::basic_settings();
   s.concurrent_attempts = false;
@@ -33,7 +33,7 @@
     bench.play(list);
     if (!is_alive.empty())
       bench.play(scheduler::MembershipChanged{is_alive});
-    bench.arrive(1, kJob);  // from then on it knows what a usual job takes
+    bench.arrive(1, kJob);  // from then on it knows what a typical job takes
     bench.play(scheduler::AttemptStarted{1, 0});
     bench.now = now;
     bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
@@ -42,7 +42,7 @@
     bench.play(list);
   }
 
-  // A job comes, and ends as if it took no time. True: the cold endpoint was sent it.
+  // A job comes, and ends as if it took no time. True: the endpoint was sent it.
   bool job() {
     scheduler::RequestId id = ++last;
     bench.arrive(id, kJob);
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -51,7 +51,7 @@
       after.begin(), after.end(), [&](const auto& p) { return !before.contains(p); }));
 }
 
-TEST(Subsets, EveryDispatcherHasAsManyAndEveryExecutorTwoMoreOrLessAtMost) {
+TEST(Subsets, EveryDispatcherHasAsManyAndEveryEndpointTwoMoreOrLessAtMost) {
   for (auto [dispatchers, endpoints] : kSizes)
     for (unsigned seed = 1; seed <= 50; ++seed) {
       auto ids = draw(endpoints, seed);
@@ -84,10 +84,10 @@
       own_of_dispatcher += static_cast<double>(std::count_if(
           before.begin(), before.end(), [&](const auto& p) { return p.first == gone; }));
       EndpointId lost = ids[seed];
-      auto rest = ids;
-      std::erase(rest, lost);
+      auto remaining = ids;
+      std::erase(remaining, lost);
       by_endpoint +=
-          static_cast<double>(added(before, pairs_of(rest, first(dispatchers), dispatchers)));
+          static_cast<double>(added(before, pairs_of(remaining, first(dispatchers), dispatchers)));
       own_of_endpoint += static_cast<double>(std::count_if(
           before.begin(), before.end(), [&](const auto& p) { return p.second == lost; }));
     }
@@ -117,8 +117,10 @@
           list, members, endpoints_per_dispatcher(6, dispatchers, static_cast<int>(list.size())));
       int has = 0;
       for (std::size_t w = 0; w < list.size(); ++w)
-        if (std::binary_search(assigned[w].begin(), assigned[w].end(), d))
-          ++sum[list[w]], ++has;
+        if (std::binary_search(assigned[w].begin(), assigned[w].end(), d)) {
+          ++sum[list[w]];
+          ++has;
+        }
       EXPECT_LE(has, each + 2);
       EXPECT_GE(has, each - 2);
     }
@@ -129,7 +131,7 @@
   }
 }
 
-TEST(Subsets, ADispatcherIsToldWhenItsListOrTheMembersChangeAndOnlyThen) {
+TEST(Subsets, ADispatcherIsNotifiedWhenItsListOrTheMembersChangeAndOnlyThen) {
   scheduler::Settings s;
   s.dispatchers = 40;
   s.rank = 7;
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -41,7 +41,7 @@
     news A box started
 )";
 
-TEST(Handover, ACallBackThatReachesTheOtherProcessIsPassedToItsOwner) {
+TEST(Handover, AStatusCallbackThatReachesTheOtherProcessIsForwardedToItsOwner) {
   play(kJobAtTheOldProcess + kUpgrade + R"(
     elder STOP
     news A box done {"result":"passed on"}
@@ -53,7 +53,7 @@
   )");
 }
 
-TEST(Handover, WhenToldToEndTheElderLeavesClientsToTheOtherAndFinishesWhatItHas) {
+TEST(Handover, AnOldProcessThatShutsDownLeavesClientsToTheNewOneAndFinishesWhatItHas) {
   play(kJobAtTheOldProcess + kUpgrade + R"(
     elder TERM
     open d
@@ -75,7 +75,7 @@
   )");
 }
 
-TEST(Handover, WhoIsOutByHandStaysOutOverAnUpgradeAndBothProcessesHearOfCalls) {
+TEST(Handover, AdminOverridesStayOverAnUpgradeAndBothProcessesAreNotified) {
   play(R"(
     ask DISABLE box => done
   )" + kUpgrade +
@@ -90,7 +90,7 @@
   )");
 }
 
-TEST(Handover, TwoUpgradesInARowStillPassCallBacksToTheEldest) {
+TEST(Handover, TwoUpgradesInARowStillForwardStatusCallbacksToTheOldest) {
   play(kJobAtTheOldProcess + kUpgrade + R"(
     elder TERM
   )" + kUpgrade +
@@ -103,7 +103,7 @@
   )");
 }
 
-TEST(Handover, AnElderThatIsFrozenOrGoneDelaysReadinessByABoundAtMost) {
+TEST(Handover, AnOldProcessThatIsStalledOrGoneDelaysReadinessByABoundAtMost) {
   for (const char* before : {"elder STOP\n", "elder KILL\n", "elder KILL\nstale\n"}) {
     Scenario scenario(inherited());
     scenario.play(kStart + std::string("upgrade\n") + before);
@@ -113,7 +113,7 @@
   }
 }
 
-TEST(Handover, OneThatFailsToStartLeavesTheElderServing) {
+TEST(Handover, ANewProcessThatFailsToStartLeavesTheOldOneServing) {
   play(R"(
     failed-upgrade
     ask READY => done
@@ -127,7 +127,7 @@
   )");
 }
 
-TEST(Handover, WhatOurOwnSettingsNameIsTakenOverWhenTheElderHasEnded) {
+TEST(Handover, TheAdminSocketIsTakenOverWhenTheOldProcessHasEnded) {
   Options options = inherited();
   options.own = R"((admin (socket "admin")))";
   Scenario scenario(options);
@@ -153,7 +153,7 @@
   unsetenv("EDGE_LISTEN_FD");
 }
 
-TEST(Handover, WhatWasLearnedIsToldByNameAndFitsOtherNumbers) {
+TEST(Handover, LearnedStateIsSentByNameAndFitsOtherNumbers) {
   Names old_process{.classes = {"price", "hold", "price"},
                     .tenants = {},
                     .zones = {"east", "west"},
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -61,7 +61,7 @@
   Peers peers;
 };
 
-TEST_F(PeersTest, OnlyPeersAreHeardAndByTheirRank) {
+TEST_F(PeersTest, OnlyPeersMessagesAreReceivedAndByTheirRank) {
   ASSERT_TRUE(peers.open(*net::parse_address("127.0.0.1:0")));
   stranger.send(peers.address(), "who am I");
   friendly.send(peers.address(), "");
@@ -75,7 +75,7 @@
   EXPECT_EQ(received.back().second, "199");
 }
 
-TEST_F(PeersTest, WhatCannotBeToldIsDroppedAndCounted) {
+TEST_F(PeersTest, WhatCannotBeSentIsDroppedAndCounted) {
   peers.tell(1, "not open yet");
   ASSERT_TRUE(peers.open(*net::parse_address("127.0.0.1:0")));
   peers.tell(1, std::string(257, 'x'));
@@ -88,7 +88,7 @@
   EXPECT_EQ(counters.peer_messages_sent, 1u);
 }
 
-TEST_F(PeersTest, AnAddressThatIsTakenIsToldAndTheNodeGoesOn) {
+TEST_F(PeersTest, AnAddressThatIsTakenIsReportedAndTheNodeGoesOn) {
   EXPECT_FALSE(peers.open(stranger.address));
   peers.tell(1, "dropped");
   EXPECT_EQ(counters.peer_messages_dropped, 1u);
