--- a/logic/fleet/member_sampler.h
+++ b/logic/fleet/member_sampler.h
@@ -31,7 +31,7 @@
   }
 
  private:
-  static constexpr int kMostDraws = 16;  // with most of the tier dead a message less is no loss
+  static constexpr int kMostDraws = 16;  // then nearly all are dead, or there is no other
 
   const MemberTable& members_;
   std::uint64_t state_;
--- a/logic/fleet/member_table.cpp
+++ b/logic/fleet/member_table.cpp
@@ -7,7 +7,7 @@
 namespace keelflow::fleet {
 namespace {
 
-// A member's part of the digest. Suspicion is not in it: it ends by itself.
+// A member's part of the digest. Suspicion is not in it.
 std::uint32_t digest_of(int member, const Member& state) {
   if (state.state == MemberState::unknown)
     return 0;
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -18,8 +18,8 @@
 /// changes no member's state: a failed probe is reported.
 class Probing {
  public:
-  /// Members that are asked for an indirect probe, and suspects that are probed in a round: with 30
-  /// % loss some of three still answer.
+  /// Members that are asked for an indirect probe, and suspects that are probed in a round. As many
+  /// independent accusers make the shortest suspicion timeout.
   static constexpr int kIndirectProbers = 3;
 
   /// `on_failed`: called for each probe that got no answer in time.
--- a/logic/fleet/slow_start_borrower.cpp
+++ b/logic/fleet/slow_start_borrower.cpp
@@ -5,14 +5,13 @@
 namespace keelflow::fleet {
 namespace {
 
-// Milliseconds after which another owner is asked. A reply within a tier takes a few.
+// Milliseconds after which another owner is requested.
 constexpr double kReplyTimeoutMs = 60;
 // Milliseconds for which an owner that did not reply is the last choice.
 constexpr double kUnresponsiveMs = 1000;
 // Typical requests' work that is requested at once: enough for the next one too.
 constexpr double kRequestedTypicals = 2;
-// So that dispatchers do not all go round the owners alike, the request's number is part of the
-// choice; reduced first, as the sum is an int.
+// Requests go round the owners by their number, which is reduced first, as the sum is an int.
 constexpr int kNumberCycle = 64;
 
 }  // namespace
--- a/logic/fleet/slow_start_order.cpp
+++ b/logic/fleet/slow_start_order.cpp
@@ -8,8 +8,8 @@
 namespace keelflow::fleet {
 namespace {
 
-// Dispatchers that own parts. With fewer owners each request has fewer dispatchers to turn to; with
-// more of them much of the budget is owned where there is no use for it (docs/design/fleet.md).
+// Dispatchers that own parts. With fewer of them much of the budget lies at owners that have no use
+// for it; docs/design/fleet.md has what others gave.
 constexpr int kOwners = 8;
 
 struct Scored {
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -12,7 +12,7 @@
 
 // Endpoints in each subset.
 constexpr double kDesiredSize = 4;
-// The same where dispatchers share load: they know more of each endpoint, and can use more of them.
+// The same where dispatchers share load: docs/operators/fleet.md has the trials of others.
 constexpr double kDesiredSizeSharingLoad = 6;
 // Dispatchers from which on they share load.
 constexpr int kLeastSharingDispatchers = 16;
--- a/logic/handover/succession.h
+++ b/logic/handover/succession.h
@@ -7,7 +7,7 @@
 namespace keelflow::handover {
 
 /// What the new process waits for, each for so many milliseconds at most. The platform wants it
-/// ready within 6 s, and both together leave a margin.
+/// ready within 6 s.
 ///
 /// The old process's state: administrative overrides, what it has sent and learned.
 constexpr double kAnswerWithin = 1500;
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -20,7 +20,7 @@
 
 using log::Subsystem;
 
-// An old process, a new one, and two that start over while one of those hangs.
+// Links at once; a further process is refused, and counted.
 constexpr std::size_t kMaxLinks = 4;
 // Nobody but this user connects.
 constexpr mode_t kSocketMask = 0177;
--- a/tests/logic/slow_start_sides_test.cpp
+++ b/tests/logic/slow_start_sides_test.cpp
@@ -110,10 +110,12 @@
 TEST_F(SlowStartBorrowerTest, AnUnresponsiveOwnerIsTheLastChoiceAndADeadOneIsNone) {
   request_lease(1000);
   int first = receiver();
-  for (scheduler::Time now = 1100; now < 1700; now += 100) {
+  for (scheduler::Time now = 1100; now < 2100; now += 100) {  // twice round the owners, nearly
     request_lease(now);
     EXPECT_NE(receiver(), first) << now;
+    borrower.on_grant(now, kLengthMs, receiver(), grant_of(sent(), 0), lease, out);  // denied
   }
+  EXPECT_EQ(actions.size(), 11u);
   is_alive.assign(kDispatchers, false);
   std::size_t before = actions.size();
   request_lease(3000);
