--- a/node/node.cpp
+++ b/node/node.cpp
@@ -17,9 +17,9 @@
 #include "config/retune.h"
 #include "core/engine.h"
 #include "discovery/destination_set.h"
-#include "fleet/members.h"
+#include "fleet/membership_agent.h"
 #include "handover/handover.h"
-#include "handover/knowledge_form.h"
+#include "handover/learned_state_codec.h"
 #include "handover/succession.h"
 #include "inbound/platform_front.h"
 #include "inbound/server.h"
@@ -257,7 +257,7 @@
     try {
       server.listen(where);
     } catch (const std::system_error& fault) {
-      if (!handover_ || !handover_->partner() || fault.code().value() != EADDRINUSE)
+      if (!handover_ || !handover_->has_sibling_process() || fault.code().value() != EADDRINUSE)
         throw;
       return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
         try {
@@ -319,21 +319,21 @@
     else
       handover_ = std::make_unique<Handover>(
           loop_, folder, config_.name,
-          Handover::Callbacks{
-              .welcome = [this] { return welcome(); },
-              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
-              .partner = [this](bool here) { partner(here); },
-              .successor_ready = [this] { successor_ready(); },
-              .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
-              .note =
-                  [this](const std::string& note) {
-                    engine_.on_peer_message(config_.settings.rank, note);
-                  },
-              .news =
-                  [this](const std::string& body) {
-                    auto news = decode_status_callback(body, config_.report_names);
-                    return news && outbound_.news(*news);
-                  }},
+          Handover::Callbacks{.welcome = [this] { return welcome(); },
+                              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
+                              .on_sibling_process = [this](bool here) { partner(here); },
+                              .successor_ready = [this] { successor_ready(); },
+                              .on_admin_override = [this](const std::string& host,
+                                                          bool out) { lay_over(host, out); },
+                              .on_load_update =
+                                  [this](const std::string& note) {
+                                    engine_.on_peer_message(config_.settings.rank, note);
+                                  },
+                              .on_status_callback =
+                                  [this](const std::string& body) {
+                                    auto news = decode_status_callback(body, config_.report_names);
+                                    return news && outbound_.news(*news);
+                                  }},
           counters_);
     succession_.emplace(clock_.unix_ms(loop_.now()), handover_ && handover_->ask());
     loop_.at(clock_.at(succession_->latest()), [this] { serve_if_ready(); });
@@ -517,26 +517,26 @@
                                const scheduler::SlowStartBudget& room) {
       const Destination* known = destinations_.find(turn.entry.endpoint);
       double granted = 0;
-      for (const auto& [node, given] : turn.given)
-        granted += given.until > now && !given.back ? given.work : 0;
-      at.push_back(
-          {{"pool", pool},
-           {"executor", known ? known->host : ""},
-           {"age_s", (now - turn.entry.started_at) / 1000},
-           {"share", turn.told_share},
-           {"left_ms", room.own},
-           {"held_ms", room.granted},
-           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-           {"granted_ms", granted}});
+      for (const auto& [node, given] : turn.granted)
+        granted += given.until > now && !given.is_returned ? given.work_ms : 0;
+      at.push_back({{"pool", pool},
+                    {"executor", known ? known->host : ""},
+                    {"age_s", (now - turn.entry.started_at) / 1000},
+                    {"share", turn.last_notified_fraction},
+                    {"left_ms", room.own},
+                    {"held_ms", room.granted},
+                    {"held_of", room.granted > 0 ? nlohmann::json(turn.borrowed.owner)
+                                                 : nlohmann::json(nullptr)},
+                    {"granted_ms", granted}});
     });
     fleet::SlowStartLeases::Statistics f = engine_.lease_statistics();
     return {{"on", own_.turns && config_.settings.peers},
             {"executors", at},
-            {"asked", f.asked},
-            {"got", f.got},
+            {"asked", f.requested},
+            {"got", f.obtained},
             {"granted", f.granted},
             {"denied", f.denied},
-            {"came_back", f.came_back},
+            {"came_back", f.returned},
             {"late", f.late}};
   }
 
--- a/tests/logic/turns_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -1,17 +1,17 @@
-// Nodes that share a cold endpoint: each a Dispatcher with its SlowStartLeases; nothing but what
-// they send there is played.
+// Nodes that share an endpoint that is warming up: each a Dispatcher with its SlowStartLeases;
+// nothing but what they send there is played.
 #pragma once
 
-#include "fleet/turns.h"
+#include "fleet/slow_start_leases.h"
 #include "harness.h"
 
 namespace keelflow::fleet {
 
-constexpr scheduler::EndpointId kCold = 7, kWarm = 8;
-constexpr scheduler::Time kBorn = 10000, kJob = 100;
+constexpr scheduler::EndpointId kWarmingUp = 7, kWarm = 8;
+constexpr scheduler::Time kStartedAt = 10000, kJob = 100;
 
-// The budget does not change beneath the sums: the endpoint counts as cold and is as fast as if it
-// were warm.
+// The budget does not change beneath the sums: the endpoint counts as warming up and is as
+// fast as if it had.
 inline scheduler::Settings many(int nodes) {
   scheduler::Settings s = scheduler::basic_settings();
   s.concurrent_attempts = false;
@@ -24,25 +24,25 @@
 }
 
 struct Node {
-  Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& lives = {})
+  Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& is_alive = {})
       : bench((s.rank = rank, s), static_cast<std::uint64_t>(rank) + 1) {
     bench.turns = SlowStartLeases(s, now);
     bench.now = now - kJob;
     scheduler::EndpointList list;
     list.entries = {{kWarm, 0, 0, 0, scheduler::EndpointState::ready, 1, 0}};
     bench.play(list);
-    if (!lives.empty())
-      bench.play(scheduler::MembershipChanged{lives});
-    bench.arrive(1, kJob);  // from then on it knows what a usual job takes
+    if (!is_alive.empty())
+      bench.play(scheduler::MembershipChanged{is_alive});
+    bench.arrive(1, kJob);  // from then on it knows what a typical job takes
     bench.play(scheduler::AttemptStarted{1, 0});
     bench.now = now;
     bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
     bench.sends.clear();
-    list.entries[0] = {kCold, 0, 0, 0, scheduler::EndpointState::ready, 1, kBorn};
+    list.entries[0] = {kWarmingUp, 0, 0, 0, scheduler::EndpointState::ready, 1, kStartedAt};
     bench.play(list);
   }
 
-  // A job comes, and ends as if it took no time. True: the cold endpoint was sent it.
+  // A job comes, and ends as if it took no time. True: the endpoint was sent it.
   bool job() {
     scheduler::RequestId id = ++last;
     bench.arrive(id, kJob);
@@ -54,15 +54,17 @@
       bench.play(scheduler::ClientDisconnected{id});
     return went;
   }
-  // The words of turns that it has to tell.
-  std::vector<scheduler::SendPeerMessage> words() {
+  // The lease messages that it sent since the last call.
+  std::vector<scheduler::SendPeerMessage> messages() {
     std::vector<scheduler::SendPeerMessage> out;
     for (scheduler::SendPeerMessage& t : std::exchange(bench.tells, {}))
       if (decode_slow_start_message(t.bytes))
         out.push_back(std::move(t));
     return out;
   }
-  scheduler::SlowStartBudget room() const { return bench.d.slow_start_budget(kCold, bench.now); }
+  scheduler::SlowStartBudget room() const {
+    return bench.d.slow_start_budget(kWarmingUp, bench.now);
+  }
 
   scheduler::Bench bench;
   scheduler::RequestId last = 1;
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -15,10 +15,10 @@
 
 #include "core/counters.h"
 #include "discovery/outage_presumption.h"
-#include "fleet/turns.h"
-#include "fleet/words.h"
+#include "fleet/membership_message.h"
+#include "fleet/slow_start_leases.h"
 #include "handover/handover.h"
-#include "handover/knowledge_form.h"
+#include "handover/learned_state_codec.h"
 #include "net/event_loop.h"
 #include "recording.h"
 #include "scheduler/peer_load.h"
@@ -134,7 +134,7 @@
     word.number = static_cast<std::uint16_t>(draw.bits());
     word.incarnation = static_cast<std::uint32_t>(draw.bits());
     word.digest = static_cast<std::uint32_t>(draw.bits());
-    word.about = draw.below(900);
+    word.subject = draw.below(900);
     for (int i = 0; i < 7 * kind; ++i)
       word.updates.push_back({draw.below(900), static_cast<fleet::MemberState>(1 + draw.below(3)),
                               static_cast<std::uint32_t>(draw.bits()), draw.below(900)});
@@ -211,14 +211,15 @@
                 [this](const nlohmann::json& message) {
                   heard_.push_back("welcome " + message.dump());
                 },
-            .partner = [](bool) {},
+            .on_sibling_process = [](bool) {},
             .successor_ready = [this] { heard_.push_back("ready"); },
-            .by_hand =
+            .on_admin_override =
                 [this](const std::string& host, bool out) {
                   heard_.push_back("by-hand " + host + " " + std::to_string(out));
                 },
-            .note = [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
-            .news =
+            .on_load_update =
+                [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
+            .on_status_callback =
                 [this](const std::string& body) {
                   heard_.push_back("news " + body);
                   return true;
