--- a/tests/logic/turns_world.h
+++ b/tests/logic/turns_world.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "fleet/turns.h"
-#include "harness.h"
+#include "scheduler/dispatcher_harness.h"
 
 namespace keelflow::fleet {
 
--- a/tests/rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "harness.h"
+#include "dispatcher_harness.h"
 
 namespace keelflow::scheduler {
 namespace {
--- a/tests/mechanism_test.cpp
+++ b/tests/scheduler/dispatcher_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "dispatcher_harness.h"
 #include "scheduler/peer_load.h"
 
 namespace keelflow::scheduler {
