--- a/tests/scheduler/dispatcher_harness.h
+++ b/tests/scheduler/dispatcher_harness.h
@@ -1,4 +1,4 @@
-// A dispatcher under test, its clock, and what it did. No servers are modelled: tests say what
+// A dispatcher under test, its clock, and what it did. No endpoints are modelled: tests say what
 // happens.
 #pragma once
 
@@ -14,35 +14,35 @@
 namespace keelflow::scheduler {
 
 inline Settings basic_settings() {
-  Settings s;
-  s.classes.resize(1);
-  s.classes[0].latency_objective_ms = 500;
-  s.concurrent_attempts = true;
-  s.max_attempts = 6;
-  s.reports_start = true;
-  s.drain_grace_ms = 500;
-  s.grace_to_answer_ms = 8;
-  s.slow_start_initial_fraction = 0.2;
-  s.slow_start_ms = 10000;
-  s.overload_multiple = 3;
-  s.overload_window_ms = 2000;
-  return s;
+  Settings settings;
+  settings.classes.resize(1);
+  settings.classes[0].latency_objective_ms = 500;
+  settings.concurrent_attempts = true;
+  settings.max_attempts = 6;
+  settings.reports_start = true;
+  settings.drain_grace_ms = 500;
+  settings.grace_to_answer_ms = 8;
+  settings.slow_start_initial_fraction = 0.2;
+  settings.slow_start_ms = 10000;
+  settings.overload_multiple = 3;
+  settings.overload_window_ms = 2000;
+  return settings;
 }
 
 struct Bench {
   explicit Bench(Settings settings, std::uint64_t seed = 1)
-      : d(settings, seed), homes(settings), turns(settings, 0) {}
+      : d(settings, seed), subsets(settings), turns(settings, 0) {}
 
   template <typename E>
   Actions& play(E event) {
     last.clear();
     Event played(std::move(event));
     d.handle(now, played, last);
-    std::vector<Event> told;
-    if (auto of_homes = homes.after(played))
-      told.push_back(std::move(*of_homes));
-    turns.after(now, played, d, told, last);
-    for (const Event& one : told)
+    std::vector<Event> notifications;
+    if (auto subset_change = subsets.after(played))
+      notifications.push_back(std::move(*subset_change));
+    turns.after(now, played, d, notifications, last);
+    for (const Event& one : notifications)
       d.handle(now, one, last);
     for (const auto& a : last) {
       if (const auto* t = std::get_if<SetTimer>(&a))
@@ -50,7 +50,7 @@
       if (const auto* t = std::get_if<SendAttempt>(&a))
         sends.push_back(*t);
       if (const auto* t = std::get_if<CancelAttempt>(&a))
-        recalls.push_back(*t);
+        cancels.push_back(*t);
       if (const auto* t = std::get_if<SendPeerMessage>(&a))
         tells.push_back(*t);
       if (std::holds_alternative<RejectRequest>(a) || std::holds_alternative<FailRequest>(a))
@@ -59,7 +59,7 @@
     return last;
   }
 
-  // Moves the clock on and rings every timer that falls due.
+  // Moves the clock on and fires every timer that is due.
   void advance(Time to) {
     while (true) {
       std::size_t next = timers.size();
@@ -105,12 +105,12 @@
   }
 
   Dispatcher d;
-  fleet::Subsets homes;
+  fleet::Subsets subsets;
   fleet::SlowStartLeases turns;
   Time now = 1000;
   Actions last;
   std::vector<SendAttempt> sends;
-  std::vector<CancelAttempt> recalls;
+  std::vector<CancelAttempt> cancels;
   std::vector<SendPeerMessage> tells;
   std::vector<Action> answers;
   std::vector<SetTimer> timers;
--- a/tests/scheduler/dispatcher_rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -1,5 +1,5 @@
 // The four rules, each with the case that would break it, and a random stream of events against a
-// checker that knows nothing of the module.
+// checker that knows nothing of the scheduler.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -14,417 +14,424 @@
 namespace keelflow::scheduler {
 namespace {
 
-Settings with_effect(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::all,
-                     double window = 5000) {
-  Settings s = basic_settings();
-  s.classes[0].idempotency = idempotency;
-  s.classes[0].deduplication_scope = scope;
-  s.classes[0].deduplication_window_ms = window;
-  return s;
+Settings with_idempotency(Idempotency idempotency,
+                          DeduplicationScope scope = DeduplicationScope::all,
+                          double window = 5000) {
+  Settings settings = basic_settings();
+  settings.classes[0].idempotency = idempotency;
+  settings.classes[0].deduplication_scope = scope;
+  settings.classes[0].deduplication_window_ms = window;
+  return settings;
 }
 
-TEST(Rule1, AJobWithoutAnyWorkerIsAnsweredByItsDeadline) {
-  Bench b(basic_settings());
-  b.arrive(1, 100, 0, 700);
-  b.advance(1000 + 700);
-  ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<RejectRequest>(b.answers[0]));
+TEST(AnsweredByDeadline, ARequestWithoutAnyEndpointIsAnsweredByItsDeadline) {
+  Bench bench(basic_settings());
+  bench.arrive(1, 100, 0, 700);
+  bench.advance(1000 + 700);
+  ASSERT_EQ(bench.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<RejectRequest>(bench.answers[0]));
 }
 
-TEST(Rule1, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
-  Bench b(with_effect(Idempotency::non_idempotent));
-  b.endpoints(2);
-  b.arrive(1, 100, 0, 700);
-  b.now += 700;
-  b.outcome(1, 0, AttemptResult::timeout, false);
-  ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
+TEST(AnsweredByDeadline, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
+  Bench bench(with_idempotency(Idempotency::non_idempotent));
+  bench.endpoints(2);
+  bench.arrive(1, 100, 0, 700);
+  bench.now += 700;
+  bench.outcome(1, 0, AttemptResult::timeout, false);
+  ASSERT_EQ(bench.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
 }
 
-TEST(Rule1, LateStaleAndUnknownEventsAreHarmless) {
-  Settings s = basic_settings();
-  s.zones = 2;
-  Bench b(s);
-  b.endpoints(2);
-  b.arrive(1, 100, 0, 700);
-  b.play(ClientDisconnected{1});
-  b.outcome(1, 0, AttemptResult::ok, true);
-  b.outcome(1, 0, AttemptResult::ok, true);
-  b.outcome(99, 0, AttemptResult::error, false);
-  b.outcome(1, 7, AttemptResult::error, false);
-  b.play(AttemptStarted{99, 3});
-  b.play(TimerFired{12345});
-  b.play(ResponseStreamStarted{99});
-  b.play(ClientDisconnected{99});
-  b.play(HealthCheckResult{});
-  b.play(PeerMessage{});
-  b.play(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
-  EXPECT_TRUE(b.answers.empty());
-  b.arrive(2, 100, 55);  // a class that does not exist
-  ASSERT_EQ(b.answers.size(), 1u);
-  b.advance(b.now + 5000);
-  EXPECT_EQ(b.answers.size(), 1u);
+TEST(AnsweredByDeadline, LateStaleAndUnknownEventsAreHarmless) {
+  Settings settings = basic_settings();
+  settings.zones = 2;
+  Bench bench(settings);
+  bench.endpoints(2);
+  bench.arrive(1, 100, 0, 700);
+  bench.play(ClientDisconnected{1});
+  bench.outcome(1, 0, AttemptResult::ok, true);
+  bench.outcome(1, 0, AttemptResult::ok, true);
+  bench.outcome(99, 0, AttemptResult::error, false);
+  bench.outcome(1, 7, AttemptResult::error, false);
+  bench.play(AttemptStarted{99, 3});
+  bench.play(TimerFired{12345});
+  bench.play(ResponseStreamStarted{99});
+  bench.play(ClientDisconnected{99});
+  bench.play(HealthCheckResult{});
+  bench.play(PeerMessage{});
+  bench.play(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
+  EXPECT_TRUE(bench.answers.empty());
+  bench.arrive(2, 100, 55);  // a class that does not exist
+  ASSERT_EQ(bench.answers.size(), 1u);
+  bench.advance(bench.now + 5000);
+  EXPECT_EQ(bench.answers.size(), 1u);
 }
 
-TEST(Rule2, AnUnsafeJobThatMayHaveRunIsNotSentAgainAndFails) {
+TEST(RetrySafety, ANonIdempotentRequestThatMayHaveRunIsNotSentAgainAndFails) {
   for (AttemptResult r : {AttemptResult::error, AttemptResult::reset}) {
-    Bench b(with_effect(Idempotency::non_idempotent));
-    b.endpoints(4);
-    b.arrive(1, 100);
-    b.outcome(1, 0, r, false);
-    EXPECT_EQ(b.sends.size(), 1u);
-    ASSERT_EQ(b.answers.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
+    Bench bench(with_idempotency(Idempotency::non_idempotent));
+    bench.endpoints(4);
+    bench.arrive(1, 100);
+    bench.outcome(1, 0, r, false);
+    EXPECT_EQ(bench.sends.size(), 1u);
+    ASSERT_EQ(bench.answers.size(), 1u);
+    EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
   }
 }
 
-TEST(Rule2, AKeyedJobIsRepeatedOnlyWithinItsGroup) {
+TEST(RetrySafety, ARequestWithAKeyIsRepeatedOnlyWithinItsDeduplicationScope) {
   for (DeduplicationScope scope : {DeduplicationScope::zone, DeduplicationScope::cell}) {
-    Settings s = with_effect(Idempotency::idempotent_with_key, scope);
-    s.zones = 2;
-    Bench b(s);
+    Settings settings = with_idempotency(Idempotency::idempotent_with_key, scope);
+    settings.zones = 2;
+    Bench bench(settings);
     EndpointList list;
     for (EndpointId id = 0; id < 16; ++id)
       list.entries.push_back(
           {id, static_cast<int>(id % 2), 0, static_cast<int>(id % 4), EndpointState::ready, 1, 0});
-    b.play(list);
-    b.arrive(1, 100);
-    EndpointId first = b.sends.at(0).endpoint;
-    b.outcome(1, 0, AttemptResult::reset, false);
-    b.advance(b.now + 1000);
-    ASSERT_EQ(b.sends.size(), 2u);
+    bench.play(list);
+    bench.arrive(1, 100);
+    EndpointId first = bench.sends.at(0).endpoint;
+    bench.outcome(1, 0, AttemptResult::reset, false);
+    bench.advance(bench.now + 1000);
+    ASSERT_EQ(bench.sends.size(), 2u);
     unsigned groups = scope == DeduplicationScope::zone ? 2 : 4;
-    EXPECT_EQ(b.sends[1].endpoint % groups, first % groups);
+    EXPECT_EQ(bench.sends[1].endpoint % groups, first % groups);
   }
 }
 
-TEST(Rule2, AKeyedJobIsNotRepeatedAfterItsWindow) {
-  Bench b(with_effect(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
-  b.endpoints(4);
-  b.arrive(1, 100);
-  b.now += 300;
-  b.outcome(1, 0, AttemptResult::reset, false);
-  EXPECT_EQ(b.sends.size(), 1u);
-  ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
+TEST(RetrySafety, ARequestWithAKeyIsNotRepeatedAfterItsDeduplicationWindow) {
+  Bench bench(with_idempotency(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
+  bench.endpoints(4);
+  bench.arrive(1, 100);
+  bench.now += 300;
+  bench.outcome(1, 0, AttemptResult::reset, false);
+  EXPECT_EQ(bench.sends.size(), 1u);
+  ASSERT_EQ(bench.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
 }
 
-TEST(Rule3, NothingGoesToAWorkerThatDrainsOrIsMissingFromAFullList) {
-  Bench b(basic_settings());
-  b.endpoints(2);
-  b.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
+TEST(EndpointListObeyed, NothingGoesToAnEndpointThatDrainsOrIsMissingFromAFullList) {
+  Bench bench(basic_settings());
+  bench.endpoints(2);
+  bench.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
   for (RequestId id = 1; id < 20; ++id)
-    b.arrive(id, 100);
-  b.play(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
-  std::size_t before = b.sends.size();
-  for (const auto& x : b.sends)
+    bench.arrive(id, 100);
+  bench.play(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
+  std::size_t before = bench.sends.size();
+  for (const auto& x : bench.sends)
     EXPECT_NE(x.endpoint, 100u);
-  b.advance(b.now + 2000);
-  for (std::size_t i = before; i < b.sends.size(); ++i)
-    EXPECT_EQ(b.sends[i].endpoint, 102u);
+  bench.advance(bench.now + 2000);
+  for (std::size_t i = before; i < bench.sends.size(); ++i)
+    EXPECT_EQ(bench.sends[i].endpoint, 102u);
 }
 
-TEST(Rule3, AskModeSubscribesAndAsksAgainOftenEnoughAfterFailures) {
-  Settings s = basic_settings();
-  s.polls_list = true;
-  s.dispatchers = 40;
-  s.rank = 3;
-  Bench b(s);
-  std::vector<Time> asked;
+TEST(EndpointListObeyed, ThePolledListIsPolledAgainOftenEnoughAfterFailures) {
+  Settings settings = basic_settings();
+  settings.polls_list = true;
+  settings.dispatchers = 40;
+  settings.rank = 3;
+  Bench bench(settings);
+  std::vector<Time> polled;
   auto collect = [&] {
-    for (const auto& a : b.last)
+    for (const auto& a : bench.last)
       if (std::holds_alternative<PollEndpointList>(a))
-        asked.push_back(b.now);
+        polled.push_back(bench.now);
   };
-  b.play(EndpointList{ListScope::cached, {}});
+  bench.play(EndpointList{ListScope::cached, {}});
   for (int i = 0; i < 60000; ++i) {
-    std::size_t had = asked.size();
+    std::size_t had = polled.size();
     collect();
-    if (asked.size() > had) {
-      b.now += 50;
-      b.play(EndpointList{ListScope::failed, {}});
+    if (polled.size() > had) {
+      bench.now += 50;
+      bench.play(EndpointList{ListScope::failed, {}});
     } else {
-      b.advance(b.now + 1);
+      bench.advance(bench.now + 1);
     }
   }
-  ASSERT_GE(asked.size(), 10u);
-  EXPECT_LE(asked[0] - 1000, 0.2 * s.poll_within_ms);
-  for (std::size_t i = 1; i < asked.size(); ++i)
-    EXPECT_LE(asked[i] - asked[i - 1], s.poll_within_ms / 2);
+  ASSERT_GE(polled.size(), 10u);
+  EXPECT_LE(polled[0] - 1000, 0.2 * settings.poll_within_ms);
+  for (std::size_t i = 1; i < polled.size(); ++i)
+    EXPECT_LE(polled[i] - polled[i - 1], settings.poll_within_ms / 2);
 }
 
-// The most that was sent to a endpoint within any window, in shares of what makes it fall over by
+// The most that was sent to an endpoint within any window, as a fraction of what overloads it at
 // its capacity then.
 using Sends = std::map<EndpointId, std::vector<std::pair<Time, double>>>;
 template <typename Capacity>
-double fullest_window(const Settings& s, Sends sent, Capacity capacity) {
+double fullest_window(const Settings& settings, Sends sent, Capacity capacity) {
   double most = 0;
   for (auto& [w, all] : sent) {
     std::sort(all.begin(), all.end());
     for (std::size_t i = 0; i < all.size(); ++i) {
       double sum = 0;
-      for (std::size_t k = i; k < all.size() && all[k].first < all[i].first + s.overload_window_ms;
-           ++k) {
+      for (std::size_t k = i;
+           k < all.size() && all[k].first < all[i].first + settings.overload_window_ms; ++k) {
         sum += all[k].second;
-        most = std::max(
-            most, sum / (s.overload_multiple * capacity(all[k].first) * s.overload_window_ms));
+        most = std::max(most, sum / (settings.overload_multiple * capacity(all[k].first) *
+                                     settings.overload_window_ms));
       }
     }
   }
   return most;
 }
 
-// All dispatchers together, each with a flood of work and a cold endpoint among warm ones.
-double most_sent_to_cold(int dispatchers, double hint, bool whole_fleet_cold) {
-  Settings s = basic_settings();
-  s.dispatchers = dispatchers;
+// All dispatchers together, each with a flood of work and an endpoint warming up among others.
+double most_sent_to_warming_up(int dispatchers, double hint, bool whole_fleet_warming_up) {
+  Settings settings = basic_settings();
+  settings.dispatchers = dispatchers;
   Sends sent;
-  int cold_workers = whole_fleet_cold ? 8 : 1;
+  int endpoints_warming_up = whole_fleet_warming_up ? 8 : 1;
   const Time started_at = 5000;
   for (int rank = 0; rank < dispatchers; ++rank) {
-    s.rank = rank;
-    Bench b(s, static_cast<std::uint64_t>(rank) * 7 + 3);
-    b.now = started_at;
+    settings.rank = rank;
+    Bench bench(settings, static_cast<std::uint64_t>(rank) * 7 + 3);
+    bench.now = started_at;
     EndpointList list;
     for (int i = 0; i < 8; ++i)
       list.entries.push_back({static_cast<EndpointId>(i), 0, 0, 0, EndpointState::ready, 1,
-                              i < cold_workers ? started_at : 0});
-    b.play(list);
+                              i < endpoints_warming_up ? started_at : 0});
+    bench.play(list);
     RequestId id = 0;
-    for (Time t = started_at; t < started_at + s.slow_start_ms; t += 50) {
-      b.advance(t);
-      b.sends.clear();
-      b.arrive(++id, hint);
-      for (const auto& x : std::vector<SendAttempt>(b.sends)) {
-        if (x.endpoint < static_cast<EndpointId>(cold_workers))
-          sent[x.endpoint].emplace_back(b.now, hint);
-        b.play(AttemptStarted{x.request, 0});
-        b.outcome(x.request, 0, AttemptResult::ok, true);
+    for (Time t = started_at; t < started_at + settings.slow_start_ms; t += 50) {
+      bench.advance(t);
+      bench.sends.clear();
+      bench.arrive(++id, hint);
+      for (const auto& x : std::vector<SendAttempt>(bench.sends)) {
+        if (x.endpoint < static_cast<EndpointId>(endpoints_warming_up))
+          sent[x.endpoint].emplace_back(bench.now, hint);
+        bench.play(AttemptStarted{x.request, 0});
+        bench.outcome(x.request, 0, AttemptResult::ok, true);
       }
     }
   }
-  return fullest_window(s, sent, [&](Time t) {
-    return s.slow_start_initial_fraction +
-           (1 - s.slow_start_initial_fraction) * (t - started_at) / s.slow_start_ms;
+  return fullest_window(settings, sent, [&](Time t) {
+    return settings.slow_start_initial_fraction +
+           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
   });
 }
 
-TEST(Rule4, AllDispatchersTogetherStayUnderTheBudgetOfAOneCoreWorker) {
+TEST(SlowStartBudget, AllDispatchersTogetherStayUnderTheBudgetOfAOneCoreEndpoint) {
   for (int dispatchers : {1, 3, 20})
     for (double hint : {60.0, 400.0})
       for (bool all : {false, true}) {
-        double worst = most_sent_to_cold(dispatchers, hint, all);
+        double worst = most_sent_to_warming_up(dispatchers, hint, all);
         EXPECT_LE(worst, 0.70) << dispatchers << " dispatchers, hint " << hint << ", all cold "
                                << all;
       }
-  EXPECT_GT(most_sent_to_cold(3, 60, true), 0.0);  // the newcomer is used at all
+  EXPECT_GT(most_sent_to_warming_up(3, 60, true), 0.0);  // the endpoint warming up is used at all
 }
 
-// Two processes of one node, each with a flood of work, and all endpoints cold. The younger begins
-// half a window later, with what the elder knows if they talk.
-double most_sent_by_twins(bool both, bool talk) {
-  Settings s = basic_settings();
-  Bench elder(s, 3), younger(s, 4);
+// Two processes of one node, each with a flood of work, and all endpoints warming up. The new one
+// begins half a window later, with the learned state of the old one if they share it.
+double most_sent_by_siblings(bool both, bool share_state) {
+  Settings settings = basic_settings();
+  Bench old_process(settings, 3), new_process(settings, 4);
   Sends sent;
   const Time started_at = 5000;
   EndpointList list;
   for (EndpointId i = 0; i < 4; ++i)
     list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
-  elder.now = younger.now = started_at;
-  elder.play(list), younger.play(list);
+  old_process.now = new_process.now = started_at;
+  old_process.play(list), new_process.play(list);
   RequestId id = 0;
-  auto turn = [&](Bench& b, Bench& other, Time t) {
-    b.advance(t);
-    b.arrive(++id, 60);
-    for (const SendAttempt& x : std::exchange(b.sends, {})) {
-      sent[x.endpoint].emplace_back(b.now, 60);
-      b.play(AttemptStarted{x.request, 0});
-      b.outcome(x.request, 0, AttemptResult::ok, true);
+  auto step = [&](Bench& bench, Bench& other, Time t) {
+    bench.advance(t);
+    bench.arrive(++id, 60);
+    for (const SendAttempt& x : std::exchange(bench.sends, {})) {
+      sent[x.endpoint].emplace_back(bench.now, 60);
+      bench.play(AttemptStarted{x.request, 0});
+      bench.outcome(x.request, 0, AttemptResult::ok, true);
     }
-    for (const SendPeerMessage& x : std::exchange(b.tells, {}))
-      other.now = b.now, other.play(PeerMessage{x.peer, x.bytes});
+    for (const SendPeerMessage& x : std::exchange(bench.tells, {}))
+      other.now = bench.now, other.play(PeerMessage{x.peer, x.bytes});
   };
-  const Time joins = started_at + s.overload_window_ms / 2;
-  for (Time t = started_at; t < joins; t += 10)
-    turn(elder, younger, t);
-  younger.advance(joins);
-  if (talk)
-    younger.play(elder.d.learned_state(joins)), younger.play(SiblingProcess{true}),
-        elder.play(SiblingProcess{true});
-  for (Time t = joins; t < started_at + s.slow_start_ms; t += 10)
-    turn(elder, younger, t), turn(both ? younger : elder, elder, t);
-  return fullest_window(s, sent, [&](Time t) {
-    return s.slow_start_initial_fraction +
-           (1 - s.slow_start_initial_fraction) * (t - started_at) / s.slow_start_ms;
+  const Time joined_at = started_at + settings.overload_window_ms / 2;
+  for (Time t = started_at; t < joined_at; t += 10)
+    step(old_process, new_process, t);
+  new_process.advance(joined_at);
+  if (share_state)
+    new_process.play(old_process.d.learned_state(joined_at)),
+        new_process.play(SiblingProcess{true}), old_process.play(SiblingProcess{true});
+  for (Time t = joined_at; t < started_at + settings.slow_start_ms; t += 10)
+    step(old_process, new_process, t), step(both ? new_process : old_process, old_process, t);
+  return fullest_window(settings, sent, [&](Time t) {
+    return settings.slow_start_initial_fraction +
+           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
   });
 }
 
-TEST(Rule4, TwoProcessesOfOneNodeHaveOneBudget) {
-  double alone = most_sent_by_twins(false, false);
+TEST(SlowStartBudget, TwoProcessesOfOneNodeHaveOneBudget) {
+  double alone = most_sent_by_siblings(false, false);
   EXPECT_LE(alone, 0.70);
-  EXPECT_LT(most_sent_by_twins(true, true), 1.1 * alone);
-  EXPECT_GT(most_sent_by_twins(true, false), 1.4 * alone);  // so the test would notice
+  EXPECT_LT(most_sent_by_siblings(true, true), 1.1 * alone);
+  EXPECT_GT(most_sent_by_siblings(true, false), 1.4 * alone);  // so the test would notice
 }
 
 TEST(SiblingProcess, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
-  Settings s = basic_settings();
-  Bench elder(s), younger(s);
-  elder.endpoints(2);
+  Settings settings = basic_settings();
+  Bench old_process(settings), new_process(settings);
+  old_process.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
-    elder.arrive(id, 100);
-    elder.play(AttemptStarted{id, 0});
-    elder.now += 300;
-    elder.outcome(id, 0, AttemptResult::ok, true);
+    old_process.arrive(id, 100);
+    old_process.play(AttemptStarted{id, 0});
+    old_process.now += 300;
+    old_process.outcome(id, 0, AttemptResult::ok, true);
   }
-  elder.arrive(41, 100);
-  EndpointId busy = elder.sends.back().endpoint;
-  younger.now = elder.now;
-  younger.endpoints(2);
-  EXPECT_EQ(younger.d.calibration(0), 1);
-  younger.play(elder.d.learned_state(elder.now));
-  EXPECT_EQ(younger.d.calibration(0), elder.d.calibration(0));
-  EXPECT_GT(younger.d.calibration(0), 2.5);
-  younger.arrive(1, 100);
-  ASSERT_EQ(younger.sends.size(), 1u);
-  EXPECT_NE(younger.sends[0].endpoint, busy);
+  old_process.arrive(41, 100);
+  EndpointId busy = old_process.sends.back().endpoint;
+  new_process.now = old_process.now;
+  new_process.endpoints(2);
+  EXPECT_EQ(new_process.d.calibration(0), 1);
+  new_process.play(old_process.d.learned_state(old_process.now));
+  EXPECT_EQ(new_process.d.calibration(0), old_process.d.calibration(0));
+  EXPECT_GT(new_process.d.calibration(0), 2.5);
+  new_process.arrive(1, 100);
+  ASSERT_EQ(new_process.sends.size(), 1u);
+  EXPECT_NE(new_process.sends[0].endpoint, busy);
 }
 
-TEST(SettingsChanged, KeepsWhatWasLearnedAndTheClassOfJobsUnderWay) {
-  Settings s = basic_settings();
-  Bench b(s);
-  b.endpoints(2);
+TEST(SettingsChanged, PreservesWhatWasLearnedAndTheClassOfRequestsUnderWay) {
+  Settings settings = basic_settings();
+  Bench bench(settings);
+  bench.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
-    b.arrive(id, 100);
-    b.play(AttemptStarted{id, 0});
-    b.now += 300;
-    b.outcome(id, 0, AttemptResult::ok, true);
+    bench.arrive(id, 100);
+    bench.play(AttemptStarted{id, 0});
+    bench.now += 300;
+    bench.outcome(id, 0, AttemptResult::ok, true);
   }
-  double learned = b.d.calibration(0);
-  b.arrive(50, 100);
-  Settings stricter = s;
-  stricter.classes.push_back(s.classes[0]);
+  double learned = bench.d.calibration(0);
+  bench.arrive(50, 100);
+  Settings stricter = settings;
+  stricter.classes.push_back(settings.classes[0]);
   stricter.classes[1].idempotency = Idempotency::non_idempotent;
-  b.play(SettingsChanged{stricter, {0, 0}});
-  EXPECT_EQ(b.d.calibration(1), learned);
-  b.arrive(51, 100, 1);
-  std::size_t before = b.sends.size();
-  b.outcome(50, 0, AttemptResult::reset, false);  // came as safe work, and is repeated
-  EXPECT_EQ(b.sends.size(), before + 1);
-  b.outcome(51, 0, AttemptResult::reset, false);  // came as unsafe work
-  EXPECT_EQ(b.sends.size(), before + 1);
-  ASSERT_EQ(b.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailRequest>(b.answers[0]));
+  bench.play(SettingsChanged{stricter, {0, 0}});
+  EXPECT_EQ(bench.d.calibration(1), learned);
+  bench.arrive(51, 100, 1);
+  std::size_t before = bench.sends.size();
+  bench.outcome(50, 0, AttemptResult::reset, false);  // arrived as idempotent, and is retried
+  EXPECT_EQ(bench.sends.size(), before + 1);
+  bench.outcome(51, 0, AttemptResult::reset, false);  // arrived as non-idempotent
+  EXPECT_EQ(bench.sends.size(), before + 1);
+  ASSERT_EQ(bench.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
 }
 
-TEST(SettingsChanged, AHeldJobThatHasUsedUpAStricterLimitEndsAtOnce) {
-  Settings s = basic_settings();
-  Bench b(s);
-  b.endpoints(1);
-  b.arrive(1, 100);
-  b.outcome(1, 0, AttemptResult::connect_failed, false);  // the only endpoint is left alone now
-  ASSERT_TRUE(b.answers.empty());
-  ASSERT_EQ(b.d.queued_requests(), 1u);
-  s.max_attempts = 1;
-  b.play(SettingsChanged{s, {0}});
-  EXPECT_EQ(b.answers.size(), 1u);
-  EXPECT_EQ(b.d.queued_requests(), 0u);
+TEST(SettingsChanged, AQueuedRequestThatHasUsedUpAStricterAttemptLimitEndsAtOnce) {
+  Settings settings = basic_settings();
+  Bench bench(settings);
+  bench.endpoints(1);
+  bench.arrive(1, 100);
+  bench.outcome(1, 0, AttemptResult::connect_failed, false);  // the only endpoint is ejected now
+  ASSERT_TRUE(bench.answers.empty());
+  ASSERT_EQ(bench.d.queued_requests(), 1u);
+  settings.max_attempts = 1;
+  bench.play(SettingsChanged{settings, {0}});
+  EXPECT_EQ(bench.answers.size(), 1u);
+  EXPECT_EQ(bench.d.queued_requests(), 0u);
 }
 
-// One that was restarted while it was out by hand comes back cold: however slow it must be believed
-// to be, it is tried. The next job goes there whenever it is sampled, which is in two of three
-// cases among four endpoints.
-TEST(Cold, AWorkerCalledBackIsTriedBeforeItsPaceCounts) {
-  Settings s = basic_settings();
-  s.classes[0].objective_runtime_factor = 10;  // in time even there
+// One that was restarted while an override drained it comes back warming up: whatever service time
+// ratio must be assumed of it, it is tried. The next request goes there whenever it is sampled,
+// which is in two of three cases among four endpoints.
+TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedBeforeItsServiceTimeRatioCounts) {
+  Settings settings = basic_settings();
+  settings.classes[0].objective_runtime_factor = 10;  // in time even there
   int tried = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    Bench b(s, seed);
-    b.now = 5000;
-    b.endpoints(4);
-    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, b.now - 1000};
-    b.play(EndpointList{ListScope::delta, {back}});
+    Bench bench(settings, seed);
+    bench.now = 5000;
+    bench.endpoints(4);
+    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, bench.now - 1000};
+    bench.play(EndpointList{ListScope::delta, {back}});
     back.state = EndpointState::ready;
-    b.play(EndpointList{ListScope::delta, {back}});
-    b.arrive(1, 20);
-    ASSERT_EQ(b.sends.size(), 1u);
-    tried += b.sends[0].endpoint == 103;
+    bench.play(EndpointList{ListScope::delta, {back}});
+    bench.arrive(1, 20);
+    ASSERT_EQ(bench.sends.size(), 1u);
+    tried += bench.sends[0].endpoint == 103;
   }
   EXPECT_GT(tried, 100);
 }
 
-// A fleet of 100 dispatchers with three jobs a second each, and 60 endpoints with two cores and a
-// queue in order, 36 of them started at the same time. One job in ten is eight times the others.
-// Messages take 2 to 21 ms.
+// A fleet of 100 dispatchers with three requests a second each, and 60 endpoints with two cores and
+// a queue in order, 36 of them started at the same time. One request in ten is eight times the
+// others. Messages take 2 to 21 ms.
 struct LargeFleet {
-  static constexpr EndpointId kWorkers = 60, kCold = 36;
-  static constexpr Time kBorn = 5000;
-  Settings s = basic_settings();
-  Sends fresh, warm;
+  static constexpr EndpointId kEndpoints = 60, kWarmingUp = 36;
+  static constexpr Time kStartedAt = 5000;
+  Settings settings = basic_settings();
+  Sends warming_up, warmed_up;
   std::map<EndpointId, std::array<Time, 2>> cores;  // when each is free
-  std::multimap<Time, std::function<void()>> coming;
+  std::multimap<Time, std::function<void()>> pending_events;
   int in_time = 0, all = 0;
 
-  // `lost` of 100 messages are; `mute` nodes hear all and are heard by nobody; a job comes to a
-  // node every so many steps.
+  // `lost` of 100 messages are; `mute` nodes receive all and nobody receives theirs; a request
+  // arrives at a node every so many steps.
   LargeFleet(unsigned seed, bool peers, unsigned lost = 0, std::size_t mute = 0,
              unsigned every = 67) {
     std::mt19937 rng(seed);
-    s.dispatchers = 100;
-    s.concurrent_attempts = false;
-    s.classes[0].objective_runtime_factor = 2.5;
-    s.peers = peers;
+    settings.dispatchers = 100;
+    settings.concurrent_attempts = false;
+    settings.classes[0].objective_runtime_factor = 2.5;
+    settings.peers = peers;
     std::vector<std::unique_ptr<Bench>> nodes;
     EndpointList list;
-    for (EndpointId w = 0; w < kWorkers; ++w)
-      list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 2, w < kCold ? kBorn : 0});
-    for (s.rank = 0; s.rank < s.dispatchers; ++s.rank) {
-      nodes.push_back(std::make_unique<Bench>(s, rng()));
-      nodes.back()->now = kBorn;
+    for (EndpointId w = 0; w < kEndpoints; ++w)
+      list.entries.push_back(
+          {w, 0, 0, 0, EndpointState::ready, 2, w < kWarmingUp ? kStartedAt : 0});
+    for (settings.rank = 0; settings.rank < settings.dispatchers; ++settings.rank) {
+      nodes.push_back(std::make_unique<Bench>(settings, rng()));
+      nodes.back()->now = kStartedAt;
       nodes.back()->play(list);
     }
-    std::map<RequestId, std::pair<Time, double>> jobs;  // when each came, and its hint
-    for (Time t = kBorn; t < kBorn + s.slow_start_ms; t += 5) {
-      for (; !coming.empty() && coming.begin()->first <= t; coming.erase(coming.begin()))
-        coming.begin()->second();
+    std::map<RequestId, std::pair<Time, double>> requests;  // when each arrived, and its hint
+    for (Time t = kStartedAt; t < kStartedAt + settings.slow_start_ms; t += 5) {
+      for (; !pending_events.empty() && pending_events.begin()->first <= t;
+           pending_events.erase(pending_events.begin()))
+        pending_events.begin()->second();
       for (std::size_t n = 0; n < nodes.size(); ++n) {
         Bench& node = *nodes[n];
         node.advance(t);
         if (rng() % every == 0) {
-          jobs[static_cast<RequestId>(++all)] = {t, rng() % 10 == 0 ? 1600 : 200};
-          node.arrive(static_cast<RequestId>(all), jobs[static_cast<RequestId>(all)].second);
+          requests[static_cast<RequestId>(++all)] = {t, rng() % 10 == 0 ? 1600 : 200};
+          node.arrive(static_cast<RequestId>(all), requests[static_cast<RequestId>(all)].second);
         }
         for (const SendAttempt& x : std::exchange(node.sends, {}))
-          run(node, x, t, jobs[x.request]);
+          run(node, x, t, requests[x.request]);
         for (SendPeerMessage& x : std::exchange(node.tells, {}))
           if (n >= mute && rng() % 100 >= lost)
-            coming.emplace(t + 2 + rng() % 20,
-                           [&to = *nodes[static_cast<std::size_t>(x.peer)], n, bytes = x.bytes] {
-                             to.play(PeerMessage{static_cast<int>(n), bytes});
-                           });
+            pending_events.emplace(
+                t + 2 + rng() % 20,
+                [&to = *nodes[static_cast<std::size_t>(x.peer)], n, bytes = x.bytes] {
+                  to.play(PeerMessage{static_cast<int>(n), bytes});
+                });
       }
     }
   }
 
-  void run(Bench& node, const SendAttempt& x, Time t, std::pair<Time, double> job) {
-    (x.endpoint < kCold ? fresh : warm)[x.endpoint].emplace_back(t, job.second);
+  void run(Bench& node, const SendAttempt& x, Time t, std::pair<Time, double> request) {
+    (x.endpoint < kWarmingUp ? warming_up : warmed_up)[x.endpoint].emplace_back(t, request.second);
     Time& free = *std::min_element(cores[x.endpoint].begin(), cores[x.endpoint].end());
     Time start = std::max(free, t);
-    free = start + job.second / (x.endpoint < kCold ? warmth(start) : 1);
-    coming.emplace(start + 1, [&node, id = x.request] { node.play(AttemptStarted{id, 0}); });
-    coming.emplace(free + 1, [this, &node, id = x.request, job, end = free] {
+    free = start + request.second / (x.endpoint < kWarmingUp ? capacity_fraction(start) : 1);
+    pending_events.emplace(start + 1, [&node, id = x.request] {
+      node.play(AttemptStarted{id, 0});
+    });
+    pending_events.emplace(free + 1, [this, &node, id = x.request, request, end = free] {
       node.outcome(id, 0, AttemptResult::ok, true);
-      in_time += end - job.first < 500 + 2.5 * job.second;
+      in_time += end - request.first < 500 + 2.5 * request.second;
     });
   }
 
-  double warmth(Time t) const {
-    return std::min(1.0, s.slow_start_initial_fraction +
-                             (1 - s.slow_start_initial_fraction) * (t - kBorn) / s.slow_start_ms);
+  double capacity_fraction(Time t) const {
+    return std::min(
+        1.0, settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
+                                                        (t - kStartedAt) / settings.slow_start_ms);
   }
-  double fullest() const {
-    return fullest_window(s, fresh, [&](Time t) { return 2 * warmth(t); });
+  double fullest_window_fraction() const {
+    return fullest_window(settings, warming_up, [&](Time t) { return 2 * capacity_fraction(t); });
   }
-  double share_in_time() const { return 1.0 * in_time / all; }
+  double fraction_in_time() const { return 1.0 * in_time / all; }
   static double mean(const Sends& sends, EndpointId endpoints) {
     double sum = 0;
     for (const auto& [w, of_one] : sends)
@@ -432,31 +439,33 @@
         sum += work;
     return sum / endpoints;
   }
-  // On average fresh endpoints can do 0.6 of what the others can.
-  double use_of_fresh() const { return mean(fresh, kCold) / mean(warm, kWorkers - kCold); }
+  // On average endpoints that are warming up can do 0.6 of what the others can.
+  double use_of_warming_up() const {
+    return mean(warming_up, kWarmingUp) / mean(warmed_up, kEndpoints - kWarmingUp);
+  }
 };
 
-TEST(Rule4, AHundredDispatchersTogetherUseFreshWorkersAndStayUnderTheirBudget) {
+TEST(SlowStartBudget, AHundredDispatchersTogetherUseEndpointsWarmingUpAndStayUnderTheirBudget) {
   for (unsigned seed : {1u, 2u, 3u}) {
-    LargeFleet silent(seed, false), talking(seed, true), cut_off(seed, true, 100),
+    LargeFleet silent(seed, false), notifying(seed, true), cut_off(seed, true, 100),
         lossy(seed, true, 20);
-    // 0.62 of the budget is given out, and a job counts as nine tenths of its hint at least: 0.69
-    // is the most.
-    for (const LargeFleet* fleet : {&silent, &talking, &cut_off, &lossy})
-      EXPECT_LE(fleet->fullest(), 0.70) << "seed " << seed;
-    EXPECT_GT(silent.use_of_fresh(), 0.25)
-        << "seed " << seed;  // with parts that go by what was heard it was 0.18
-    EXPECT_GT(talking.use_of_fresh(), 0.35) << "seed " << seed;
-    EXPECT_GT(lossy.use_of_fresh(), 0.31) << "seed " << seed;
-    EXPECT_GT(talking.share_in_time(), silent.share_in_time() + 0.12) << "seed " << seed;
+    // 0.62 of the budget is given out, and a request counts as nine tenths of its hint at least:
+    // 0.69 is the most.
+    for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
+      EXPECT_LE(fleet->fullest_window_fraction(), 0.70) << "seed " << seed;
+    EXPECT_GT(silent.use_of_warming_up(), 0.25)
+        << "seed " << seed;  // with parts that go by what was received it was 0.18
+    EXPECT_GT(notifying.use_of_warming_up(), 0.35) << "seed " << seed;
+    EXPECT_GT(lossy.use_of_warming_up(), 0.31) << "seed " << seed;
+    EXPECT_GT(notifying.fraction_in_time(), silent.fraction_in_time() + 0.12) << "seed " << seed;
   }
 }
 
-// Twice the usual traffic, and nobody hears ninety of them: where budgets went by what was heard it
-// was 0.98.
-TEST(Rule4, NinetyOfAHundredThatNobodyHearsInARushStayUnderTheBudget) {
+// Twice the ordinary traffic, and the messages of ninety are lost: where budgets went by what was
+// received it was 0.98.
+TEST(SlowStartBudget, NinetyOfAHundredWhoseMessagesAreLostInARushStayUnderTheBudget) {
   LargeFleet mute(3, true, 0, 90, 30);
-  EXPECT_LE(mute.fullest(), 0.70);
+  EXPECT_LE(mute.fullest_window_fraction(), 0.70);
 }
 
 // ---- random streams against an independent checker ----
@@ -468,7 +477,7 @@
   struct Try {
     EndpointId endpoint;
     Time sent = 0;
-    int fate = 0;  // 0 out, 1 never ran, 2 may have run
+    int delivery = 0;  // 0 in flight, 1 never ran, 2 may have run
     bool started = false;
   };
   std::vector<Try> tries;
@@ -479,21 +488,21 @@
   auto pick = [&](int n) {
     return static_cast<int>(rng() % static_cast<unsigned>(n));
   };
-  Settings s = basic_settings();
-  s.zones = 2;
-  s.kinds = 2;
-  s.concurrent_attempts = seed % 3 != 0;
-  s.max_attempts = 1 + pick(5);
-  s.classes.resize(4, s.classes[0]);
-  s.classes[1].idempotency = Idempotency::non_idempotent;
-  s.classes[2].idempotency = Idempotency::idempotent_with_key,
-  s.classes[2].deduplication_scope = DeduplicationScope::zone,
-  s.classes[2].deduplication_window_ms = 800;
-  s.classes[3].idempotency = Idempotency::idempotent_with_key,
-  s.classes[3].deduplication_scope = DeduplicationScope::cell,
-  s.classes[3].deduplication_window_ms = 400;
-  s.classes[3].kind = pick(2);
-  Dispatcher d(s, seed);
+  Settings settings = basic_settings();
+  settings.zones = 2;
+  settings.kinds = 2;
+  settings.concurrent_attempts = seed % 3 != 0;
+  settings.max_attempts = 1 + pick(5);
+  settings.classes.resize(4, settings.classes[0]);
+  settings.classes[1].idempotency = Idempotency::non_idempotent;
+  settings.classes[2].idempotency = Idempotency::idempotent_with_key,
+  settings.classes[2].deduplication_scope = DeduplicationScope::zone,
+  settings.classes[2].deduplication_window_ms = 800;
+  settings.classes[3].idempotency = Idempotency::idempotent_with_key,
+  settings.classes[3].deduplication_scope = DeduplicationScope::cell,
+  settings.classes[3].deduplication_window_ms = 400;
+  settings.classes[3].kind = pick(2);
+  Dispatcher d(settings, seed);
   std::map<EndpointId, EndpointEntry> fleet;
   std::map<RequestId, Checked> all;
   std::vector<SetTimer> timers;
@@ -509,18 +518,18 @@
       if (const auto* x = std::get_if<SendAttempt>(&action)) {
         Checked& c = all.at(x->request);
         ASSERT_FALSE(c.ended) << "sent after its end";
-        ASSERT_LT(static_cast<int>(c.tries.size()), s.max_attempts);
+        ASSERT_LT(static_cast<int>(c.tries.size()), settings.max_attempts);
         const EndpointEntry& w = fleet.at(x->endpoint);
         ASSERT_EQ(w.state, EndpointState::ready);
-        const ClassSettings& k = s.classes[static_cast<std::size_t>(c.class_index)];
+        const ClassSettings& k = settings.classes[static_cast<std::size_t>(c.class_index)];
         if (k.kind >= 0) {
           ASSERT_EQ(w.kind, k.kind);
         }
         for (const auto& t : c.tries) {
-          if (t.fate == 1)
+          if (t.delivery == 1)
             continue;
-          if (!s.concurrent_attempts) {
-            ASSERT_NE(t.fate, 0);
+          if (!settings.concurrent_attempts) {
+            ASSERT_NE(t.delivery, 0);
           }
           ASSERT_NE(k.idempotency, Idempotency::non_idempotent);
           if (k.idempotency == Idempotency::idempotent_with_key) {
@@ -532,17 +541,17 @@
         }
         c.tries.push_back({x->endpoint, now});
       }
-      const auto* refuse = std::get_if<RejectRequest>(&action);
+      const auto* reject = std::get_if<RejectRequest>(&action);
       const auto* fail = std::get_if<FailRequest>(&action);
-      if (refuse || fail) {
-        Checked& c = all.at(refuse ? refuse->request : fail->request);
+      if (reject || fail) {
+        Checked& c = all.at(reject ? reject->request : fail->request);
         ASSERT_FALSE(c.ended) << "answered twice";
         c.ended = c.answered = true;
-        ASSERT_LE(now, c.deadline + s.grace_to_answer_ms);
-        if (refuse && s.classes[static_cast<std::size_t>(c.class_index)].idempotency !=
+        ASSERT_LE(now, c.deadline + settings.grace_to_answer_ms);
+        if (reject && settings.classes[static_cast<std::size_t>(c.class_index)].idempotency !=
                           Idempotency::idempotent)
           for (const auto& t : c.tries) {
-            ASSERT_EQ(t.fate, 1) << "refused though it may have run";
+            ASSERT_EQ(t.delivery, 1) << "refused though it may have run";
           }
       }
     }
@@ -590,14 +599,14 @@
       }
       act(list);
     } else {
-      std::vector<std::pair<RequestId, int>> out;
+      std::vector<std::pair<RequestId, int>> in_flight;
       for (auto& [id, c] : all)
         for (std::size_t i = 0; i < c.tries.size(); ++i)
-          if (c.tries[i].fate == 0)
-            out.emplace_back(id, static_cast<int>(i));
-      if (out.empty())
+          if (c.tries[i].delivery == 0)
+            in_flight.emplace_back(id, static_cast<int>(i));
+      if (in_flight.empty())
         continue;
-      auto [id, i] = out[static_cast<std::size_t>(pick(static_cast<int>(out.size())))];
+      auto [id, i] = in_flight[static_cast<std::size_t>(pick(static_cast<int>(in_flight.size())))];
       Checked& c = all[id];
       auto& t = c.tries[static_cast<std::size_t>(i)];
       if (!t.started && pick(3) == 0) {
@@ -618,10 +627,11 @@
                                        AttemptResult::cancelled,
                                        AttemptResult::rejected};
       o.result = now >= c.deadline ? AttemptResult::timeout : results[pick(9)];
-      t.fate = o.result == AttemptResult::rejected || o.result == AttemptResult::connect_failed ||
-                       o.result == AttemptResult::withheld
-                   ? 1
-                   : 2;
+      t.delivery = o.result == AttemptResult::rejected ||
+                           o.result == AttemptResult::connect_failed ||
+                           o.result == AttemptResult::withheld
+                       ? 1
+                       : 2;
       if (o.result == AttemptResult::ok)
         c.ended = true;
       o.request_finished = c.ended;
--- a/tests/scheduler/embed_example.cpp
+++ b/tests/scheduler/embed_example.cpp
@@ -14,11 +14,11 @@
   list.entries.push_back({.endpoint = 7});
   dispatcher.handle(0.0, list, actions);
 
-  keelflow::scheduler::RequestArrived job;
-  job.request = 1;
-  job.client_timeout_ms = 5000;
-  job.hint = 120;
-  dispatcher.handle(1.0, job, actions);
+  keelflow::scheduler::RequestArrived request;
+  request.request = 1;
+  request.client_timeout_ms = 5000;
+  request.hint = 120;
+  dispatcher.handle(1.0, request, actions);
 
   int sends = 0;
   for (const keelflow::scheduler::Action& action : actions)
