--- a/tests/scheduler/dispatcher_harness.h
+++ b/tests/scheduler/dispatcher_harness.h
@@ -1,5 +1,5 @@
-// A dispatcher under test, its clock, and what it did. No endpoints are modelled: tests say what
-// happens.
+/// A dispatcher under test, its clock, and what it did. No endpoints are modelled: tests say what
+/// happens.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,6 +29,7 @@
   return settings;
 }
 
+/// One Dispatcher with the parts of the node that notify it, driven event by event.
 struct Bench {
   explicit Bench(Settings settings, std::uint64_t seed = 1)
       : d(settings, seed), subsets(settings), turns(settings, 0) {}
@@ -59,7 +60,7 @@
     return last;
   }
 
-  // Moves the clock on and fires every timer that is due.
+  /// Moves the clock on and fires every timer that is due.
   void advance(Time to) {
     while (true) {
       std::size_t next = timers.size();
@@ -116,4 +117,12 @@
   std::vector<SetTimer> timers;
 };
 
+/// Runs one request to its end on whatever endpoint it is sent to.
+inline void serve(Bench& bench, RequestId id, double hint, double run, int class_index = 0) {
+  bench.arrive(id, hint, class_index);
+  bench.play(AttemptStarted{id, 0});
+  bench.advance(bench.now + run);
+  bench.outcome(id, 0, AttemptResult::ok, true);
+}
+
 }  // namespace keelflow::scheduler
--- /dev/null
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -0,0 +1,155 @@
+/// Which endpoint a Dispatcher selects: subsets, kinds, keys, load and service times.
+#include <map>
+#include <set>
+
+#include "dispatcher_harness.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+// Endpoints are preferred where the dispatcher is notified that they are in its subset; one that is
+// warming up where it has a part of the budget.
+TEST(Fleet, TheSubsetIsAsNotifiedAndThatOfAnEndpointWarmingUpIsItsOwn) {
+  Settings settings = basic_settings();
+  settings.dispatchers = 100;
+  settings.rank = 3;
+  Bench bench(settings);
+  bench.endpoints(20);
+  SubsetChanged subsets;
+  for (EndpointId w = 100; w < 120; ++w)
+    subsets.endpoints.push_back({w, w == 107, {}});
+  bench.play(subsets);
+  bench.arrive(1, 10);
+  ASSERT_EQ(bench.sends.size(), 1u);
+  EXPECT_EQ(bench.sends[0].endpoint, 107u);
+  int own_while_warming_up = 0;
+  for (int rank = 0; rank < 100;
+       ++rank) {  // the first few of its own order alone, whatever it is notified of
+    settings.rank = rank;
+    Bench one(settings);
+    EndpointList list;
+    list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
+    SubsetChanged none{{{7, true, {}}}};
+    for (EndpointId w = 8; w < 107; ++w) {
+      list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 1, 0});
+      none.endpoints.push_back({w, false, {}});
+    }
+    one.play(list);
+    one.play(none);
+    one.arrive(1, 4);
+    own_while_warming_up += !one.sends.empty() && one.sends[0].endpoint == 7;
+  }
+  EXPECT_EQ(own_while_warming_up, 5);
+}
+
+TEST(EndpointSelection, FewestOwnSlotsAmongEndpointsWithCapacity) {
+  Bench bench(basic_settings());
+  bench.endpoints(4);
+  for (RequestId id = 1; id <= 4; ++id)
+    bench.arrive(id, 100);
+  std::set<EndpointId> used;
+  for (const auto& x : bench.sends)
+    used.insert(x.endpoint);
+  EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
+}
+
+TEST(EndpointSelection, AnEndpointThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
+  Bench bench(basic_settings());
+  bench.endpoints(2);
+  int sent_to_slow = 0, all = 0;
+  for (RequestId id = 1; id <= 200; ++id) {
+    bench.arrive(id, 100);
+    EndpointId w = bench.sends.back().endpoint;
+    bench.play(AttemptStarted{id, 0});
+    bench.advance(bench.now + (w == 100 ? 600 : 100));
+    bench.outcome(id, 0, AttemptResult::ok, true);
+    if (id > 50)
+      ++all, sent_to_slow += w == 100;
+  }
+  EXPECT_LT(sent_to_slow, all / 4);
+}
+
+TEST(Kinds, ARequestGoesOnlyToItsOwnKind) {
+  Settings settings = basic_settings();
+  settings.kinds = 2;
+  settings.classes.resize(2, settings.classes[0]);
+  settings.classes[1].kind = 1;
+  Bench bench(settings);
+  bench.endpoints(2, 1, 2);
+  bench.arrive(1, 100, 1);
+  ASSERT_EQ(bench.sends.size(), 1u);
+  EXPECT_EQ(bench.sends[0].endpoint, 101u);
+  bench.play(EndpointList{
+      ListScope::delta,
+      {{100, 0, 0, 0, EndpointState::gone, 1, 0}, {101, 0, 1, 0, EndpointState::gone, 1, 0}}});
+  bench.arrive(2, 100, 1);
+  bench.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, 0}}});
+  EXPECT_EQ(bench.sends.size(), 1u);  // the wrong kind never gets it
+}
+
+TEST(Keys, ARequestThatStartsLateStaysUnlessItHasNoKey) {
+  for (std::uint64_t key : {0, 7}) {
+    Bench bench(basic_settings());
+    bench.endpoints(8);
+    bench.arrive(1, 100, 0, 10000, key);
+    ASSERT_EQ(bench.sends.size(), 1u);
+    bool cancelled = false;
+    for (int i = 0; i < 300; ++i) {
+      bench.advance(bench.now + 1);
+      for (const auto& a : bench.last)
+        cancelled = cancelled || std::holds_alternative<CancelAttempt>(a);
+    }
+    EXPECT_EQ(cancelled, key == 0);
+  }
+}
+
+TEST(Keys, EveryDispatcherFindsTheSameEndpointForAKey) {
+  Settings settings = basic_settings();
+  settings.dispatchers = 2;
+  std::map<std::uint64_t, std::set<EndpointId>> used;
+  for (int rank = 0; rank < 2; ++rank) {
+    settings.rank = rank;
+    Bench bench(settings, 77 + static_cast<std::uint64_t>(rank));
+    bench.endpoints(20);
+    RequestId id = 0;
+    for (int round = 0; round < 3; ++round)
+      for (std::uint64_t key = 1; key <= 60; ++key) {
+        bench.arrive(++id, 100, 0, 10000, key);
+        bench.play(AttemptStarted{id, 0});
+        bench.advance(bench.now + 20);
+        bench.outcome(id, 0, AttemptResult::ok, true);
+        used[key].insert(bench.sends.back().endpoint);
+      }
+  }
+  std::size_t pairs = 0;
+  for (const auto& [key, endpoints] : used)
+    pairs += endpoints.size();
+  EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five endpoints a key
+}
+
+TEST(SubsetChanged, WithManyDispatchersEachSamplesItsOwnFewEndpointsFirst) {
+  Settings settings = basic_settings();
+  settings.dispatchers = 100;
+  std::map<EndpointId, int> fleet;
+  int at_large = 0;  // those to whom the hash gave no subset
+  for (settings.rank = 0; settings.rank < 100; ++settings.rank) {
+    Bench bench(settings, 11 + static_cast<std::uint64_t>(settings.rank));
+    bench.endpoints(100);
+    std::set<EndpointId> mine;
+    for (RequestId id = 1; id <= 40; ++id) {
+      bench.arrive(id, 100);
+      bench.play(AttemptStarted{id, 0});
+      bench.advance(bench.now + 20);
+      bench.outcome(id, 0, AttemptResult::ok, true);
+      mine.insert(bench.sends.back().endpoint);
+    }
+    at_large += mine.size() > 15;
+    for (EndpointId w : mine)
+      ++fleet[w];
+  }
+  EXPECT_LE(at_large, 3);
+  EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
+}
+
+}  // namespace
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -0,0 +1,127 @@
+/// Rule 4: all dispatchers, and all processes of a node, stay under the budget of an endpoint that
+/// warms up.
+#include <cstdint>
+#include <utility>
+
+#include "dispatcher_harness.h"
+#include "sent_work.h"
+
+namespace keelflow::scheduler {
+namespace {
+
+// One that was restarted while an override drained it comes back warming up: whatever service time
+// ratio must be assumed of it, it is tried. The next request goes there whenever it is sampled,
+// which is in two of three cases among four endpoints.
+TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedBeforeItsServiceTimeRatioCounts) {
+  Settings settings = basic_settings();
+  settings.classes[0].objective_runtime_factor = 10;  // in time even there
+  int tried = 0;
+  for (std::uint64_t seed = 1; seed <= 200; ++seed) {
+    Bench bench(settings, seed);
+    bench.now = 5000;
+    bench.endpoints(4);
+    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, bench.now - 1000};
+    bench.play(EndpointList{ListScope::delta, {back}});
+    back.state = EndpointState::ready;
+    bench.play(EndpointList{ListScope::delta, {back}});
+    bench.arrive(1, 20);
+    ASSERT_EQ(bench.sends.size(), 1u);
+    tried += bench.sends[0].endpoint == 103;
+  }
+  EXPECT_GT(tried, 100);
+}
+
+// All dispatchers together, each with a flood of work and an endpoint warming up among others.
+double most_sent_to_warming_up(int dispatchers, double hint, bool whole_fleet_warming_up) {
+  Settings settings = basic_settings();
+  settings.dispatchers = dispatchers;
+  Sends sent;
+  int endpoints_warming_up = whole_fleet_warming_up ? 8 : 1;
+  const Time started_at = 5000;
+  for (int rank = 0; rank < dispatchers; ++rank) {
+    settings.rank = rank;
+    Bench bench(settings, static_cast<std::uint64_t>(rank) * 7 + 3);
+    bench.now = started_at;
+    EndpointList list;
+    for (int i = 0; i < 8; ++i)
+      list.entries.push_back({static_cast<EndpointId>(i), 0, 0, 0, EndpointState::ready, 1,
+                              i < endpoints_warming_up ? started_at : 0});
+    bench.play(list);
+    RequestId id = 0;
+    for (Time t = started_at; t < started_at + settings.slow_start_ms; t += 50) {
+      bench.advance(t);
+      bench.sends.clear();
+      bench.arrive(++id, hint);
+      for (const auto& x : std::vector<SendAttempt>(bench.sends)) {
+        if (x.endpoint < static_cast<EndpointId>(endpoints_warming_up))
+          sent[x.endpoint].push_back({bench.now, hint});
+        bench.play(AttemptStarted{x.request, 0});
+        bench.outcome(x.request, 0, AttemptResult::ok, true);
+      }
+    }
+  }
+  return fullest_window(settings, sent, [&](Time t) {
+    return settings.slow_start_initial_fraction +
+           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
+  });
+}
+
+TEST(SlowStartBudget, AllDispatchersTogetherStayUnderTheBudgetOfAOneCoreEndpoint) {
+  for (int dispatchers : {1, 3, 20})
+    for (double hint : {60.0, 400.0})
+      for (bool all : {false, true}) {
+        double worst = most_sent_to_warming_up(dispatchers, hint, all);
+        EXPECT_LE(worst, 0.70) << dispatchers << " dispatchers, hint " << hint << ", all cold "
+                               << all;
+      }
+  EXPECT_GT(most_sent_to_warming_up(3, 60, true), 0.0);  // the endpoint warming up is used at all
+}
+
+// Two processes of one node, each with a flood of work, and all endpoints warming up. The new one
+// begins half a window later, with the learned state of the old one if they share it.
+double most_sent_by_siblings(bool both, bool share_state) {
+  Settings settings = basic_settings();
+  Bench old_process(settings, 3), new_process(settings, 4);
+  Sends sent;
+  const Time started_at = 5000;
+  EndpointList list;
+  for (EndpointId i = 0; i < 4; ++i)
+    list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
+  old_process.now = new_process.now = started_at;
+  old_process.play(list), new_process.play(list);
+  RequestId id = 0;
+  auto step = [&](Bench& bench, Bench& other, Time t) {
+    bench.advance(t);
+    bench.arrive(++id, 60);
+    for (const SendAttempt& x : std::exchange(bench.sends, {})) {
+      sent[x.endpoint].push_back({bench.now, 60});
+      bench.play(AttemptStarted{x.request, 0});
+      bench.outcome(x.request, 0, AttemptResult::ok, true);
+    }
+    for (const SendPeerMessage& x : std::exchange(bench.tells, {}))
+      other.now = bench.now, other.play(PeerMessage{x.peer, x.bytes});
+  };
+  const Time joined_at = started_at + settings.overload_window_ms / 2;
+  for (Time t = started_at; t < joined_at; t += 10)
+    step(old_process, new_process, t);
+  new_process.advance(joined_at);
+  if (share_state)
+    new_process.play(old_process.d.learned_state(joined_at)),
+        new_process.play(SiblingProcess{true}), old_process.play(SiblingProcess{true});
+  for (Time t = joined_at; t < started_at + settings.slow_start_ms; t += 10)
+    step(old_process, new_process, t), step(both ? new_process : old_process, old_process, t);
+  return fullest_window(settings, sent, [&](Time t) {
+    return settings.slow_start_initial_fraction +
+           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
+  });
+}
+
+TEST(SlowStartBudget, TwoProcessesOfOneNodeHaveOneBudget) {
+  double alone = most_sent_by_siblings(false, false);
+  EXPECT_LE(alone, 0.70);
+  EXPECT_LT(most_sent_by_siblings(true, true), 1.1 * alone);
+  EXPECT_GT(most_sent_by_siblings(true, false), 1.4 * alone);  // so the test would notice
+}
+
+}  // namespace
+}  // namespace keelflow::scheduler
