--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -29,8 +29,10 @@
       bench.play(AttemptStarted{x.request, 0});
     }
     bench.advance(bench.now + 5);
-    for (const SendAttempt& x : sent)
-      --in_flight, bench.outcome(x.request, 0, AttemptResult::ok, true);
+    for (const SendAttempt& x : sent) {
+      --in_flight;
+      bench.outcome(x.request, 0, AttemptResult::ok, true);
+    }
     while (bench.d.queued_requests() < 5)
       bench.arrive(next++, 100);
   }
--- a/tests/scheduler/dispatcher_peers_test.cpp
+++ b/tests/scheduler/dispatcher_peers_test.cpp
@@ -31,8 +31,10 @@
     for (int i = 0; i < requests; ++i) {
       sends.clear();
       arrive(++last_request, 100);
-      for (const SendAttempt& x : std::vector<SendAttempt>(sends))
-        count += x.endpoint == 100, outcome(x.request, 0, AttemptResult::ok, true);
+      for (const SendAttempt& x : std::vector<SendAttempt>(sends)) {
+        count += x.endpoint == 100;
+        outcome(x.request, 0, AttemptResult::ok, true);
+      }
     }
     return count;
   }
--- a/tests/scheduler/dispatcher_random_events_test.cpp
+++ b/tests/scheduler/dispatcher_random_events_test.cpp
@@ -1,206 +1,276 @@
 /// A random stream of events against a checker of the rules that knows nothing of the scheduler.
 #include <map>
 #include <random>
-#include <utility>
 #include <vector>
 
 #include "dispatcher_harness.h"
+#include "scheduler/request.h"
 
 namespace keelflow::scheduler {
 namespace {
 
-// ---- random streams against an independent checker ----
+constexpr int kSteps = 3000;
+constexpr int kStepsWithArrivals = 2500;  // then those under way end
+constexpr int kStepsToEnd = 400;          // of 10 ms each: longer than any client waits
+constexpr EndpointId kEndpoints = 14;
 
-struct Checked {
-  bool ended = false, answered = false;
+/// What the checker knows of an attempt.
+struct CheckedAttempt {
+  EndpointId endpoint;
+  Time sent = 0;
+  DeliveryState delivery = DeliveryState::in_flight;
+  bool has_started = false;
+};
+
+/// What the checker knows of a request.
+struct CheckedRequest {
+  bool has_ended = false;
   Time deadline = 0;
-  int zone = 0, cell = 0, class_index = 0;
-  struct Try {
-    EndpointId endpoint;
-    Time sent = 0;
-    int delivery = 0;  // 0 in flight, 1 never ran, 2 may have run
-    bool started = false;
-  };
-  std::vector<Try> tries;
+  int class_index = 0;
+  std::vector<CheckedAttempt> attempts;
+};
+
+/// An attempt in flight.
+struct AttemptName {
+  RequestId request;
+  int attempt;
 };
 
-void random_stream(unsigned seed) {
-  std::mt19937 rng(seed);
-  auto pick = [&](int n) {
-    return static_cast<int>(rng() % static_cast<unsigned>(n));
-  };
-  Settings settings = basic_settings();
-  settings.zones = 2;
-  settings.kinds = 2;
-  settings.concurrent_attempts = seed % 3 != 0;
-  settings.max_attempts = 1 + pick(5);
-  settings.classes.resize(4, settings.classes[0]);
-  settings.classes[1].idempotency = Idempotency::non_idempotent;
-  settings.classes[2].idempotency = Idempotency::idempotent_with_key,
-  settings.classes[2].deduplication_scope = DeduplicationScope::zone,
-  settings.classes[2].deduplication_window_ms = 800;
-  settings.classes[3].idempotency = Idempotency::idempotent_with_key,
-  settings.classes[3].deduplication_scope = DeduplicationScope::cell,
-  settings.classes[3].deduplication_window_ms = 400;
-  settings.classes[3].kind = pick(2);
-  Dispatcher d(settings, seed);
-  std::map<EndpointId, EndpointEntry> fleet;
-  std::map<RequestId, Checked> all;
-  std::vector<SetTimer> timers;
-  Time now = 1000;
-  RequestId next = 0;
-
-  auto act = [&](const Event& event) {
+bool is_harmless(AttemptResult result) {
+  return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
+         result == AttemptResult::withheld;
+}
+
+/// One Dispatcher and its endpoints, with events drawn from a seed.
+class RandomEvents {
+ public:
+  explicit RandomEvents(unsigned seed)
+      : random_(seed), settings_(draw_settings(seed)), dispatcher_(settings_, seed) {}
+
+  void run() {
+    for (int step = 0; step < kSteps; ++step) {
+      now_ += pick(7);
+      fire_timers();
+      int what = pick(10);
+      if (what < 3 && step < kStepsWithArrivals) {
+        arrive();
+      } else if (what == 3) {
+        change_list();
+      } else {
+        advance_an_attempt();
+      }
+      if (::testing::Test::HasFatalFailure())
+        return;
+    }
+    for (int i = 0; i < kStepsToEnd; ++i) {
+      now_ += 10;
+      fire_timers();
+    }
+    for (const auto& [id, request] : requests_)
+      ASSERT_TRUE(request.has_ended) << "request " << id << " was lost";
+    ASSERT_GT(last_request_, 300u);
+  }
+
+ private:
+  int pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+
+  Settings draw_settings(unsigned seed) {
+    Settings settings = basic_settings();
+    settings.zones = 2;
+    settings.kinds = 2;
+    settings.concurrent_attempts = seed % 3 != 0;
+    settings.max_attempts = 1 + pick(5);
+    settings.classes.resize(4, settings.classes[0]);
+    settings.classes[1].idempotency = Idempotency::non_idempotent;
+    settings.classes[2].idempotency = Idempotency::idempotent_with_key;
+    settings.classes[2].deduplication_scope = DeduplicationScope::zone;
+    settings.classes[2].deduplication_window_ms = 800;
+    settings.classes[3].idempotency = Idempotency::idempotent_with_key;
+    settings.classes[3].deduplication_scope = DeduplicationScope::cell;
+    settings.classes[3].deduplication_window_ms = 400;
+    settings.classes[3].kind = pick(2);
+    return settings;
+  }
+
+  const ClassSettings& class_of(const CheckedRequest& request) const {
+    return settings_.classes[static_cast<std::size_t>(request.class_index)];
+  }
+
+  void act(const Event& event) {
     Actions actions;
-    d.handle(now, event, actions);
+    dispatcher_.handle(now_, event, actions);
     for (const auto& action : actions) {
-      if (const auto* t = std::get_if<SetTimer>(&action))
-        timers.push_back(*t);
-      if (const auto* x = std::get_if<SendAttempt>(&action)) {
-        Checked& c = all.at(x->request);
-        ASSERT_FALSE(c.ended) << "sent after its end";
-        ASSERT_LT(static_cast<int>(c.tries.size()), settings.max_attempts);
-        const EndpointEntry& w = fleet.at(x->endpoint);
-        ASSERT_EQ(w.state, EndpointState::ready);
-        const ClassSettings& k = settings.classes[static_cast<std::size_t>(c.class_index)];
-        if (k.kind >= 0) {
-          ASSERT_EQ(w.kind, k.kind);
-        }
-        for (const auto& t : c.tries) {
-          if (t.delivery == 1)
-            continue;
-          if (!settings.concurrent_attempts) {
-            ASSERT_NE(t.delivery, 0);
-          }
-          ASSERT_NE(k.idempotency, Idempotency::non_idempotent);
-          if (k.idempotency == Idempotency::idempotent_with_key) {
-            const EndpointEntry& before = fleet.at(t.endpoint);
-            ASSERT_TRUE(k.deduplication_scope == DeduplicationScope::zone ? before.zone == w.zone
-                                                                          : before.cell == w.cell);
-            ASSERT_LE(now, t.sent + k.deduplication_window_ms);
-          }
-        }
-        c.tries.push_back({x->endpoint, now});
-      }
-      const auto* reject = std::get_if<RejectRequest>(&action);
-      const auto* fail = std::get_if<FailRequest>(&action);
-      if (reject || fail) {
-        Checked& c = all.at(reject ? reject->request : fail->request);
-        ASSERT_FALSE(c.ended) << "answered twice";
-        c.ended = c.answered = true;
-        ASSERT_LE(now, c.deadline + settings.grace_to_answer_ms);
-        if (reject && settings.classes[static_cast<std::size_t>(c.class_index)].idempotency !=
-                          Idempotency::idempotent)
-          for (const auto& t : c.tries) {
-            ASSERT_EQ(t.delivery, 1) << "refused though it may have run";
-          }
-      }
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        timers_.push_back(*timer);
+      if (const auto* send = std::get_if<SendAttempt>(&action))
+        check_send(*send);
+      if (const auto* rejection = std::get_if<RejectRequest>(&action))
+        check_rejection(requests_.at(rejection->request));
+      if (const auto* failure = std::get_if<FailRequest>(&action))
+        check_answer(requests_.at(failure->request));
+      if (::testing::Test::HasFatalFailure())
+        return;
     }
-  };
+  }
 
-  for (int step = 0; step < 3000; ++step) {
-    now += pick(7);
-    for (std::size_t i = 0; i < timers.size();) {
-      if (timers[i].when > now) {
-        ++i;
-        continue;
-      }
-      SetTimer t = timers[i];
-      timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(i));
-      act(TimerFired{t.id});
+  void check_send(const SendAttempt& send) {
+    CheckedRequest& request = requests_.at(send.request);
+    ASSERT_FALSE(request.has_ended) << "sent after its end";
+    ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
+    const EndpointEntry& endpoint = endpoints_.at(send.endpoint);
+    ASSERT_EQ(endpoint.state, EndpointState::ready);
+    const ClassSettings& of_class = class_of(request);
+    if (of_class.kind >= 0) {
+      ASSERT_EQ(endpoint.kind, of_class.kind);
     }
-    int what = pick(10);
-    if (what < 3 && step < 2500) {
-      RequestArrived a;
-      a.request = ++next;
-      a.class_index = pick(4);
-      a.hint = pick(3) ? 20 + pick(500) : 0;
-      a.client_timeout_ms = 20 + pick(1500);
-      a.slots = 1 + pick(2);
-      a.key = static_cast<std::uint64_t>(pick(5));
-      Checked& c = all[a.request];
-      c.deadline = now + a.client_timeout_ms;
-      c.class_index = a.class_index;
-      act(a);
-    } else if (what == 3) {
-      EndpointList list;
-      list.scope = pick(4) ? ListScope::delta : ListScope::full;
-      for (EndpointId id = 0; id < 14; ++id) {
-        bool named = list.scope == ListScope::full ? pick(8) != 0 : pick(8) == 0;
-        if (named) {
-          int z = static_cast<int>(id % 2), k = static_cast<int>(id / 2 % 2),
-              cell = static_cast<int>(id / 4);
-          auto state = static_cast<EndpointState>(list.scope == ListScope::full ? 1 + (pick(6) == 0)
-                                                                                : pick(3));
-          list.entries.push_back({id, z, k, cell, state, 1, pick(5) ? 0 : now - pick(3000)});
-          fleet[id] = list.entries.back();
-        } else if (list.scope == ListScope::full && fleet.count(id)) {
-          fleet[id].state = EndpointState::gone;
-        }
-      }
-      act(list);
-    } else {
-      std::vector<std::pair<RequestId, int>> in_flight;
-      for (auto& [id, c] : all)
-        for (std::size_t i = 0; i < c.tries.size(); ++i)
-          if (c.tries[i].delivery == 0)
-            in_flight.emplace_back(id, static_cast<int>(i));
-      if (in_flight.empty())
-        continue;
-      auto [id, i] = in_flight[static_cast<std::size_t>(pick(static_cast<int>(in_flight.size())))];
-      Checked& c = all[id];
-      auto& t = c.tries[static_cast<std::size_t>(i)];
-      if (!t.started && pick(3) == 0) {
-        t.started = true;
-        act(AttemptStarted{id, i});
+    for (const CheckedAttempt& earlier : request.attempts) {
+      if (earlier.delivery == DeliveryState::not_delivered)
         continue;
-      }
-      AttemptFinished o;
-      o.request = id;
-      o.attempt = i;
-      const AttemptResult results[] = {AttemptResult::ok,
-                                       AttemptResult::ok,
-                                       AttemptResult::error,
-                                       AttemptResult::rejected,
-                                       AttemptResult::connect_failed,
-                                       AttemptResult::reset,
-                                       AttemptResult::withheld,
-                                       AttemptResult::cancelled,
-                                       AttemptResult::rejected};
-      o.result = now >= c.deadline ? AttemptResult::timeout : results[pick(9)];
-      t.delivery = o.result == AttemptResult::rejected ||
-                           o.result == AttemptResult::connect_failed ||
-                           o.result == AttemptResult::withheld
-                       ? 1
-                       : 2;
-      if (o.result == AttemptResult::ok)
-        c.ended = true;
-      o.request_finished = c.ended;
-      act(o);
+      check_retry(earlier, of_class, endpoint);
     }
-    if (::testing::Test::HasFatalFailure())
+    request.attempts.push_back({send.endpoint, now_});
+  }
+
+  void check_retry(const CheckedAttempt& earlier, const ClassSettings& of_class,
+                   const EndpointEntry& endpoint) {
+    if (!settings_.concurrent_attempts) {
+      ASSERT_NE(earlier.delivery, DeliveryState::in_flight);
+    }
+    ASSERT_NE(of_class.idempotency, Idempotency::non_idempotent);
+    if (of_class.idempotency != Idempotency::idempotent_with_key)
       return;
+    const EndpointEntry& before = endpoints_.at(earlier.endpoint);
+    ASSERT_TRUE(of_class.deduplication_scope == DeduplicationScope::zone
+                    ? before.zone == endpoint.zone
+                    : before.cell == endpoint.cell);
+    ASSERT_LE(now_, earlier.sent + of_class.deduplication_window_ms);
+  }
+
+  void check_answer(CheckedRequest& request) {
+    ASSERT_FALSE(request.has_ended) << "answered twice";
+    request.has_ended = true;
+    ASSERT_LE(now_, request.deadline + settings_.grace_to_answer_ms);
+  }
+
+  void check_rejection(CheckedRequest& request) {
+    check_answer(request);
+    if (class_of(request).idempotency == Idempotency::idempotent)
+      return;
+    for (const CheckedAttempt& attempt : request.attempts) {
+      ASSERT_EQ(attempt.delivery, DeliveryState::not_delivered)
+          << "rejected though it may have run";
+    }
   }
-  for (int i = 0; i < 400; ++i) {
-    now += 10;
-    for (std::size_t k = 0; k < timers.size();) {
-      if (timers[k].when > now) {
-        ++k;
+
+  void fire_timers() {
+    for (std::size_t i = 0; i < timers_.size();) {
+      if (timers_[i].when > now_) {
+        ++i;
         continue;
       }
-      SetTimer t = timers[k];
-      timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(k));
-      act(TimerFired{t.id});
+      SetTimer timer = timers_[i];
+      timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(i));
+      act(TimerFired{timer.id});
     }
   }
-  for (const auto& [id, c] : all)
-    ASSERT_TRUE(c.ended) << "request " << id << " was lost";
-  ASSERT_GT(next, 300u);
-}
+
+  void arrive() {
+    RequestArrived arrival;
+    arrival.request = ++last_request_;
+    arrival.class_index = pick(4);
+    arrival.hint = pick(3) ? 20 + pick(500) : 0;
+    arrival.client_timeout_ms = 20 + pick(1500);
+    arrival.slots = 1 + pick(2);
+    arrival.key = static_cast<std::uint64_t>(pick(5));
+    CheckedRequest& request = requests_[arrival.request];
+    request.deadline = now_ + arrival.client_timeout_ms;
+    request.class_index = arrival.class_index;
+    act(arrival);
+  }
+
+  void change_list() {
+    EndpointList list;
+    list.scope = pick(4) ? ListScope::delta : ListScope::full;
+    const bool is_full = list.scope == ListScope::full;
+    for (EndpointId id = 0; id < kEndpoints; ++id) {
+      bool is_named = is_full ? pick(8) != 0 : pick(8) == 0;
+      if (is_named) {
+        endpoints_[id] = draw_entry(id, is_full);
+        list.entries.push_back(endpoints_[id]);
+      } else if (is_full && endpoints_.contains(id)) {
+        endpoints_[id].state = EndpointState::gone;
+      }
+    }
+    act(list);
+  }
+
+  EndpointEntry draw_entry(EndpointId id, bool is_full_list) {
+    EndpointEntry entry;
+    entry.endpoint = id;
+    entry.zone = static_cast<int>(id % 2);
+    entry.kind = static_cast<int>(id / 2 % 2);
+    entry.cell = static_cast<int>(id / 4);
+    entry.state = static_cast<EndpointState>(is_full_list ? 1 + (pick(6) == 0) : pick(3));
+    entry.started_at = pick(5) ? 0 : now_ - pick(3000);
+    return entry;
+  }
+
+  void advance_an_attempt() {
+    std::vector<AttemptName> in_flight;
+    for (const auto& [id, request] : requests_)
+      for (std::size_t i = 0; i < request.attempts.size(); ++i)
+        if (request.attempts[i].delivery == DeliveryState::in_flight)
+          in_flight.push_back({id, static_cast<int>(i)});
+    if (in_flight.empty())
+      return;
+    AttemptName name =
+        in_flight[static_cast<std::size_t>(pick(static_cast<int>(in_flight.size())))];
+    CheckedAttempt& attempt =
+        requests_[name.request].attempts[static_cast<std::size_t>(name.attempt)];
+    if (!attempt.has_started && pick(3) == 0) {
+      attempt.has_started = true;
+      act(AttemptStarted{name.request, name.attempt});
+      return;
+    }
+    end(name);
+  }
+
+  void end(AttemptName name) {
+    constexpr AttemptResult kResults[] = {AttemptResult::ok,
+                                          AttemptResult::ok,
+                                          AttemptResult::error,
+                                          AttemptResult::rejected,
+                                          AttemptResult::connect_failed,
+                                          AttemptResult::reset,
+                                          AttemptResult::withheld,
+                                          AttemptResult::cancelled,
+                                          AttemptResult::rejected};
+    CheckedRequest& request = requests_[name.request];
+    AttemptFinished event;
+    event.request = name.request;
+    event.attempt = name.attempt;
+    event.result = now_ >= request.deadline ? AttemptResult::timeout : kResults[pick(9)];
+    request.attempts[static_cast<std::size_t>(name.attempt)].delivery =
+        is_harmless(event.result) ? DeliveryState::not_delivered : DeliveryState::may_have_run;
+    if (event.result == AttemptResult::ok)
+      request.has_ended = true;
+    event.request_finished = request.has_ended;
+    act(event);
+  }
+
+  std::mt19937 random_;
+  Settings settings_;
+  Dispatcher dispatcher_;
+  std::map<EndpointId, EndpointEntry> endpoints_;
+  std::map<RequestId, CheckedRequest> requests_;
+  std::vector<SetTimer> timers_;
+  Time now_ = 1000;
+  RequestId last_request_ = 0;
+};
 
 TEST(Rules, HoldUnderRandomEvents) {
   for (unsigned seed = 1; seed <= 25; ++seed) {
-    random_stream(seed);
+    RandomEvents(seed).run();
     ASSERT_FALSE(HasFatalFailure()) << "seed " << seed;
   }
 }
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -63,8 +63,10 @@
     bench.play(AttemptStarted{id, 0});
     bench.advance(bench.now + (w == 100 ? 600 : 100));
     bench.outcome(id, 0, AttemptResult::ok, true);
-    if (id > 50)
-      ++all, sent_to_slow += w == 100;
+    if (id > 50) {
+      ++all;
+      sent_to_slow += w == 100;
+    }
   }
   EXPECT_LT(sent_to_slow, all / 4);
 }
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -88,7 +88,8 @@
   for (EndpointId i = 0; i < 4; ++i)
     list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
   old_process.now = new_process.now = started_at;
-  old_process.play(list), new_process.play(list);
+  old_process.play(list);
+  new_process.play(list);
   RequestId id = 0;
   auto step = [&](Bench& bench, Bench& other, Time t) {
     bench.advance(t);
@@ -98,18 +99,24 @@
       bench.play(AttemptStarted{x.request, 0});
       bench.outcome(x.request, 0, AttemptResult::ok, true);
     }
-    for (const SendPeerMessage& x : std::exchange(bench.tells, {}))
-      other.now = bench.now, other.play(PeerMessage{x.peer, x.bytes});
+    for (const SendPeerMessage& x : std::exchange(bench.tells, {})) {
+      other.now = bench.now;
+      other.play(PeerMessage{x.peer, x.bytes});
+    }
   };
   const Time joined_at = started_at + settings.overload_window_ms / 2;
   for (Time t = started_at; t < joined_at; t += 10)
     step(old_process, new_process, t);
   new_process.advance(joined_at);
-  if (share_state)
-    new_process.play(old_process.d.learned_state(joined_at)),
-        new_process.play(SiblingProcess{true}), old_process.play(SiblingProcess{true});
-  for (Time t = joined_at; t < started_at + settings.slow_start_ms; t += 10)
-    step(old_process, new_process, t), step(both ? new_process : old_process, old_process, t);
+  if (share_state) {
+    new_process.play(old_process.d.learned_state(joined_at));
+    new_process.play(SiblingProcess{true});
+    old_process.play(SiblingProcess{true});
+  }
+  for (Time t = joined_at; t < started_at + settings.slow_start_ms; t += 10) {
+    step(old_process, new_process, t);
+    step(both ? new_process : old_process, old_process, t);
+  }
   return fullest_window(settings, sent, [&](Time t) {
     return settings.slow_start_initial_fraction +
            (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
