--- /dev/null
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -0,0 +1,104 @@
+/// The concurrency limit of an endpoint, and its ejection.
+#include "scheduler/endpoint_health.h"
+
+#include <gtest/gtest.h>
+
+namespace keelflow::scheduler {
+namespace {
+
+constexpr EndpointSlot kSlot = 0;
+constexpr double kMeanRun = 1000;  // a tenth of it is the shortest ejection
+constexpr double kBaseEjection = 100;
+constexpr double kLeastDrawn = 0.75;  // ejections are drawn around their length
+constexpr double kMostDrawn = 1.25;
+
+struct EndpointHealthTest : ::testing::Test {
+  EndpointHealthTest() : environment(Settings{}, 1), health(environment) {
+    environment.now = 1000;
+    health.reset(kSlot);
+  }
+  double ejected_for() const { return health.ejected_until(kSlot) - environment.now; }
+  void expect_ejected_for_about(double duration) const {
+    EXPECT_GE(ejected_for(), kLeastDrawn * duration);
+    EXPECT_LE(ejected_for(), kMostDrawn * duration);
+  }
+  void let_ejection_pass() { environment.now = health.ejected_until(kSlot); }
+
+  Environment environment;
+  EndpointHealth health;
+};
+
+TEST_F(EndpointHealthTest, ANewIncarnationIsHealthyWithALimitOfTwo) {
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 2);
+  EXPECT_FALSE(health.is_ejected(kSlot));
+  EXPECT_FALSE(health.looks_faulty(kSlot));
+}
+
+TEST_F(EndpointHealthTest, TheLimitGrowsOnlyWhereItBinds) {
+  health.record_success(kSlot, 0.5);
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 2);
+  health.record_success(kSlot, 1);
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 2.5);
+}
+
+TEST_F(EndpointHealthTest, OverloadLowersTheLimitToOneAtLeastAndIsNoFault) {
+  health.eject_as_overloaded(kSlot, kMeanRun);
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1.4);
+  EXPECT_TRUE(health.is_ejected(kSlot));
+  expect_ejected_for_about(kBaseEjection);
+  health.eject_as_overloaded(kSlot, kMeanRun);
+  health.eject_as_overloaded(kSlot, kMeanRun);
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1);
+  EXPECT_FALSE(health.looks_faulty(kSlot));
+}
+
+TEST_F(EndpointHealthTest, TheEjectionOfAnOutlierDoublesThreeTimesAndThenStays) {
+  for (double duration : {2.0, 4.0, 8.0, 8.0}) {
+    health.eject_as_outlier(kSlot, kMeanRun);
+    expect_ejected_for_about(duration * kBaseEjection);
+    let_ejection_pass();
+    EXPECT_FALSE(health.is_ejected(kSlot));
+  }
+  EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1);
+}
+
+TEST_F(EndpointHealthTest, FailuresOneAfterAnotherDoubleItSixTimes) {
+  for (int i = 0; i < 10; ++i)
+    health.record_failure(kSlot);
+  EXPECT_TRUE(health.fails_repeatedly(kSlot));
+  health.eject_as_outlier(kSlot, kMeanRun);
+  expect_ejected_for_about(64 * kBaseEjection);
+}
+
+TEST_F(EndpointHealthTest, ATimelyStartClearsSignsButOnlyAServedAttemptClearsFailures) {
+  health.eject_as_outlier(kSlot, kMeanRun);
+  health.record_failure(kSlot);
+  health.record_success(kSlot, 0);
+  EXPECT_TRUE(health.looks_faulty(kSlot));
+  EXPECT_FALSE(health.fails_repeatedly(kSlot));
+  health.clear_failures(kSlot);
+  EXPECT_FALSE(health.looks_faulty(kSlot));
+}
+
+TEST_F(EndpointHealthTest, AnEjectionIsNeverShortened) {
+  health.eject_until(kSlot, 5000);
+  health.eject_until(kSlot, 2000);
+  EXPECT_DOUBLE_EQ(health.ejected_until(kSlot), 5000);
+}
+
+TEST_F(EndpointHealthTest, WithoutAMeanRunAnEjectionLastsSomeTicks) {
+  environment.settings.tick_ms = 50;
+  health.eject_as_overloaded(kSlot, 0);
+  expect_ejected_for_about(4 * 50);
+}
+
+TEST_F(EndpointHealthTest, ANewIncarnationForgetsTheFaultsOfTheFormerOne) {
+  health.record_failure(kSlot);
+  health.eject_as_outlier(kSlot, kMeanRun);
+  health.reset(kSlot);
+  EXPECT_FALSE(health.is_ejected(kSlot));
+  EXPECT_FALSE(health.looks_faulty(kSlot));
+}
+
+}  // namespace
+}  // namespace keelflow::scheduler
--- /dev/null
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -0,0 +1,162 @@
+/// Which attempts may follow which, and when a request may be rejected as safe to retry.
+#include "scheduler/retry_policy.h"
+
+#include <gtest/gtest.h>
+
+namespace keelflow::scheduler {
+namespace {
+
+constexpr Time kNow = 10000;
+constexpr double kWindow = 1000;  // deduplication; nine tenths of it are used
+
+struct RetryPolicyTest : ::testing::Test {
+  RetryPolicyTest()
+      : environment(some_settings(), 1),
+        endpoints(2),
+        statistics(environment.settings),
+        policy(environment, endpoints, statistics) {
+    environment.now = kNow;
+    request.deadline = kNow + 5000;
+    same_cell = endpoints.add({.endpoint = 1, .zone = 0, .cell = 0});
+    same_zone = endpoints.add({.endpoint = 2, .zone = 0, .cell = 1});
+    other_zone = endpoints.add({.endpoint = 3, .zone = 1, .cell = 2});
+  }
+
+  static Settings some_settings() {
+    Settings settings;
+    settings.kinds = 2;
+    settings.max_attempts = 3;
+    settings.concurrent_attempts = true;
+    settings.tick_ms = 10;
+    settings.classes.resize(1);
+    settings.classes[0].deduplication_window_ms = kWindow;
+    return settings;
+  }
+
+  ClassSettings& of_class() { return environment.settings.classes[0]; }
+  void set_class(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::all) {
+    of_class().idempotency = idempotency;
+    of_class().deduplication_scope = scope;
+  }
+  /// An attempt in zone 0 and cell 0 before.
+  void attempted(DeliveryState delivery, Time sent = kNow - 100) {
+    request.attempts.push_back(
+        {.endpoint = 9, .zone = 0, .cell = 0, .sent = sent, .delivery = delivery});
+  }
+
+  Environment environment;
+  EndpointTable endpoints;
+  ServiceStatistics statistics;
+  RetryPolicy policy;
+  Request request;
+  EndpointSlot same_cell;
+  EndpointSlot same_zone;
+  EndpointSlot other_zone;
+};
+
+TEST_F(RetryPolicyTest, AnIdempotentRequestMayFollowAnyAttemptAnywhere) {
+  set_class(Idempotency::idempotent);
+  attempted(DeliveryState::may_have_run, kNow - 100 * kWindow);
+  EXPECT_TRUE(policy.may_send(request, other_zone));
+  EXPECT_TRUE(policy.may_retry(request));
+  EXPECT_TRUE(policy.may_reject(request));
+}
+
+TEST_F(RetryPolicyTest, ANonIdempotentRequestFollowsOnlyAttemptsThatWereNotDelivered) {
+  set_class(Idempotency::non_idempotent);
+  attempted(DeliveryState::not_delivered);
+  EXPECT_TRUE(policy.may_send(request, same_cell));
+  EXPECT_TRUE(policy.may_retry(request));
+  EXPECT_TRUE(policy.may_reject(request));
+  attempted(DeliveryState::may_have_run);
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  EXPECT_FALSE(policy.may_retry(request));
+  EXPECT_FALSE(policy.may_reject(request));
+}
+
+TEST_F(RetryPolicyTest, ANonIdempotentRequestIsNeverHedged) {
+  set_class(Idempotency::non_idempotent);
+  attempted(DeliveryState::in_flight);
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  EXPECT_FALSE(policy.may_reject(request));
+}
+
+TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinItsDeduplicationScope) {
+  attempted(DeliveryState::may_have_run);
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
+  EXPECT_TRUE(policy.may_send(request, other_zone));
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
+  EXPECT_TRUE(policy.may_send(request, same_zone));
+  EXPECT_FALSE(policy.may_send(request, other_zone));
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::cell);
+  EXPECT_TRUE(policy.may_send(request, same_cell));
+  EXPECT_FALSE(policy.may_send(request, same_zone));
+}
+
+TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinNineTenthsOfItsWindow) {
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
+  attempted(DeliveryState::may_have_run, kNow);
+  environment.now = kNow + 0.9 * kWindow;
+  EXPECT_TRUE(policy.may_send(request, same_zone));
+  EXPECT_FALSE(policy.may_retry(request));  // a later attempt would be too late
+  environment.now += 1;
+  EXPECT_FALSE(policy.may_send(request, same_zone));
+}
+
+TEST_F(RetryPolicyTest, ARequestWithAKeyMayBeRejectedWhereEveryEndpointDropsRepeatsOrNoneHasIt) {
+  attempted(DeliveryState::may_have_run);
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
+  EXPECT_TRUE(policy.may_reject(request));
+  set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
+  EXPECT_FALSE(policy.may_reject(request));
+  request.attempts[0].delivery = DeliveryState::not_delivered;
+  EXPECT_TRUE(policy.may_reject(request));
+}
+
+TEST_F(RetryPolicyTest, WithoutConcurrentAttemptsNothingFollowsOneInFlight) {
+  environment.settings.concurrent_attempts = false;
+  attempted(DeliveryState::in_flight);
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  request.attempts[0].delivery = DeliveryState::may_have_run;
+  EXPECT_TRUE(policy.may_send(request, same_cell));
+}
+
+TEST_F(RetryPolicyTest, NothingIsSentAfterTheLastAttemptTheDeadlineTheStreamOrTheEnd) {
+  request.is_streaming = true;
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  request.is_streaming = false;
+  request.is_finished = true;
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  request.is_finished = false;
+  for (int i = 0; i < 3; ++i) {
+    EXPECT_TRUE(policy.may_send(request, same_cell));
+    attempted(DeliveryState::not_delivered);
+  }
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  EXPECT_FALSE(policy.may_retry(request));
+  request.attempts.clear();
+  environment.now = request.deadline;
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+}
+
+TEST_F(RetryPolicyTest, NothingIsSentToAnEndpointThatDrainsOrIsOfAnotherKind) {
+  endpoints.set_state(same_cell, EndpointState::draining);
+  EXPECT_FALSE(policy.may_send(request, same_cell));
+  of_class().kind = 1;
+  EXPECT_FALSE(policy.may_send(request, same_zone));
+}
+
+TEST_F(RetryPolicyTest, RetryAfterIsAQuarterOfTheMeanRunWithinItsLimits) {
+  EXPECT_DOUBLE_EQ(policy.retry_after(), 0);  // not among the settings: no guidance
+  environment.settings.retry_after = true;
+  environment.settings.max_retry_after_ms = 500;
+  EXPECT_DOUBLE_EQ(policy.retry_after(), 40);  // four ticks at least
+  statistics.record_run(1000);
+  EXPECT_DOUBLE_EQ(policy.retry_after(), 250);
+  ServiceStatistics long_runs(environment.settings);
+  long_runs.record_run(1e6);
+  EXPECT_DOUBLE_EQ(RetryPolicy(environment, endpoints, long_runs).retry_after(), 500);
+}
+
+}  // namespace
+}  // namespace keelflow::scheduler
