--- a/tests/scheduler/settings_test.cpp
+++ b/tests/scheduler/settings_test.cpp
@@ -1,5 +1,7 @@
 /// Settings that cannot be are rejected.
 #include <cmath>
+#include <stdexcept>
+#include <string>
 
 #include "dispatcher_harness.h"
 
@@ -24,5 +26,72 @@
                std::invalid_argument);
 }
 
+/// What `validate` says against the settings; empty: nothing.
+std::string fault_of(const Settings& settings) {
+  try {
+    validate(settings);
+  } catch (const std::invalid_argument& fault) {
+    return fault.what();
+  }
+  return "";
+}
+
+TEST(Settings, OrdinaryOnesAreValid) {
+  EXPECT_EQ(fault_of(basic_settings()), "");
+}
+
+TEST(Settings, AFaultNamesWhatIsWrong) {
+  Settings settings = basic_settings();
+  settings.max_attempts = 0;
+  EXPECT_EQ(fault_of(settings), "scheduler settings: max_attempts must be positive");
+}
+
+TEST(Settings, TheOwnRankAndZoneAreAmongTheNumbersOfThem) {
+  for (int position : {-1, 2}) {
+    Settings ranks = basic_settings();
+    ranks.dispatchers = 2;
+    ranks.rank = position;
+    EXPECT_EQ(fault_of(ranks), "scheduler settings: rank out of range");
+    Settings zones = basic_settings();
+    zones.zones = 2;
+    zones.zone = position;
+    EXPECT_EQ(fault_of(zones), "scheduler settings: zone out of range");
+  }
+}
+
+TEST(Settings, FiguresAreFiniteAndNotNegative) {
+  for (double figure : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
+    for (auto member : {&Settings::tick_ms, &Settings::poll_within_ms, &Settings::slow_start_ms,
+                        &Settings::overload_window_ms, &Settings::over_quota_weight}) {
+      Settings settings = basic_settings();
+      settings.*member = figure;
+      EXPECT_EQ(fault_of(settings), "scheduler settings: a figure is negative or not finite");
+    }
+  }
+}
+
+TEST(Settings, FiguresOfEachClassAreFiniteAndNotNegative) {
+  for (double figure : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
+    for (auto member : {&ClassSettings::deduplication_window_ms,
+                        &ClassSettings::latency_objective_ms, &ClassSettings::priority_weight}) {
+      Settings settings = basic_settings();
+      settings.classes.emplace_back();
+      settings.classes[1].*member = figure;
+      EXPECT_EQ(fault_of(settings), "scheduler settings: a class figure is negative or not finite");
+    }
+  }
+}
+
+TEST(Settings, AClassRunsOnAKindThatExistsOrOnAny) {
+  Settings settings = basic_settings();
+  settings.kinds = 2;
+  for (int kind : {-1, 0, 1}) {
+    settings.classes[0].kind = kind;
+    EXPECT_EQ(fault_of(settings), "");
+  }
+  settings.classes[0].kind = 2;
+  EXPECT_EQ(fault_of(settings), "scheduler settings: class kind out of range");
+}
+
 }  // namespace
 }  // namespace keelflow::scheduler
