--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -14,102 +14,154 @@
 namespace keelflow::scheduler {
 namespace {
 
-// A fleet of 100 dispatchers with three requests a second each, and 60 endpoints with two cores and
-// a queue in order, 36 of them started at the same time. One request in ten is eight times the
-// others. Messages take 2 to 21 ms.
-struct LargeFleet {
-  static constexpr EndpointId kEndpoints = 60, kWarmingUp = 36;
-  static constexpr Time kStartedAt = 5000;
-  Settings settings = basic_settings();
-  Sends warming_up, warmed_up;
-  std::map<EndpointId, std::array<Time, 2>> cores;  // when each is free
-  std::multimap<Time, std::function<void()>> pending_events;
-  int in_time = 0, all = 0;
-
-  // `lost` of 100 messages are; `mute` nodes receive all and nobody receives theirs; a request
-  // arrives at a node every so many steps.
-  LargeFleet(unsigned seed, bool peers, unsigned lost = 0, std::size_t mute = 0,
-             unsigned every = 67) {
-    std::mt19937 rng(seed);
-    settings.dispatchers = 100;
-    settings.concurrent_attempts = false;
-    settings.classes[0].objective_runtime_factor = 2.5;
-    settings.peers = peers;
-    std::vector<std::unique_ptr<Bench>> nodes;
+constexpr EndpointId kEndpoints = 60;
+constexpr EndpointId kWarmingUp = 36;  // the first of them, which started at the same time
+constexpr int kDispatchers = 100;
+constexpr Time kStartedAt = 5000;
+constexpr Time kStepMs = 5;
+constexpr double kRuntimeFactor = 2.5;  // a request is in time within 500 ms and so many hints
+
+/// What a fleet is played with.
+struct FleetOptions {
+  unsigned seed = 1;
+  bool notifies_peers = false;
+  unsigned lost_percent = 0;    ///< of all messages
+  std::size_t mute_nodes = 0;   ///< the first so many receive all, and nobody receives theirs
+  unsigned arrival_steps = 67;  ///< a request arrives at a node every so many steps
+};
+
+/// A request of the fleet's clients.
+struct ClientRequest {
+  Time arrived_at = 0;
+  double hint = 0;
+};
+
+/// A fleet of 100 dispatchers with three requests a second each, and 60 endpoints with two cores
+/// and a queue in order, 36 of them started at the same time. One request in ten is eight times the
+/// others. Messages take 2 to 21 ms. It is played when it is built.
+class LargeFleet {
+ public:
+  explicit LargeFleet(const FleetOptions& options) : options_(options), random_(options.seed) {
+    settings_.dispatchers = kDispatchers;
+    settings_.concurrent_attempts = false;
+    settings_.classes[0].objective_runtime_factor = kRuntimeFactor;
+    settings_.peers = options.notifies_peers;
+    start_nodes();
+    for (Time now = kStartedAt; now < kStartedAt + settings_.slow_start_ms; now += kStepMs) {
+      play_events_until(now);
+      for (std::size_t rank = 0; rank < nodes_.size(); ++rank)
+        step(rank, now);
+    }
+    nodes_.clear();
+  }
+
+  double fullest_window_fraction() const {
+    return fullest_window(settings_, warming_up_,
+                          [&](Time when) { return 2 * capacity_fraction(when); });
+  }
+  double fraction_in_time() const { return 1.0 * in_time_ / arrived_; }
+  // On average endpoints that are warming up can do 0.6 of what the others can.
+  double use_of_warming_up() const {
+    return mean(warming_up_, kWarmingUp) / mean(warmed_up_, kEndpoints - kWarmingUp);
+  }
+
+ private:
+  void start_nodes() {
     EndpointList list;
-    for (EndpointId w = 0; w < kEndpoints; ++w)
+    for (EndpointId id = 0; id < kEndpoints; ++id)
       list.entries.push_back(
-          {w, 0, 0, 0, EndpointState::ready, 2, w < kWarmingUp ? kStartedAt : 0});
-    for (settings.rank = 0; settings.rank < settings.dispatchers; ++settings.rank) {
-      nodes.push_back(std::make_unique<Bench>(settings, rng()));
-      nodes.back()->now = kStartedAt;
-      nodes.back()->play(list);
+          {.endpoint = id, .nominal_capacity = 2, .started_at = id < kWarmingUp ? kStartedAt : 0});
+    for (settings_.rank = 0; settings_.rank < settings_.dispatchers; ++settings_.rank) {
+      nodes_.push_back(std::make_unique<Bench>(settings_, random_()));
+      nodes_.back()->now = kStartedAt;
+      nodes_.back()->play(list);
     }
-    std::map<RequestId, std::pair<Time, double>> requests;  // when each arrived, and its hint
-    for (Time t = kStartedAt; t < kStartedAt + settings.slow_start_ms; t += 5) {
-      for (; !pending_events.empty() && pending_events.begin()->first <= t;
-           pending_events.erase(pending_events.begin()))
-        pending_events.begin()->second();
-      for (std::size_t n = 0; n < nodes.size(); ++n) {
-        Bench& node = *nodes[n];
-        node.advance(t);
-        if (rng() % every == 0) {
-          requests[static_cast<RequestId>(++all)] = {t, rng() % 10 == 0 ? 1600 : 200};
-          node.arrive(static_cast<RequestId>(all), requests[static_cast<RequestId>(all)].second);
-        }
-        for (const SendAttempt& x : std::exchange(node.sends, {}))
-          run(node, x, t, requests[x.request]);
-        for (SendPeerMessage& x : std::exchange(node.tells, {}))
-          if (n >= mute && rng() % 100 >= lost)
-            pending_events.emplace(
-                t + 2 + rng() % 20,
-                [&to = *nodes[static_cast<std::size_t>(x.peer)], n, bytes = x.bytes] {
-                  to.play(PeerMessage{static_cast<int>(n), bytes});
-                });
-      }
+  }
+
+  void play_events_until(Time now) {
+    while (!pending_events_.empty() && pending_events_.begin()->first <= now) {
+      pending_events_.begin()->second();
+      pending_events_.erase(pending_events_.begin());
     }
   }
 
-  void run(Bench& node, const SendAttempt& x, Time t, std::pair<Time, double> request) {
-    (x.endpoint < kWarmingUp ? warming_up : warmed_up)[x.endpoint].push_back({t, request.second});
-    Time& free = *std::min_element(cores[x.endpoint].begin(), cores[x.endpoint].end());
-    Time start = std::max(free, t);
-    free = start + request.second / (x.endpoint < kWarmingUp ? capacity_fraction(start) : 1);
-    pending_events.emplace(start + 1, [&node, id = x.request] {
+  void step(std::size_t rank, Time now) {
+    Bench& node = *nodes_[rank];
+    node.advance(now);
+    if (random_() % options_.arrival_steps == 0)
+      arrive(node, now);
+    for (const SendAttempt& send : std::exchange(node.sends, {}))
+      run(node, send, now);
+    for (SendPeerMessage& message : std::exchange(node.tells, {}))
+      deliver(rank, message, now);
+  }
+
+  void arrive(Bench& node, Time now) {
+    RequestId id = static_cast<RequestId>(++arrived_);
+    double hint = random_() % 10 == 0 ? 1600 : 200;
+    requests_[id] = {now, hint};
+    node.arrive(id, hint);
+  }
+
+  void deliver(std::size_t rank, SendPeerMessage& message, Time now) {
+    if (rank < options_.mute_nodes || random_() % 100 < options_.lost_percent)
+      return;
+    Bench& receiver = *nodes_[static_cast<std::size_t>(message.peer)];
+    PeerMessage received{static_cast<int>(rank), std::move(message.bytes)};
+    pending_events_.emplace(now + 2 + random_() % 20,
+                            [&receiver, received] { receiver.play(received); });
+  }
+
+  void run(Bench& node, const SendAttempt& send, Time now) {
+    const ClientRequest request = requests_[send.request];
+    const bool is_warming_up = send.endpoint < kWarmingUp;
+    (is_warming_up ? warming_up_ : warmed_up_)[send.endpoint].push_back({now, request.hint});
+    auto& cores = free_at_[send.endpoint];
+    Time& core = *std::min_element(cores.begin(), cores.end());
+    const Time start = std::max(core, now);
+    const Time end = start + request.hint / (is_warming_up ? capacity_fraction(start) : 1);
+    core = end;
+    pending_events_.emplace(start + 1, [&node, id = send.request] {
       node.play(AttemptStarted{id, 0});
     });
-    pending_events.emplace(free + 1, [this, &node, id = x.request, request, end = free] {
+    pending_events_.emplace(end + 1, [this, &node, id = send.request, request, end] {
       node.outcome(id, 0, AttemptResult::ok, true);
-      in_time += end - request.first < 500 + 2.5 * request.second;
+      in_time_ += end - request.arrived_at < 500 + kRuntimeFactor * request.hint;
     });
   }
 
-  double capacity_fraction(Time t) const {
-    return std::min(
-        1.0, settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
-                                                        (t - kStartedAt) / settings.slow_start_ms);
+  double capacity_fraction(Time when) const {
+    const double least = settings_.slow_start_initial_fraction;
+    return std::min(1.0, least + (1 - least) * (when - kStartedAt) / settings_.slow_start_ms);
   }
-  double fullest_window_fraction() const {
-    return fullest_window(settings, warming_up, [&](Time t) { return 2 * capacity_fraction(t); });
-  }
-  double fraction_in_time() const { return 1.0 * in_time / all; }
+
   static double mean(const Sends& sends, EndpointId endpoints) {
     double sum = 0;
-    for (const auto& [w, of_one] : sends)
-      for (const auto& [when, work] : of_one)
-        sum += work;
+    for (const auto& [endpoint, all] : sends)
+      for (const SentWork& one : all)
+        sum += one.work_ms;
     return sum / endpoints;
   }
-  // On average endpoints that are warming up can do 0.6 of what the others can.
-  double use_of_warming_up() const {
-    return mean(warming_up, kWarmingUp) / mean(warmed_up, kEndpoints - kWarmingUp);
-  }
+
+  FleetOptions options_;
+  std::mt19937 random_;
+  Settings settings_ = basic_settings();
+  std::vector<std::unique_ptr<Bench>> nodes_;
+  Sends warming_up_;
+  Sends warmed_up_;
+  std::map<EndpointId, std::array<Time, 2>> free_at_;  // of each core
+  std::map<RequestId, ClientRequest> requests_;
+  std::multimap<Time, std::function<void()>> pending_events_;
+  int in_time_ = 0;
+  int arrived_ = 0;
 };
 
 TEST(SlowStartBudget, AHundredDispatchersTogetherUseEndpointsWarmingUpAndStayUnderTheirBudget) {
   for (unsigned seed : {1u, 2u, 3u}) {
-    LargeFleet silent(seed, false), notifying(seed, true), cut_off(seed, true, 100),
-        lossy(seed, true, 20);
+    LargeFleet silent({.seed = seed});
+    LargeFleet notifying({.seed = seed, .notifies_peers = true});
+    LargeFleet cut_off({.seed = seed, .notifies_peers = true, .lost_percent = 100});
+    LargeFleet lossy({.seed = seed, .notifies_peers = true, .lost_percent = 20});
     // 0.62 of the budget is given out, and a request counts as nine tenths of its hint at least:
     // 0.69 is the most.
     for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
@@ -125,7 +177,7 @@
 // Twice the ordinary traffic, and the messages of ninety are lost: where budgets went by what was
 // received it was 0.98.
 TEST(SlowStartBudget, NinetyOfAHundredWhoseMessagesAreLostInARushStayUnderTheBudget) {
-  LargeFleet mute(3, true, 0, 90, 30);
+  LargeFleet mute({.seed = 3, .notifies_peers = true, .mute_nodes = 90, .arrival_steps = 30});
   EXPECT_LE(mute.fullest_window_fraction(), 0.70);
 }
 
