--- a/tests/scheduler/dispatcher_harness.h
+++ b/tests/scheduler/dispatcher_harness.h
@@ -45,17 +45,18 @@
     turns.after(now, played, d, notifications, last);
     for (const Event& one : notifications)
       d.handle(now, one, last);
-    for (const auto& a : last) {
-      if (const auto* t = std::get_if<SetTimer>(&a))
-        timers.push_back(*t);
-      if (const auto* t = std::get_if<SendAttempt>(&a))
-        sends.push_back(*t);
-      if (const auto* t = std::get_if<CancelAttempt>(&a))
-        cancels.push_back(*t);
-      if (const auto* t = std::get_if<SendPeerMessage>(&a))
-        tells.push_back(*t);
-      if (std::holds_alternative<RejectRequest>(a) || std::holds_alternative<FailRequest>(a))
-        answers.push_back(a);
+    for (const auto& action : last) {
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        timers.push_back(*timer);
+      if (const auto* send = std::get_if<SendAttempt>(&action))
+        sends.push_back(*send);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+        cancels.push_back(*cancel);
+      if (const auto* message = std::get_if<SendPeerMessage>(&action))
+        tells.push_back(*message);
+      if (std::holds_alternative<RejectRequest>(action) ||
+          std::holds_alternative<FailRequest>(action))
+        answers.push_back(action);
     }
     return last;
   }
@@ -69,10 +70,10 @@
           next = i;
       if (next == timers.size())
         break;
-      SetTimer t = timers[next];
+      SetTimer timer = timers[next];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(next));
-      now = std::max(now, t.when);
-      play(TimerFired{t.id});
+      now = std::max(now, timer.when);
+      play(TimerFired{timer.id});
     }
     now = to;
   }
@@ -87,22 +88,22 @@
 
   void arrive(RequestId id, double hint, int class_index = 0, double ttl = 10000,
               std::uint64_t key = 0) {
-    RequestArrived a;
-    a.request = id;
-    a.class_index = class_index;
-    a.hint = hint;
-    a.client_timeout_ms = ttl;
-    a.key = key;
-    play(a);
+    RequestArrived arrival;
+    arrival.request = id;
+    arrival.class_index = class_index;
+    arrival.hint = hint;
+    arrival.client_timeout_ms = ttl;
+    arrival.key = key;
+    play(arrival);
   }
 
   void outcome(RequestId id, int attempt, AttemptResult result, bool request_finished) {
-    AttemptFinished o;
-    o.request = id;
-    o.attempt = attempt;
-    o.result = result;
-    o.request_finished = request_finished;
-    play(o);
+    AttemptFinished event;
+    event.request = id;
+    event.attempt = attempt;
+    event.result = result;
+    event.request_finished = request_finished;
+    play(event);
   }
 
   Dispatcher d;
--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -18,20 +18,21 @@
   // Timely service, again and again: more fit at once.
   RequestId next = 100;
   std::set<RequestId> started;
-  std::size_t in_flight = 0, most = 0;
+  std::size_t in_flight = 0;
+  std::size_t most = 0;
   for (int round = 0; round < 400; ++round) {
     std::vector<SendAttempt> sent(bench.sends.begin(), bench.sends.end());
     bench.sends.clear();
     in_flight += sent.size();
     most = std::max(most, in_flight);
-    for (const SendAttempt& x : sent) {
+    for (const SendAttempt& send : sent) {
       bench.now += 1;
-      bench.play(AttemptStarted{x.request, 0});
+      bench.play(AttemptStarted{send.request, 0});
     }
     bench.advance(bench.now + 5);
-    for (const SendAttempt& x : sent) {
+    for (const SendAttempt& send : sent) {
       --in_flight;
-      bench.outcome(x.request, 0, AttemptResult::ok, true);
+      bench.outcome(send.request, 0, AttemptResult::ok, true);
     }
     while (bench.d.queued_requests() < 5)
       bench.arrive(next++, 100);
--- a/tests/scheduler/dispatcher_peers_test.cpp
+++ b/tests/scheduler/dispatcher_peers_test.cpp
@@ -31,9 +31,9 @@
     for (int i = 0; i < requests; ++i) {
       sends.clear();
       arrive(++last_request, 100);
-      for (const SendAttempt& x : std::vector<SendAttempt>(sends)) {
-        count += x.endpoint == 100;
-        outcome(x.request, 0, AttemptResult::ok, true);
+      for (const SendAttempt& send : std::vector<SendAttempt>(sends)) {
+        count += send.endpoint == 100;
+        outcome(send.request, 0, AttemptResult::ok, true);
       }
     }
     return count;
--- a/tests/scheduler/dispatcher_queue_test.cpp
+++ b/tests/scheduler/dispatcher_queue_test.cpp
@@ -23,12 +23,13 @@
 TEST(Calibration, OnlyServedAttemptsTeach) {
   Bench bench(basic_settings());
   bench.endpoints(4);
-  for (AttemptResult r : {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected}) {
-    RequestId id = 10 + static_cast<RequestId>(r);
+  for (AttemptResult result :
+       {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected}) {
+    RequestId id = 10 + static_cast<RequestId>(result);
     bench.arrive(id, 100);
     bench.play(AttemptStarted{id, 0});
     bench.advance(bench.now + 900);
-    bench.outcome(id, 0, r, false);
+    bench.outcome(id, 0, result, false);
     bench.play(ClientDisconnected{id});
   }
   EXPECT_DOUBLE_EQ(bench.d.calibration(0), 1.0);
@@ -42,12 +43,12 @@
     Bench bench(settings);
     bench.endpoints(1);
     auto arrive = [&](RequestId id, int tenant, double hint) {
-      RequestArrived a;
-      a.request = id;
-      a.tenant = tenant;
-      a.hint = hint;
-      a.client_timeout_ms = 10000;
-      bench.play(a);
+      RequestArrived arrival;
+      arrival.request = id;
+      arrival.tenant = tenant;
+      arrival.hint = hint;
+      arrival.client_timeout_ms = 10000;
+      bench.play(arrival);
     };
     arrive(1, 0, 100);
     arrive(2, 0, 100);
@@ -160,11 +161,11 @@
     // Of eight a second a dispatcher alone may save up sixteen, one of four only four: the others
     // count as larger.
     for (RequestId id = 1; id <= 10; ++id) {
-      RequestArrived a;
-      a.request = id;
-      a.hint = 100;
-      a.client_timeout_ms = 10000;
-      bench.play(a);
+      RequestArrived arrival;
+      arrival.request = id;
+      arrival.hint = 100;
+      arrival.client_timeout_ms = 10000;
+      bench.play(arrival);
     }
     bench.play(large);
     int before = 0;
--- a/tests/scheduler/dispatcher_rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -58,11 +58,11 @@
 }
 
 TEST(RetrySafety, ANonIdempotentRequestThatMayHaveRunIsNotSentAgainAndFails) {
-  for (AttemptResult r : {AttemptResult::error, AttemptResult::reset}) {
+  for (AttemptResult result : {AttemptResult::error, AttemptResult::reset}) {
     Bench bench(with_idempotency(Idempotency::non_idempotent));
     bench.endpoints(4);
     bench.arrive(1, 100);
-    bench.outcome(1, 0, r, false);
+    bench.outcome(1, 0, result, false);
     EXPECT_EQ(bench.sends.size(), 1u);
     ASSERT_EQ(bench.answers.size(), 1u);
     EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
@@ -108,8 +108,8 @@
     bench.arrive(id, 100);
   bench.play(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
   std::size_t before = bench.sends.size();
-  for (const auto& x : bench.sends)
-    EXPECT_NE(x.endpoint, 100u);
+  for (const auto& send : bench.sends)
+    EXPECT_NE(send.endpoint, 100u);
   bench.advance(bench.now + 2000);
   for (std::size_t i = before; i < bench.sends.size(); ++i)
     EXPECT_EQ(bench.sends[i].endpoint, 102u);
@@ -123,8 +123,8 @@
   Bench bench(settings);
   std::vector<Time> polled;
   auto collect = [&] {
-    for (const auto& a : bench.last)
-      if (std::holds_alternative<PollEndpointList>(a))
+    for (const auto& action : bench.last)
+      if (std::holds_alternative<PollEndpointList>(action))
         polled.push_back(bench.now);
   };
   bench.play(EndpointList{ListScope::cached, {}});
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -16,8 +16,8 @@
   Bench bench(settings);
   bench.endpoints(20);
   SubsetChanged subsets;
-  for (EndpointId w = 100; w < 120; ++w)
-    subsets.endpoints.push_back({w, w == 107, {}});
+  for (EndpointId endpoint = 100; endpoint < 120; ++endpoint)
+    subsets.endpoints.push_back({endpoint, endpoint == 107, {}});
   bench.play(subsets);
   bench.arrive(1, 10);
   ASSERT_EQ(bench.sends.size(), 1u);
@@ -30,9 +30,9 @@
     EndpointList list;
     list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
     SubsetChanged none{{{7, true, {}}}};
-    for (EndpointId w = 8; w < 107; ++w) {
-      list.entries.push_back({w, 0, 0, 0, EndpointState::ready, 1, 0});
-      none.endpoints.push_back({w, false, {}});
+    for (EndpointId endpoint = 8; endpoint < 107; ++endpoint) {
+      list.entries.push_back({endpoint, 0, 0, 0, EndpointState::ready, 1, 0});
+      none.endpoints.push_back({endpoint, false, {}});
     }
     one.play(list);
     one.play(none);
@@ -48,24 +48,25 @@
   for (RequestId id = 1; id <= 4; ++id)
     bench.arrive(id, 100);
   std::set<EndpointId> used;
-  for (const auto& x : bench.sends)
-    used.insert(x.endpoint);
+  for (const auto& send : bench.sends)
+    used.insert(send.endpoint);
   EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
 }
 
 TEST(EndpointSelection, AnEndpointThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
   Bench bench(basic_settings());
   bench.endpoints(2);
-  int sent_to_slow = 0, all = 0;
+  int sent_to_slow = 0;
+  int all = 0;
   for (RequestId id = 1; id <= 200; ++id) {
     bench.arrive(id, 100);
-    EndpointId w = bench.sends.back().endpoint;
+    EndpointId endpoint = bench.sends.back().endpoint;
     bench.play(AttemptStarted{id, 0});
-    bench.advance(bench.now + (w == 100 ? 600 : 100));
+    bench.advance(bench.now + (endpoint == 100 ? 600 : 100));
     bench.outcome(id, 0, AttemptResult::ok, true);
     if (id > 50) {
       ++all;
-      sent_to_slow += w == 100;
+      sent_to_slow += endpoint == 100;
     }
   }
   EXPECT_LT(sent_to_slow, all / 4);
@@ -98,8 +99,8 @@
     bool cancelled = false;
     for (int i = 0; i < 300; ++i) {
       bench.advance(bench.now + 1);
-      for (const auto& a : bench.last)
-        cancelled = cancelled || std::holds_alternative<CancelAttempt>(a);
+      for (const auto& action : bench.last)
+        cancelled = cancelled || std::holds_alternative<CancelAttempt>(action);
     }
     EXPECT_EQ(cancelled, key == 0);
   }
@@ -146,8 +147,8 @@
       mine.insert(bench.sends.back().endpoint);
     }
     at_large += mine.size() > 15;
-    for (EndpointId w : mine)
-      ++fleet[w];
+    for (EndpointId endpoint : mine)
+      ++fleet[endpoint];
   }
   EXPECT_LE(at_large, 3);
   EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -48,21 +48,21 @@
                               i < endpoints_warming_up ? started_at : 0});
     bench.play(list);
     RequestId id = 0;
-    for (Time t = started_at; t < started_at + settings.slow_start_ms; t += 50) {
-      bench.advance(t);
+    for (Time now = started_at; now < started_at + settings.slow_start_ms; now += 50) {
+      bench.advance(now);
       bench.sends.clear();
       bench.arrive(++id, hint);
-      for (const auto& x : std::vector<SendAttempt>(bench.sends)) {
-        if (x.endpoint < static_cast<EndpointId>(endpoints_warming_up))
-          sent[x.endpoint].push_back({bench.now, hint});
-        bench.play(AttemptStarted{x.request, 0});
-        bench.outcome(x.request, 0, AttemptResult::ok, true);
+      for (const auto& send : std::vector<SendAttempt>(bench.sends)) {
+        if (send.endpoint < static_cast<EndpointId>(endpoints_warming_up))
+          sent[send.endpoint].push_back({bench.now, hint});
+        bench.play(AttemptStarted{send.request, 0});
+        bench.outcome(send.request, 0, AttemptResult::ok, true);
       }
     }
   }
-  return fullest_window(settings, sent, [&](Time t) {
-    return settings.slow_start_initial_fraction +
-           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
+  return fullest_window(settings, sent, [&](Time when) {
+    return settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
+                                                      (when - started_at) / settings.slow_start_ms;
   });
 }
 
@@ -81,7 +81,8 @@
 // begins half a window later, with the learned state of the old one if they share it.
 double most_sent_by_siblings(bool both, bool share_state) {
   Settings settings = basic_settings();
-  Bench old_process(settings, 3), new_process(settings, 4);
+  Bench old_process(settings, 3);
+  Bench new_process(settings, 4);
   Sends sent;
   const Time started_at = 5000;
   EndpointList list;
@@ -91,35 +92,35 @@
   old_process.play(list);
   new_process.play(list);
   RequestId id = 0;
-  auto step = [&](Bench& bench, Bench& other, Time t) {
-    bench.advance(t);
+  auto step = [&](Bench& bench, Bench& other, Time now) {
+    bench.advance(now);
     bench.arrive(++id, 60);
-    for (const SendAttempt& x : std::exchange(bench.sends, {})) {
-      sent[x.endpoint].push_back({bench.now, 60});
-      bench.play(AttemptStarted{x.request, 0});
-      bench.outcome(x.request, 0, AttemptResult::ok, true);
+    for (const SendAttempt& send : std::exchange(bench.sends, {})) {
+      sent[send.endpoint].push_back({bench.now, 60});
+      bench.play(AttemptStarted{send.request, 0});
+      bench.outcome(send.request, 0, AttemptResult::ok, true);
     }
-    for (const SendPeerMessage& x : std::exchange(bench.tells, {})) {
+    for (const SendPeerMessage& message : std::exchange(bench.tells, {})) {
       other.now = bench.now;
-      other.play(PeerMessage{x.peer, x.bytes});
+      other.play(PeerMessage{message.peer, message.bytes});
     }
   };
   const Time joined_at = started_at + settings.overload_window_ms / 2;
-  for (Time t = started_at; t < joined_at; t += 10)
-    step(old_process, new_process, t);
+  for (Time now = started_at; now < joined_at; now += 10)
+    step(old_process, new_process, now);
   new_process.advance(joined_at);
   if (share_state) {
     new_process.play(old_process.d.learned_state(joined_at));
     new_process.play(SiblingProcess{true});
     old_process.play(SiblingProcess{true});
   }
-  for (Time t = joined_at; t < started_at + settings.slow_start_ms; t += 10) {
-    step(old_process, new_process, t);
-    step(both ? new_process : old_process, old_process, t);
+  for (Time now = joined_at; now < started_at + settings.slow_start_ms; now += 10) {
+    step(old_process, new_process, now);
+    step(both ? new_process : old_process, old_process, now);
   }
-  return fullest_window(settings, sent, [&](Time t) {
-    return settings.slow_start_initial_fraction +
-           (1 - settings.slow_start_initial_fraction) * (t - started_at) / settings.slow_start_ms;
+  return fullest_window(settings, sent, [&](Time when) {
+    return settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
+                                                      (when - started_at) / settings.slow_start_ms;
   });
 }
 
--- a/tests/scheduler/dispatcher_state_transfer_test.cpp
+++ b/tests/scheduler/dispatcher_state_transfer_test.cpp
@@ -6,7 +6,8 @@
 
 TEST(SiblingProcess, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
   Settings settings = basic_settings();
-  Bench old_process(settings), new_process(settings);
+  Bench old_process(settings);
+  Bench new_process(settings);
   old_process.endpoints(2);
   for (RequestId id = 1; id <= 40; ++id) {
     old_process.arrive(id, 100);
--- a/tests/scheduler/dispatcher_test.cpp
+++ b/tests/scheduler/dispatcher_test.cpp
@@ -14,17 +14,19 @@
       bench.arrive(id, 50 + id % 7);
     bench.advance(bench.now + 500);
     std::vector<std::pair<RequestId, EndpointId>> all;
-    for (const auto& x : bench.sends)
-      all.emplace_back(x.request, x.endpoint);
+    for (const auto& send : bench.sends)
+      all.emplace_back(send.request, send.endpoint);
     return all;
   };
   Settings settings = basic_settings();
   settings.zones = 3;
-  Bench alone(settings, 5), a(settings, 5), other(settings, 6);
+  Bench alone(settings, 5);
+  Bench same(settings, 5);
+  Bench other(settings, 6);
   auto expected = run(alone);
   // Two instances in one process act as in two: interleaving them changes nothing.
   run(other);
-  EXPECT_EQ(run(a), expected);
+  EXPECT_EQ(run(same), expected);
 }
 
 }  // namespace
--- a/tests/scheduler/embed_example.cpp
+++ b/tests/scheduler/embed_example.cpp
@@ -1,11 +1,11 @@
-// The README's example: an embedder's loop in small.
+/// The README's example: an embedder's loop in small.
 #include <iostream>
 
 #include "scheduler/dispatcher.h"
 
 int main() {
   keelflow::scheduler::Settings settings;
-  settings.classes.resize(1);  // one class, safe to repeat
+  settings.classes.resize(1);  // one class, idempotent
   settings.max_attempts = 3;
   keelflow::scheduler::Dispatcher dispatcher(settings, /*seed=*/42);
 
--- a/tests/simulator_adapter/adapter_pipe.py
+++ b/tests/simulator_adapter/adapter_pipe.py
@@ -1,4 +1,4 @@
-"""The adapter over a pipe: a whole small life of an instance, and input that is cut off or malformed."""
+"""The adapter over a pipe: one instance from its spawn to a failure, and input that is cut off or malformed."""
 import struct
 import subprocess
 import sys
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,3 +1,4 @@
+/// The simulator's protocol: events read, actions written, and settings in its text form.
 #include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
@@ -80,7 +81,7 @@
   EXPECT_EQ(event_of<ClientDisconnected>(all[2]).request, 0x0e6f2b19u);
 }
 
-TEST(Codec, ReadsTheWorkerListAndOutcomes) {
+TEST(Codec, ReadsTheEndpointListAndOutcomes) {
   std::string body = padded("3c 00000003") + padded("32 00 0000000000000029 00000000 00000002") +
                      padded("78 5d3a91c4 02 03124a07 000a 4032800000000000 01") +
                      hex("03124a07 00 00 0000 01 3f800000 0000000000000000"
