--- a/tests/scheduler/endpoint_table_test.cpp
+++ b/tests/scheduler/endpoint_table_test.cpp
@@ -61,10 +61,13 @@
 TEST(EndpointTable, AttemptsThatRunAreCountedApartFromThoseThatWait) {
   EndpointTable table(1);
   EndpointSlot slot = table.add(entry_of(7));
-  table.record_send(slot, 1);
-  table.record_send(slot, 1);
+  for (int i = 0; i < 3; ++i)
+    table.record_send(slot, 1);
   EXPECT_EQ(table.record_start(slot), 1);
   EXPECT_EQ(table.record_start(slot), 2);
+  table.record_end(slot, 1, false);
+  EXPECT_EQ(table.at(slot).attempts_begun, 2);
+  EXPECT_DOUBLE_EQ(table.at(slot).in_flight, 2);
   table.record_end(slot, 1, true);
   EXPECT_EQ(table.at(slot).attempts_begun, 1);
   EXPECT_DOUBLE_EQ(table.at(slot).in_flight, 1);
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -17,9 +17,9 @@
         policy(environment, endpoints, statistics) {
     environment.now = kNow;
     request.deadline = kNow + 5000;
-    same_cell = endpoints.add({.endpoint = 1, .zone = 0, .cell = 0});
-    same_zone = endpoints.add({.endpoint = 2, .zone = 0, .cell = 1});
-    other_zone = endpoints.add({.endpoint = 3, .zone = 1, .cell = 2});
+    same_cell = endpoints.add({.endpoint = 1, .zone = 0, .cell = 5});
+    same_zone = endpoints.add({.endpoint = 2, .zone = 0, .cell = 6});
+    other_zone = endpoints.add({.endpoint = 3, .zone = 1, .cell = 7});
   }
 
   static Settings some_settings() {
@@ -38,10 +38,10 @@
     of_class().idempotency = idempotency;
     of_class().deduplication_scope = scope;
   }
-  /// An attempt in zone 0 and cell 0 before.
+  /// An attempt in zone 0 and cell 5 before.
   void attempted(DeliveryState delivery, Time sent = kNow - 100) {
     request.attempts.push_back(
-        {.endpoint = 9, .zone = 0, .cell = 0, .sent = sent, .delivery = delivery});
+        {.endpoint = 9, .zone = 0, .cell = 5, .sent = sent, .delivery = delivery});
   }
 
   Environment environment;
