--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "fleet/slow_start_leases.h"
-#include "harness.h"
+#include "scheduler/dispatcher_harness.h"
 
 namespace keelflow::fleet {
 
--- /dev/null
+++ b/tests/scheduler/dispatcher_harness.h
@@ -0,0 +1,129 @@
+/// A dispatcher under test, its clock, and what it did. No endpoints are modelled: tests say what
+/// happens.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "fleet/slow_start_leases.h"
+#include "fleet/subsets.h"
+#include "scheduler/dispatcher.h"
+
+namespace keelflow::scheduler {
+
+inline Settings basic_settings() {
+  Settings settings;
+  settings.classes.resize(1);
+  settings.classes[0].latency_objective_ms = 500;
+  settings.concurrent_attempts = true;
+  settings.max_attempts = 6;
+  settings.reports_start = true;
+  settings.drain_grace_ms = 500;
+  settings.grace_to_answer_ms = 8;
+  settings.slow_start_initial_fraction = 0.2;
+  settings.slow_start_ms = 10000;
+  settings.overload_multiple = 3;
+  settings.overload_window_ms = 2000;
+  return settings;
+}
+
+/// One Dispatcher with the parts of the node that notify it, driven event by event.
+struct Bench {
+  explicit Bench(Settings settings, std::uint64_t seed = 1)
+      : d(settings, seed), subsets(settings), turns(settings, 0) {}
+
+  template <typename E>
+  Actions& play(E event) {
+    last.clear();
+    Event played(std::move(event));
+    d.handle(now, played, last);
+    std::vector<Event> notifications;
+    if (auto subset_change = subsets.after(played))
+      notifications.push_back(std::move(*subset_change));
+    turns.after(now, played, d, notifications, last);
+    for (const Event& one : notifications)
+      d.handle(now, one, last);
+    for (const auto& action : last) {
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        timers.push_back(*timer);
+      if (const auto* send = std::get_if<SendAttempt>(&action))
+        sends.push_back(*send);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action))
+        cancels.push_back(*cancel);
+      if (const auto* message = std::get_if<SendPeerMessage>(&action))
+        tells.push_back(*message);
+      if (std::holds_alternative<RejectRequest>(action) ||
+          std::holds_alternative<FailRequest>(action))
+        answers.push_back(action);
+    }
+    return last;
+  }
+
+  /// Moves the clock on and fires every timer that is due.
+  void advance(Time to) {
+    while (true) {
+      std::size_t next = timers.size();
+      for (std::size_t i = 0; i < timers.size(); ++i)
+        if (timers[i].when <= to && (next == timers.size() || timers[i].when < timers[next].when))
+          next = i;
+      if (next == timers.size())
+        break;
+      SetTimer timer = timers[next];
+      timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(next));
+      now = std::max(now, timer.when);
+      play(TimerFired{timer.id});
+    }
+    now = to;
+  }
+
+  void endpoints(int n, int zones = 1, int kinds = 1) {
+    EndpointList list;
+    for (int i = 0; i < n; ++i)
+      list.entries.push_back({static_cast<EndpointId>(100 + i), i % zones, i % kinds, i / 4,
+                              EndpointState::ready, 1, 0});
+    play(list);
+  }
+
+  void arrive(RequestId id, double hint, int class_index = 0, double ttl = 10000,
+              std::uint64_t key = 0) {
+    RequestArrived arrival;
+    arrival.request = id;
+    arrival.class_index = class_index;
+    arrival.hint = hint;
+    arrival.client_timeout_ms = ttl;
+    arrival.key = key;
+    play(arrival);
+  }
+
+  void outcome(RequestId id, int attempt, AttemptResult result, bool request_finished) {
+    AttemptFinished event;
+    event.request = id;
+    event.attempt = attempt;
+    event.result = result;
+    event.request_finished = request_finished;
+    play(event);
+  }
+
+  Dispatcher d;
+  fleet::Subsets subsets;
+  fleet::SlowStartLeases turns;
+  Time now = 1000;
+  Actions last;
+  std::vector<SendAttempt> sends;
+  std::vector<CancelAttempt> cancels;
+  std::vector<SendPeerMessage> tells;
+  std::vector<Action> answers;
+  std::vector<SetTimer> timers;
+};
+
+/// Runs one request to its end on whatever endpoint it is sent to.
+inline void serve(Bench& bench, RequestId id, double hint, double run, int class_index = 0) {
+  bench.arrive(id, hint, class_index);
+  bench.play(AttemptStarted{id, 0});
+  bench.advance(bench.now + run);
+  bench.outcome(id, 0, AttemptResult::ok, true);
+}
+
+}  // namespace keelflow::scheduler
