--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -212,9 +212,9 @@
     job.object = object;
     job.tenant = static_cast<int>(random_(static_cast<std::uint32_t>(plan_.tenants)));
     double usual = to_ms(class_index.run);
-    job.core_ms = usual * std::lognormal_distribution<double>(
-                              -class_index.spread * class_index.spread / 2,
-                              class_index.spread)(random_);
+    job.core_ms =
+        usual * std::lognormal_distribution<double>(-class_index.spread * class_index.spread / 2,
+                                                    class_index.spread)(random_);
     job.hint_ms = job.core_ms * std::lognormal_distribution<double>(0, 0.2)(random_);
     job.rude = std::bernoulli_distribution(plan_.rude)(random_);
     if (plan_.quitters > 0 && std::bernoulli_distribution(plan_.quitters)(random_))
@@ -258,8 +258,7 @@
   if (status == 200) {
     ++f.served;
     latencies_(elapsed);
-    if (elapsed >
-        to_ms(class_index.target) + class_index.objective_runtime_factor * job.core_ms)
+    if (elapsed > to_ms(class_index.target) + class_index.objective_runtime_factor * job.core_ms)
       return;
     ++f.in_time;
     f.worth_in_time += class_index.value;
--- a/logic/admin_overrides/admin_overrides.cpp
+++ b/logic/admin_overrides/admin_overrides.cpp
@@ -4,11 +4,13 @@
 
 namespace keelflow::admin_overrides {
 
+using scheduler::EndpointEntry;
+using scheduler::EndpointId;
 using scheduler::EndpointList;
 using scheduler::EndpointState;
 using scheduler::ListScope;
 
-void AdminOverrides::lay_over(scheduler::EndpointEntry& entry) const {
+void AdminOverrides::apply_override(EndpointEntry& entry) const {
   if (entry.state == EndpointState::ready && is_disabled(entry.endpoint))
     entry.state = EndpointState::draining;
 }
@@ -17,54 +19,52 @@
   if (list.scope == ListScope::failed)
     return list;
   if (list.scope != ListScope::delta)
-    listed_.clear();  // a complete list: whoever is missing is gone
-  for (scheduler::EndpointEntry& entry : list.entries) {
+    listed_.clear();  // a complete list: an endpoint that is missing from it is gone
+  for (EndpointEntry& entry : list.entries) {
     if (entry.state == EndpointState::gone)
       listed_.erase(entry.endpoint);
     else
       listed_[entry.endpoint] = entry;
-    lay_over(entry);
+    apply_override(entry);
   }
   return list;
 }
 
-std::optional<EndpointList> AdminOverrides::out(scheduler::EndpointId endpoint,
-                                                const std::string& host) {
-  if (!out_.emplace(endpoint, host).second)
-    return std::nullopt;
-  return told_anew(endpoint);
+std::optional<EndpointList> AdminOverrides::disable(EndpointId endpoint, const std::string& host) {
+  bool was_enabled = disabled_.emplace(endpoint, host).second;
+  return was_enabled ? list_after_change(endpoint) : std::nullopt;
 }
 
-std::optional<EndpointList> AdminOverrides::back(scheduler::EndpointId endpoint) {
-  if (out_.erase(endpoint) == 0)
-    return std::nullopt;
-  return told_anew(endpoint);
+std::optional<EndpointList> AdminOverrides::enable(EndpointId endpoint) {
+  bool was_disabled = disabled_.erase(endpoint) > 0;
+  return was_disabled ? list_after_change(endpoint) : std::nullopt;
 }
 
-std::optional<EndpointList> AdminOverrides::told_anew(scheduler::EndpointId endpoint) const {
+std::optional<EndpointList> AdminOverrides::list_after_change(EndpointId endpoint) const {
   auto it = listed_.find(endpoint);
   if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
-  // A change or a whole list would tell the module that discovery has answered, and it would no
-  // longer ask.
-  EndpointList told{.scope = ListScope::cached, .entries = {}};
+  // A delta or a full list would mean to the scheduler that discovery has answered, and it would
+  // stop polling.
+  EndpointList list{.scope = ListScope::cached, .entries = {}};
   for (const auto& [id, entry] : listed_)
-    lay_over(told.entries.emplace_back(entry));
-  return told;
+    apply_override(list.entries.emplace_back(entry));
+  return list;
 }
 
-std::vector<std::string> AdminOverrides::hosts() const {
-  std::vector<std::string> all;
-  for (const auto& [endpoint, host] : out_)
-    all.push_back(host);
-  return all;
+std::vector<std::string> AdminOverrides::disabled_hosts() const {
+  std::vector<std::string> hosts;
+  hosts.reserve(disabled_.size());
+  for (const auto& [endpoint, host] : disabled_)
+    hosts.push_back(host);
+  return hosts;
 }
 
-std::size_t AdminOverrides::unavailable(
-    const std::function<bool(scheduler::EndpointId)>& avoided) const {
+std::size_t AdminOverrides::unavailable(const std::function<bool(EndpointId)>& is_ejected) const {
   std::size_t count = 0;
   for (const auto& [endpoint, entry] : listed_)
-    count += entry.state != EndpointState::ready || is_disabled(endpoint) || avoided(endpoint);
+    if (entry.state != EndpointState::ready || is_disabled(endpoint) || is_ejected(endpoint))
+      ++count;
   return count;
 }
 
--- a/logic/admin_overrides/admin_overrides.h
+++ b/logic/admin_overrides/admin_overrides.h
@@ -1,12 +1,14 @@
-// Endpoints that operators have taken out by hand: a set of its own, laid over discovery's list
-// before anything else sees that list. To the module such an endpoint drains; whatever discovery
-// says of it (dropped, listed again, started anew) it stays out until it is called back. Pure.
+/// \file
+/// Endpoints that operators have disabled. The overrides are a set of their own, applied to every
+/// endpoint list of discovery before any other part of the process sees the list. The scheduler
+/// sees a disabled endpoint as draining, and whatever discovery reports of it (removed, listed
+/// again, restarted) it stays disabled until an operator enables it.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -14,32 +16,42 @@
 
 namespace keelflow::admin_overrides {
 
+/// The set of disabled endpoints, and the endpoint list of discovery as it was before the
+/// overrides. Does no I/O, reads no clock and reports no errors; not thread-safe.
 class AdminOverrides {
  public:
-  // What is to be told instead of discovery's word. Keeps that word, to restore it later.
+  /// Stores a list of discovery and returns it with the overrides applied. A failed list is
+  /// returned unchanged and not stored.
   scheduler::EndpointList apply(scheduler::EndpointList list);
 
-  // Out, or back. The list to be told for it, a complete one as if from memory: empty where nothing
-  // changes for anyone, as for a second call of the same kind or an endpoint that is not listed.
-  std::optional<scheduler::EndpointList> out(scheduler::EndpointId endpoint,
-                                             const std::string& host);
-  std::optional<scheduler::EndpointList> back(scheduler::EndpointId endpoint);
-
-  bool is_disabled(scheduler::EndpointId endpoint) const { return out_.contains(endpoint); }
-  std::vector<std::string> hosts() const;  // of all that are out, listed or not
-
+  /// Disables an endpoint, listed or not. `host` is its name, for `disabled_hosts`.
+  /// Returns the complete list that the scheduler has to apply now, in the scope `cached`; empty if
+  /// nothing changes for the scheduler: the endpoint was disabled already, or is not listed as
+  /// ready.
+  std::optional<scheduler::EndpointList> disable(scheduler::EndpointId endpoint,
+                                                 const std::string& host);
+  /// Enables an endpoint again. Returns the same as `disable`; empty also if the endpoint was not
+  /// disabled.
+  std::optional<scheduler::EndpointList> enable(scheduler::EndpointId endpoint);
+
+  bool is_disabled(scheduler::EndpointId endpoint) const { return disabled_.contains(endpoint); }
+  /// The names of all disabled endpoints, listed or not, ordered by endpoint id.
+  std::vector<std::string> disabled_hosts() const;
+
+  /// The number of endpoints on discovery's list.
   std::size_t listed() const { return listed_.size(); }
-  // Listed ones that get no new work: out by hand, draining, or avoided by choice. Each counts
-  // once.
-  std::size_t unavailable(const std::function<bool(scheduler::EndpointId)>& avoided) const;
+  /// The number of listed endpoints that get no new requests: disabled, not ready, or ejected as
+  /// `is_ejected` says. Each counts once.
+  std::size_t unavailable(const std::function<bool(scheduler::EndpointId)>& is_ejected) const;
 
  private:
-  void lay_over(scheduler::EndpointEntry& entry) const;
-  std::optional<scheduler::EndpointList> told_anew(scheduler::EndpointId endpoint) const;
+  void apply_override(scheduler::EndpointEntry& entry) const;
+  std::optional<scheduler::EndpointList> list_after_change(scheduler::EndpointId endpoint) const;
 
-  std::map<scheduler::EndpointId, scheduler::EndpointEntry> listed_;  // by discovery's word
-  std::map<scheduler::EndpointId, std::string>
-      out_;  // with the host's name; as many as operators have called out
+  // As discovery listed them, without the overrides.
+  std::map<scheduler::EndpointId, scheduler::EndpointEntry> listed_;
+  // The host name by endpoint. Grows only by operators' commands.
+  std::map<scheduler::EndpointId, std::string> disabled_;
 };
 
 }  // namespace keelflow::admin_overrides
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -348,7 +348,7 @@
     nlohmann::json knowledge = nlohmann::json::array();
     for (const scheduler::LearnedState& k : engine_.knowledge())
       knowledge.push_back(to_json(k, config_.names));
-    return {{"out", admin_overrides_.hosts()}, {"knowledge", knowledge}};
+    return {{"out", admin_overrides_.disabled_hosts()}, {"knowledge", knowledge}};
   }
 
   void welcomed(const nlohmann::json& word) {
@@ -466,7 +466,7 @@
   void lay_over(const std::string& host, bool out) {
     EndpointId endpoint = endpoint_id(host);
     destinations_.disable(endpoint, out);
-    auto told = out ? admin_overrides_.out(endpoint, host) : admin_overrides_.back(endpoint);
+    auto told = out ? admin_overrides_.disable(endpoint, host) : admin_overrides_.enable(endpoint);
     if (told)
       traffic_.list(std::move(*told));
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints out by hand, and who is ready in a handover.
+// Administrative overrides, and which process is ready in a hand-over.
 #include <gtest/gtest.h>
 
 #include "admin_overrides/admin_overrides.h"
@@ -18,74 +18,79 @@
 EndpointList list(ListScope scope,
                   std::vector<std::pair<scheduler::EndpointId, EndpointState>> endpoints,
                   double started_at = 0) {
-  EndpointList out{.scope = scope, .entries = {}};
+  EndpointList list{.scope = scope, .entries = {}};
   for (auto [endpoint, state] : endpoints) {
     EndpointEntry entry;
-    entry.endpoint = endpoint, entry.state = state, entry.started_at = started_at;
-    out.entries.push_back(entry);
+    entry.endpoint = endpoint;
+    entry.state = state;
+    entry.started_at = started_at;
+    list.entries.push_back(entry);
   }
-  return out;
+  return list;
 }
 
-EndpointState told(const EndpointList& all, scheduler::EndpointId endpoint) {
-  for (const EndpointEntry& entry : all.entries)
+EndpointState state_of(const EndpointList& list, scheduler::EndpointId endpoint) {
+  for (const EndpointEntry& entry : list.entries)
     if (entry.endpoint == endpoint)
       return entry.state;
   return EndpointState::gone;
 }
 
-TEST(AdminOverrides, WhatDiscoverySaysInBetweenBringsNobodyBack) {
-  AdminOverrides hand;
-  hand.apply(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
-  auto out = hand.out(1, "one");
-  ASSERT_TRUE(out);
-  EXPECT_EQ(told(*out, 1), EndpointState::draining);
-  EXPECT_FALSE(hand.out(1, "one"));
-  EXPECT_EQ(told(hand.apply(list(ListScope::delta, {{1, EndpointState::gone}})), 1),
+TEST(AdminOverrides, ADisabledEndpointStaysDisabledWhateverDiscoveryLists) {
+  AdminOverrides overrides;
+  overrides.apply(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
+  auto disabled = overrides.disable(1, "one");
+  ASSERT_TRUE(disabled);
+  EXPECT_EQ(state_of(*disabled, 1), EndpointState::draining);
+  EXPECT_FALSE(overrides.disable(1, "one"));
+  EXPECT_EQ(state_of(overrides.apply(list(ListScope::delta, {{1, EndpointState::gone}})), 1),
             EndpointState::gone);
-  EXPECT_EQ(hand.listed(), 1u);
-  EXPECT_EQ(told(hand.apply(list(ListScope::delta, {{1, EndpointState::ready}}, kLater)), 1),
-            EndpointState::draining);
-  EXPECT_EQ(told(hand.apply(list(ListScope::full, {{1, EndpointState::ready}}, kLater)), 1),
-            EndpointState::draining);
-  auto back = hand.back(1);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(told(*back, 1), EndpointState::ready);
-  EXPECT_EQ(back->entries.front().started_at, kLater);  // rule 4 counts from there
-  EXPECT_FALSE(hand.back(1));
+  EXPECT_EQ(overrides.listed(), 1u);
+  EXPECT_EQ(
+      state_of(overrides.apply(list(ListScope::delta, {{1, EndpointState::ready}}, kLater)), 1),
+      EndpointState::draining);
+  EXPECT_EQ(
+      state_of(overrides.apply(list(ListScope::full, {{1, EndpointState::ready}}, kLater)), 1),
+      EndpointState::draining);
+  auto enabled = overrides.enable(1);
+  ASSERT_TRUE(enabled);
+  EXPECT_EQ(state_of(*enabled, 1), EndpointState::ready);
+  EXPECT_EQ(enabled->entries.front().started_at, kLater);  // rule 4 counts from there
+  EXPECT_FALSE(overrides.enable(1));
 }
 
-// Anything but a list from memory tells the module that discovery has answered: it would stop
-// asking.
-TEST(AdminOverrides, IsNoWordOfDiscoverys) {
-  AdminOverrides hand;
-  hand.apply(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
-  auto out = hand.out(1, "one");
-  ASSERT_TRUE(out);
-  EXPECT_EQ(out->scope, ListScope::cached);
-  EXPECT_EQ(out->entries.size(), 2u);
-  EXPECT_EQ(hand.apply(list(ListScope::failed, {})).scope, ListScope::failed);
-  EXPECT_EQ(hand.listed(), 2u);
+// Any list but a cached one means to the scheduler that discovery has answered: it would stop
+// polling.
+TEST(AdminOverrides, AChangeIsNoAnswerOfDiscovery) {
+  AdminOverrides overrides;
+  overrides.apply(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
+  auto disabled = overrides.disable(1, "one");
+  ASSERT_TRUE(disabled);
+  EXPECT_EQ(disabled->scope, ListScope::cached);
+  EXPECT_EQ(disabled->entries.size(), 2u);
+  EXPECT_EQ(overrides.apply(list(ListScope::failed, {})).scope, ListScope::failed);
+  EXPECT_EQ(overrides.listed(), 2u);
 }
 
-TEST(AdminOverrides, OneThatIsNotListedYetIsOutWhenItComes) {
-  AdminOverrides hand;
-  EXPECT_FALSE(hand.out(7, "seven"));
-  EXPECT_EQ(told(hand.apply(list(ListScope::full, {{7, EndpointState::ready}})), 7),
+TEST(AdminOverrides, AnEndpointMayBeDisabledBeforeItIsListed) {
+  AdminOverrides overrides;
+  EXPECT_FALSE(overrides.disable(7, "seven"));
+  EXPECT_EQ(state_of(overrides.apply(list(ListScope::full, {{7, EndpointState::ready}})), 7),
             EndpointState::draining);
-  EXPECT_EQ(hand.hosts(), std::vector<std::string>{"seven"});
+  EXPECT_EQ(overrides.disabled_hosts(), std::vector<std::string>{"seven"});
 }
 
-TEST(AdminOverrides, EachUnavailableOneCountsOnce) {
-  AdminOverrides hand;
-  hand.apply(list(ListScope::full, {{1, EndpointState::ready},
-                                    {2, EndpointState::draining},
-                                    {3, EndpointState::ready},
-                                    {4, EndpointState::ready}}));
-  hand.out(1, "one");
-  hand.out(2, "two");
-  hand.out(9, "not listed");
-  EXPECT_EQ(hand.unavailable([](auto endpoint) { return endpoint == 1 || endpoint == 3; }), 3u);
+TEST(AdminOverrides, EachUnavailableEndpointCountsOnce) {
+  AdminOverrides overrides;
+  overrides.apply(list(ListScope::full, {{1, EndpointState::ready},
+                                         {2, EndpointState::draining},
+                                         {3, EndpointState::ready},
+                                         {4, EndpointState::ready}}));
+  overrides.disable(1, "one");
+  overrides.disable(2, "two");
+  overrides.disable(9, "not listed");
+  EXPECT_EQ(overrides.unavailable([](auto endpoint) { return endpoint == 1 || endpoint == 3; }),
+            3u);
 }
 
 TEST(Succession, WaitsForTheElderAndForDiscoveryAndForNobodyForever) {
