--- a/logic/discovery/call_end.h
+++ b/logic/discovery/call_end.h
@@ -1,4 +1,5 @@
-// How a call to discovery ended, and what its end says of discovery.
+/// \file
+/// The ways in which a call to discovery ends.
 #pragma once
 
 #include <cstdint>
@@ -6,44 +7,46 @@
 
 namespace keelflow::discovery {
 
+/// Why a call to discovery ended. What that proves about discovery is decided by the list lease
+/// (list_lease.h) and the outage presumption (outage_presumption.h).
 enum class CallEnd : std::uint8_t {
-  connect_refused,   // nobody listens there
-  connect_failed,    // in another way, or no socket to be had
-  no_connection,     // given up for a later call, or ended, while its connection had never come up
-  refused,           // answered with another status than 200
-  closed,            // closed or reset by discovery after the connection was up
-  silent,            // a watch on which nothing came for too long, or an object that did not end
-  unanswered,        // given up for a later call while its connection was up and nothing had been
-                     // answered
-  malformed,         // no list, or one with entries that could not be read
-  out_of_date,       // its list was older than the one in hand
-  superseded,        // another call has become the watch
-  no_longer_wanted,  // discovery has moved, or the process ends
+  connect_refused,  ///< nobody listens at the address (ECONNREFUSED)
+  connect_failed,   ///< any other connection error, or no socket was available
+  not_connected,    ///< replaced by a later call before its connection was established
+  rejected,         ///< answered with a status other than 200
+  closed,           ///< closed or reset by discovery after the connection was established
+  timed_out,        ///< a watch without a heartbeat in time, or an object that was not completed
+  unanswered,       ///< replaced by a later call while connected and without an answer
+  malformed,        ///< its body is no list, or has entries that cannot be decoded
+  stale_version,    ///< its list is older than the present one
+  superseded,       ///< another call has become the watch
+  cancelled,        ///< the address of discovery has changed, or the process ends
 };
 
+/// The name in the log. Part of the log's format, so it stays when an enumerator is renamed.
 constexpr std::string_view to_string(CallEnd end) {
   switch (end) {
     case CallEnd::connect_refused:
       return "connect-refused";
     case CallEnd::connect_failed:
       return "connect-failed";
-    case CallEnd::no_connection:
+    case CallEnd::not_connected:
       return "no-connection";
-    case CallEnd::refused:
+    case CallEnd::rejected:
       return "refused";
     case CallEnd::closed:
       return "closed";
-    case CallEnd::silent:
+    case CallEnd::timed_out:
       return "silent";
     case CallEnd::unanswered:
       return "unanswered";
     case CallEnd::malformed:
       return "malformed";
-    case CallEnd::out_of_date:
+    case CallEnd::stale_version:
       return "out-of-date";
     case CallEnd::superseded:
       return "superseded";
-    case CallEnd::no_longer_wanted:
+    case CallEnd::cancelled:
       return "no-longer-wanted";
   }
   return "";
--- a/logic/discovery/call_schedule.cpp
+++ b/logic/discovery/call_schedule.cpp
@@ -7,62 +7,70 @@
 
 using namespace std::chrono_literals;
 
-// One service answers all processes one after another: the more there are, the slower each of them
-// asks.
-constexpr Duration kFirstForEach = 5ms, kMostFirst = 2s;
-constexpr Duration kPaceForEach = 8ms, kLeastPace = 800ms, kMostPace = 2s;
-constexpr Duration kLongestWait = 1150ms;  // a discovery refuses who has waited for a second
-constexpr double kLeastJitter = 0.75;
-constexpr std::size_t kMostCalls = 5;        // so that a slow answer has some seconds to come
-constexpr std::size_t kMostAgentCalls = 16;  // the same at the agent's pace
+// One discovery answers all processes in sequence, so that each process calls it at an interval
+// that grows with their number. The first calls after an outage are spread over 5 ms a process.
+constexpr Duration kFirstDelayPerProcess = 5ms;
+constexpr Duration kMaxFirstDelay = 2s;
+constexpr Duration kIntervalPerProcess = 8ms;
+constexpr Duration kMinInterval = 800ms;
+constexpr Duration kMaxInterval = 2s;
+// Discovery rejects a caller that has waited for 1 s; 150 ms are for the answer's way.
+constexpr Duration kMinIntervalWhileWaiting = 1150ms;
+// The interval after a failure is drawn from 0.75 to 1 of its length.
+constexpr double kMinJitter = 0.75;
+// At these intervals an answer has some seconds to arrive before its call is ended for a later one.
+constexpr std::size_t kMaxOpenCalls = 5;
+constexpr std::size_t kMaxOpenAgentCalls = 16;
 
+// An agent on this machine serves this process alone.
 constexpr CallPace kAgentPace{.first = Duration::zero(),
                               .while_waiting = 250ms,
                               .after_failure = 100ms,
-                              .most_calls = kMostAgentCalls};
+                              .max_open_calls = kMaxOpenAgentCalls};
 
 }  // namespace
 
 CallPace CallPace::of(const CallPolicy& policy) {
   if (policy.pushed)
     return kAgentPace;
-  Duration pace = std::clamp(policy.processes * kPaceForEach, kLeastPace, kMostPace);
-  Duration first = std::min((policy.processes - 1) * kFirstForEach, kMostFirst);
+  Duration interval =
+      std::clamp(policy.processes * kIntervalPerProcess, kMinInterval, kMaxInterval);
+  Duration first = std::min((policy.processes - 1) * kFirstDelayPerProcess, kMaxFirstDelay);
   return {.first = first,
-          .while_waiting = std::max(pace, kLongestWait),
-          .after_failure = pace,
-          .most_calls = kMostCalls};
+          .while_waiting = std::max(interval, kMinIntervalWhileWaiting),
+          .after_failure = interval,
+          .max_open_calls = kMaxOpenCalls};
 }
 
 void CallSchedule::watch_lost(TimePoint now, double draw) {
-  wanted_ = true;
-  first_ = now + std::chrono::duration_cast<Duration>(draw * pace_.first);
+  needs_watch_ = true;
+  first_due_ = now + std::chrono::duration_cast<Duration>(draw * pace_.first);
   // A watch that is lost as soon as it is open is a call that failed.
   if (last_began_)
-    first_ = std::max(first_, *last_began_ + pace_.after_failure);
+    first_due_ = std::max(first_due_, *last_began_ + pace_.after_failure);
   last_began_.reset();
 }
 
 void CallSchedule::call_now(TimePoint now) {
-  wanted_ = true;
-  first_ = now;
+  needs_watch_ = true;
+  first_due_ = now;
   last_began_.reset();
 }
 
 void CallSchedule::call_began(TimePoint now, double draw) {
   last_began_ = now;
-  jitter_ = kLeastJitter + (1 - kLeastJitter) * draw;
+  jitter_ = kMinJitter + (1 - kMinJitter) * draw;
 }
 
 void CallSchedule::watch_established() {
-  wanted_ = false;
+  needs_watch_ = false;
 }
 
 std::optional<TimePoint> CallSchedule::next_call(std::size_t open) const {
-  if (!wanted_)
+  if (!needs_watch_)
     return std::nullopt;
   if (!last_began_)
-    return first_;
+    return first_due_;
   if (open > 0)
     return *last_began_ + pace_.while_waiting;
   return *last_began_ + std::chrono::duration_cast<Duration>(jitter_ * pace_.after_failure);
--- a/logic/discovery/list_lease.cpp
+++ b/logic/discovery/list_lease.cpp
@@ -7,15 +7,17 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kHeldUp =
-    150ms;  // a process may be held up so long between its check and the write
-constexpr Duration kMovedWithin = 4s;       // after a new configuration a change counts so soon
-constexpr Duration kMostGraceKept = 500ms;  // of the drain's grace, kept as a reserve
+// The longest delay of a process between its check of the lease and the write that follows.
+constexpr Duration kMaxWriteDelay = 150ms;
+// The platform regards changes of a discovery named by a new configuration as received after 4 s.
+constexpr Duration kReconfigurationDeadline = 4s;
+// The lease ends this much earlier than necessary, or the whole drain grace if that is shorter.
+constexpr Duration kMaxGraceReserve = 500ms;
 
 }  // namespace
 
 Duration ListLease::span() const {
-  return kListDeadline - kHeldUp - std::min(terms_.drain_grace, kMostGraceKept);
+  return kListDeadline - kMaxWriteDelay - std::min(terms_.drain_grace, kMaxGraceReserve);
 }
 
 void ListLease::current_as_of(TimePoint when) {
@@ -27,20 +29,22 @@
   until_ = std::max(until_, when + span());
 }
 
-// What an agent has counts at once.
+// A change that an agent has counts as received at once.
 void ListLease::answered_without_list(TimePoint now) {
-  if (terms_.pushed)
-    until_ = std::min(until_, now + std::max(Duration::zero(), terms_.drain_grace - kHeldUp));
+  if (!terms_.pushed)
+    return;
+  Duration grace = std::max(Duration::zero(), terms_.drain_grace - kMaxWriteDelay);
+  until_ = std::min(until_, now + grace);
 }
 
 void ListLease::watch_closed(TimePoint now) {
   answered_without_list(now);
   if (!terms_.pushed && current_)
-    until_ = std::min(until_, std::max(now, *current_ + terms_.ask_within - kHeldUp));
+    until_ = std::min(until_, std::max(now, *current_ + terms_.ask_within - kMaxWriteDelay));
 }
 
 void ListLease::discovery_moved(TimePoint now) {
-  until_ = std::min(until_, now + kMovedWithin - kHeldUp);
+  until_ = std::min(until_, now + kReconfigurationDeadline - kMaxWriteDelay);
 }
 
 void ListLease::revoke() {
--- a/logic/discovery/list_lease.h
+++ b/logic/discovery/list_lease.h
@@ -1,8 +1,10 @@
-// How long the list of endpoints may be sent by. A list is held under a lease, which is renewed by
-// whatever proves that discovery has nothing newer for this process, and by whatever proves that
-// discovery cannot be reached. Without either it runs out before the first change that this process
-// may have missed counts as received. No timer, pace of calls or size of the fleet enters into it.
-// Pure: time is an argument.
+/// \file
+/// How long requests may be sent by the endpoint list that this process has.
+///
+/// The list is held under a lease. The lease is renewed by every proof that discovery has nothing
+/// newer for this process, and by every proof that discovery cannot be reached. Without either it
+/// expires before the platform regards the first change that this process may have missed as
+/// received. It depends on no timer, call interval or fleet size.
 #pragma once
 
 #include <optional>
@@ -11,32 +13,37 @@
 
 namespace keelflow::discovery {
 
+/// The settings that decide how long a lease runs.
 struct LeaseTerms {
-  bool pushed = false;     // lists are pushed to an agent: without a watch a change counts at once
-  Duration drain_grace{};  // after a change counts, in which a send is still no fault
-  Duration ask_within{};  // lists asked for: without a watch a change counts this long after it was
-                          // made, if that is sooner
+  bool pushed = false;  ///< lists are pushed to an agent: without a watch a change counts at once
+  Duration drain_grace{};  ///< after a change counts, in which a send is still permitted
+  Duration ask_within{};   ///< lists are polled: without a watch a change counts this long after it
+                           ///< was made, if that is sooner than `kListDeadline`
 };
 
+/// The lease's state. Does no I/O: the caller passes the time. Reports no errors; not thread-safe.
 class ListLease {
  public:
   explicit ListLease(const LeaseTerms& terms) : terms_(terms) {}
 
-  void change(const LeaseTerms& terms) { terms_ = terms; }  // from the next event on
+  /// Takes effect with the next event; a lease that runs is neither extended nor cut.
+  void change(const LeaseTerms& terms) { terms_ = terms; }
 
-  // Discovery had nothing newer at that moment than what has been received: an object, or a
-  // heartbeat after one. The moment must not be later than the one at which it was written.
+  /// At `when` discovery had nothing newer than what this process has received: an object, or a
+  /// heartbeat after one. `when` must not be later than the time at which that was written.
   void current_as_of(TimePoint when);
-  // At that moment discovery took no connection.
+  /// At `when` discovery accepted no connection.
   void unreachable_as_of(TimePoint when);
-  void watch_closed(
-      TimePoint now);  // ended by discovery or the network; silence is no news: see `current_as_of`
-  // While there is no watch, discovery has answered a call in whatever way: it is there, and has
-  // not told its list yet.
+  /// The watch was ended by discovery or by the network. Not for a watch that timed out: silence
+  /// proves nothing, and the lease runs from the last `current_as_of`.
+  void watch_closed(TimePoint now);
+  /// There is no watch, and discovery has answered a call in some way: it can be reached and has
+  /// not sent its list yet.
   void answered_without_list(TimePoint now);
-  void discovery_moved(TimePoint now);  // by a new configuration
-  // The process has just started, or was stopped while its watch was open: what it holds may be of
-  // any age.
+  /// A new configuration has changed the address of discovery.
+  void discovery_moved(TimePoint now);
+  /// The process has just started, or was stopped while its watch was open: its list may be of any
+  /// age.
   void revoke();
 
   bool valid(TimePoint now) const { return now < until_; }
--- a/logic/discovery/outage_presumption.cpp
+++ b/logic/discovery/outage_presumption.cpp
@@ -7,24 +7,32 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kWaitedInLine = 800ms;  // sooner a refusal says nothing of the service behind it
-constexpr Duration kRefusalCounts = 5s;    // from the start of the refused call
-constexpr Duration kNoneCounts = 3s;       // the word of a peer that has no watch
-constexpr Duration kWatchCounts = 2500ms;  // the word of one that has one: against an outage
-constexpr char kTag = '\x57', kVersion = 1;
+// A call that is rejected earlier has not waited in discovery's queue, and proves nothing about it.
+constexpr Duration kMinQueueTime = 800ms;
+// How long a rejected call is evidence, from its start.
+constexpr Duration kRejectionLifetime = 5s;
+// How long the answer of a peer without a watch is evidence for an outage.
+constexpr Duration kNoWatchLifetime = 3s;
+// How long the answer of a peer with a watch is evidence against one.
+constexpr Duration kWatchLifetime = 2500ms;
+// The first two bytes of a message.
+constexpr char kTag = '\x57';
+constexpr char kVersion = 1;
+constexpr std::size_t kMessageSize = 3;
 
 }  // namespace
 
-void OutagePresumption::call_refused(TimePoint began, TimePoint now) {
-  if (now - began >= kWaitedInLine)
-    refused_ = std::max(refused_.value_or(began), began);
+void OutagePresumption::call_rejected(TimePoint began, TimePoint now) {
+  if (now - began >= kMinQueueTime)
+    last_rejected_began_ = std::max(last_rejected_began_.value_or(began), began);
 }
 
 void OutagePresumption::peer_has_watch(TimePoint now) {
-  watch_ = now;
+  last_peer_with_watch_ = now;
 }
+
 void OutagePresumption::peer_has_none(TimePoint now) {
-  none_ = now;
+  last_peer_without_watch_ = now;
 }
 
 void OutagePresumption::end() {
@@ -32,11 +40,12 @@
 }
 
 std::optional<TimePoint> OutagePresumption::until(TimePoint now) const {
-  if (!refused_ || !none_)
+  if (!last_rejected_began_ || !last_peer_without_watch_)
     return std::nullopt;
-  if (watch_ && now < *watch_ + kWatchCounts)
+  if (last_peer_with_watch_ && now < *last_peer_with_watch_ + kWatchLifetime)
     return std::nullopt;
-  TimePoint until = std::min(*refused_ + kRefusalCounts, *none_ + kNoneCounts);
+  TimePoint until = std::min(*last_rejected_began_ + kRejectionLifetime,
+                             *last_peer_without_watch_ + kNoWatchLifetime);
   return now < until ? std::optional(until) : std::nullopt;
 }
 
@@ -45,11 +54,12 @@
 }
 
 std::optional<WatchMessage> decode_watch_message(std::string_view bytes) {
-  if (bytes.size() != 3 || bytes[0] != kTag || bytes[1] != kVersion)
+  if (bytes.size() != kMessageSize || bytes[0] != kTag || bytes[1] != kVersion)
     return std::nullopt;
-  if (bytes[2] < 1 || bytes[2] > 3)
+  auto kind = static_cast<WatchMessage::Kind>(bytes[2]);
+  if (kind < WatchMessage::Kind::question || kind > WatchMessage::Kind::has_none)
     return std::nullopt;
-  return WatchMessage{static_cast<WatchMessage::Kind>(bytes[2])};
+  return WatchMessage{kind};
 }
 
 }  // namespace keelflow::discovery
--- a/node/discovery/destination_set.cpp
+++ b/node/discovery/destination_set.cpp
@@ -60,7 +60,7 @@
 void DestinationSet::stop() {
   loop_.cancel(next_call_);
   while (!calls_.empty())
-    close_call(calls_.begin(), CallEnd::no_longer_wanted);
+    close_call(calls_.begin(), CallEnd::cancelled);
 }
 
 void DestinationSet::known(const HostList& list) {
@@ -112,7 +112,7 @@
       monitor_->discovery_unavailable(loop_.now());
     lease_changed();
   }
-  if (calls_.size() >= schedule_.most_calls())
+  if (calls_.size() >= schedule_.max_open_calls())
     give_up(calls_.begin());
   ++counters_.watches_opened;
   schedule_.call_began(loop_.now(), draw());
@@ -269,7 +269,7 @@
 }
 
 void DestinationSet::give_up(Calls::iterator call) {
-  failed(call, (*call)->connected() ? CallEnd::unanswered : CallEnd::no_connection);
+  failed(call, (*call)->connected() ? CallEnd::unanswered : CallEnd::not_connected);
 }
 
 void DestinationSet::on_not_acknowledged(DiscoveryCall& call) {
@@ -282,19 +282,19 @@
 
 // What the end of a call proves of the list; `lease_changed` follows.
 void DestinationSet::note_end(const DiscoveryCall& call, CallEnd how) {
-  if (monitor_ && (how == CallEnd::refused || how == CallEnd::connect_refused))
+  if (monitor_ && (how == CallEnd::rejected || how == CallEnd::connect_refused))
     monitor_->discovery_unavailable(loop_.now());
-  if (how == CallEnd::refused)
-    survey_.presumption().call_refused(call.began(), loop_.now());
+  if (how == CallEnd::rejected)
+    survey_.presumption().call_rejected(call.began(), loop_.now());
   if (how == CallEnd::connect_refused)
     lease_.unreachable_as_of(call.began());
-  if (watch_ == &call && how != CallEnd::silent)
+  if (watch_ == &call && how != CallEnd::timed_out)
     lease_.watch_closed(loop_.now());
   bool answered = how == CallEnd::closed || how == CallEnd::malformed ||
-                  how == CallEnd::out_of_date || how == CallEnd::refused;
+                  how == CallEnd::stale_version || how == CallEnd::rejected;
   if (pushed_ && !watch_ && answered)
     answered_without_list();
-  was_complete_ = was_complete_ && !(watch_ == &call && how == CallEnd::silent && !pushed_);
+  was_complete_ = was_complete_ && !(watch_ == &call && how == CallEnd::timed_out && !pushed_);
 }
 
 // Discovery is there: no outage is presumed any more, and what it has may count.
--- a/node/discovery/discovery_call.cpp
+++ b/node/discovery/discovery_call.cpp
@@ -59,7 +59,8 @@
     owner_.on_accepted(*this);
   else
     owner_.on_failed(
-        *this, discovery::CallEnd::refused);  // whatever its body says, and however long that takes
+        *this,
+        discovery::CallEnd::rejected);  // whatever its body says, and however long that takes
 }
 
 void DiscoveryCall::on_broken() {
@@ -103,7 +104,7 @@
   loop_.cancel(silence_);
   TimePoint latest = frames_.within() ? object_begun_ + kObjectTimeout
                                       : loop_.now() + discovery::kHeartbeatTimeout;
-  silence_ = loop_.at(latest, [this] { owner_.on_failed(*this, discovery::CallEnd::silent); });
+  silence_ = loop_.at(latest, [this] { owner_.on_failed(*this, discovery::CallEnd::timed_out); });
 }
 
 }  // namespace keelflow
--- a/tests/logic/call_schedule_test.cpp
+++ b/tests/logic/call_schedule_test.cpp
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 
-enum class Fault { refused, refused_late, reset, silent };
-constexpr Fault kFaults[] = {Fault::refused, Fault::refused_late, Fault::reset, Fault::silent};
+enum class Fault { rejected, rejected_late, reset, hangs };
+constexpr Fault kFaults[] = {Fault::rejected, Fault::rejected_late, Fault::reset, Fault::hangs};
 constexpr Duration kAnswer = 150ms;  // of a call that does not fail
 // In fleets of up to 30 the list is known in time although so many calls fail in any way: a matter
 // of speed. In larger ones it takes longer, and the lease of the list keeps sends back
@@ -24,24 +24,27 @@
 
 // How long a call lasts that fails so; empty: it never ends by itself.
 std::optional<Duration> lasts(Fault fault) {
-  if (fault == Fault::refused)
+  if (fault == Fault::rejected)
     return 1ms;
   if (fault == Fault::reset)
     return 20ms;
-  if (fault == Fault::refused_late)
+  if (fault == Fault::rejected_late)
     return 1000ms;
   return std::nullopt;
 }
 
-// One process with its calls, which fail in turn as `faults` say; the first one after those brings
-// the list.
+// One process with its calls, which fail one after another as `faults` say; the first one after
+// those brings the list.
 class Caller {
  public:
   Caller(const CallPolicy& policy, unsigned seed) : schedule_(policy), random_(seed) {}
 
   CallSchedule& schedule() { return schedule_; }
   double draw() { return std::uniform_real_distribution<double>()(random_); }
-  void faults(std::vector<Fault> faults) { faults_ = std::move(faults), next_ = 0; }
+  void faults(std::vector<Fault> faults) {
+    faults_ = std::move(faults);
+    next_ = 0;
+  }
   std::size_t began() const { return began_; }
 
   // Plays until the list has come, or until `end`.
@@ -72,7 +75,7 @@
   };
 
   void begin(TimePoint now) {
-    if (open_.size() >= schedule_.most_calls())
+    if (open_.size() >= schedule_.max_open_calls())
       open_.erase(open_.begin());
     schedule_.call_began(now, draw());
     ++began_;
@@ -100,16 +103,16 @@
 INSTANTIATE_TEST_SUITE_P(Lists, CallScheduleTest, testing::Bool(),
                          [](const auto& mode) { return mode.param ? "push" : "ask"; });
 
-TEST_P(CallScheduleTest, AWatchThatFallsSilentIsReplacedInTimeHoweverFurtherCallsFail) {
+TEST_P(CallScheduleTest, AWatchThatTimesOutIsReplacedInTimeHoweverFurtherCallsFail) {
   std::mt19937 random(11);
   for (int run = 0; run < 4000; ++run) {
     Caller caller({.pushed = GetParam(), .processes = 1 + run % 30}, random());
     TimePoint silent{1h};
     caller.faults(drawn(random, random() % kFailuresInARow));  // the watch was the first of them
     caller.schedule().watch_lost(silent + kHeartbeatTimeout, caller.draw());
-    auto heard = caller.play(silent, silent + 1min);
-    ASSERT_TRUE(heard) << run;
-    ASSERT_LE(*heard - silent, kListDeadline) << run;
+    auto received = caller.play(silent, silent + 1min);
+    ASSERT_TRUE(received) << run;
+    ASSERT_LE(*received - silent, kListDeadline) << run;
   }
 }
 
@@ -122,14 +125,14 @@
     caller.schedule().watch_lost(down, caller.draw());
     ASSERT_FALSE(caller.play(down, back));
     caller.faults(drawn(random, random() % (kFailuresInARow + 1)));
-    auto heard = caller.play(back, back + 1min);
-    ASSERT_TRUE(heard) << run;
-    ASSERT_LE(*heard - back, kListDeadline) << run;
+    auto received = caller.play(back, back + 1min);
+    ASSERT_TRUE(received) << run;
+    ASSERT_LE(*received - back, kListDeadline) << run;
   }
 }
 
 // A watch that breaks whenever it is open is no reason to call at once each time.
-TEST_P(CallScheduleTest, AWatchThatBreaksAtOnceIsOpenedAnewAtTheUsualPace) {
+TEST_P(CallScheduleTest, AWatchThatBreaksAtOnceIsReopenedAtTheRetryInterval) {
   Caller caller({.pushed = GetParam(), .processes = 5}, 3);
   TimePoint now{1h}, end = now + 10s;
   caller.schedule().watch_lost(now, 0);
@@ -144,14 +147,14 @@
 }
 
 // Calls a second of all processes together while discovery is down: what one service has to bear.
-TEST(CallSchedule, ADiscoveryThatIsDownIsNotHammered) {
-  const std::pair<int, double> most_a_second[] = {{5, 8}, {30, 45}, {300, 180}};
-  for (auto [processes, most] : most_a_second) {
+TEST(CallSchedule, TheCallRateIsLimitedWhileDiscoveryIsDown) {
+  const std::pair<int, double> max_per_second[] = {{5, 8}, {30, 45}, {300, 180}};
+  for (auto [processes, most] : max_per_second) {
     std::size_t calls = 0;
     TimePoint down{1h};
     for (int i = 0; i < processes; ++i) {
       Caller caller({.pushed = false, .processes = processes}, static_cast<unsigned>(i));
-      caller.faults(std::vector<Fault>(1000, Fault::refused_late));
+      caller.faults(std::vector<Fault>(1000, Fault::rejected_late));
       caller.schedule().watch_lost(down, caller.draw());
       caller.play(down, down + 20s);
       calls += caller.began();
@@ -161,48 +164,48 @@
   }
 }
 
-// A service that takes 200 ms for a call, serves them in turn, refuses at once who would wait for
-// over a second, and knows one call of each process: a second one gives up the first, which is
-// served in its turn all the same, for nobody.
+// A service that takes 200 ms for a call, serves the calls in sequence, rejects at once those that
+// would wait for over a second, and keeps one call of each process: a second one abandons the
+// first, which still takes its time in the sequence, for nobody.
 class BusyService {
  public:
-  static constexpr Duration kServes = 200ms, kMostWait = 1s;
-  // False: refused.
+  static constexpr Duration kServiceTime = 200ms, kMaxWait = 1s;
+  // False: rejected.
   bool take(std::size_t process, TimePoint now) {
     for (Waiting& waiting : queue_)
       if (waiting.process == process)
-        waiting.given_up = true;
-    if (queue_.size() * kServes >= kMostWait)
+        waiting.abandoned = true;
+    if (queue_.size() * kServiceTime >= kMaxWait)
       return false;
     if (queue_.empty())
       begins_ = now;
     queue_.push_back({process, false});
     return true;
   }
-  // Who is served by now.
+  // The process that has been served by `now`.
   std::optional<std::size_t> serve(TimePoint now) {
-    if (queue_.empty() || begins_ + kServes > now)
+    if (queue_.empty() || begins_ + kServiceTime > now)
       return std::nullopt;
     Waiting first = queue_.front();
     queue_.erase(queue_.begin());
     begins_ = now;
-    return first.given_up ? std::nullopt : std::optional(first.process);
+    return first.abandoned ? std::nullopt : std::optional(first.process);
   }
   bool waits(std::size_t process) const {
     return std::any_of(queue_.begin(), queue_.end(),
-                       [&](const Waiting& w) { return w.process == process && !w.given_up; });
+                       [&](const Waiting& w) { return w.process == process && !w.abandoned; });
   }
 
  private:
   struct Waiting {
     std::size_t process;
-    bool given_up;
+    bool abandoned;
   };
   std::vector<Waiting> queue_;
   TimePoint begins_{};
 };
 
-TEST(CallSchedule, AServiceWithTooManyCallersServesThemAllSoon) {
+TEST(CallSchedule, AnOverloadedServiceServesAllItsCallers) {
   constexpr std::size_t kProcesses = 32;
   std::minstd_rand random(5);
   auto draw = [&] {
@@ -217,8 +220,10 @@
     schedule.watch_lost(start, draw());
   for (; now < start + 60s && std::find(served.begin(), served.end(), false) != served.end();
        now += 1ms) {
-    if (auto process = service.serve(now))
-      served[*process] = true, schedules[*process].watch_established();
+    if (auto process = service.serve(now)) {
+      served[*process] = true;
+      schedules[*process].watch_established();
+    }
     for (std::size_t i = 0; i < kProcesses; ++i) {
       auto next = schedules[i].next_call(service.waits(i) ? 1 : 0);
       if (!next || *next > now)
@@ -227,10 +232,10 @@
       service.take(i, now);
     }
   }
-  EXPECT_LE(now - start, kProcesses * BusyService::kServes * 3 / 2);
+  EXPECT_LE(now - start, kProcesses * BusyService::kServiceTime * 3 / 2);
 }
 
-TEST(CallSchedule, AnEstablishedWatchIsAloneUntilItIsLost) {
+TEST(CallSchedule, NoCallIsDueWhileThereIsAWatch) {
   CallSchedule schedule({.pushed = false, .processes = 5});
   TimePoint now{1h};
   EXPECT_FALSE(schedule.next_call(0));
--- a/tests/logic/list_lease_test.cpp
+++ b/tests/logic/list_lease_test.cpp
@@ -1,5 +1,5 @@
-// The lease of the list, in virtual time: whatever becomes of the calls, at any size of the fleet,
-// nothing is sent by a list once a change that it misses counts as received.
+// The lease of the list, in virtual time: whatever the outcome of the calls and the size of the
+// fleet, nothing is sent by a list once a change that it lacks counts as received.
 #include "discovery/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -17,21 +17,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kGrace = 500ms, kHeldUp = 150ms;
+constexpr Duration kGrace = 500ms, kMaxWriteDelay = 150ms;
 const LeaseTerms kAsked{.pushed = false, .drain_grace = kGrace, .ask_within = 30s};
 const LeaseTerms kPushed{.pushed = true, .drain_grace = kGrace, .ask_within = 30s};
 const TimePoint kStart{1h};
 
-TEST(ListLease, BeforeAnythingIsHeardNothingIsSentByTheListFromBefore) {
+TEST(ListLease, ANewLeaseIsNotValid) {
   for (const LeaseTerms& terms : {kAsked, kPushed})
     EXPECT_FALSE(ListLease(terms).valid(TimePoint{}));
 }
 
-TEST(ListLease, RunsOutBeforeAChangeThatIsMissedCounts) {
+TEST(ListLease, ExpiresBeforeAMissedChangeCounts) {
   ListLease lease(kAsked);
   lease.current_as_of(kStart);
   EXPECT_TRUE(lease.valid(kStart + 5s));
-  EXPECT_LE(lease.until() + kHeldUp, kStart + kListDeadline);
+  EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + kListDeadline);
 }
 
 TEST(ListLease, AnOlderProofDoesNotShortenIt) {
@@ -42,7 +42,7 @@
   EXPECT_EQ(lease.until(), until);
 }
 
-TEST(ListLease, GoesOnWhileDiscoveryTakesNoConnection) {
+TEST(ListLease, IsRenewedWhileDiscoveryAcceptsNoConnection) {
   ListLease lease(kAsked);
   lease.current_as_of(kStart);
   for (TimePoint now = kStart; now < kStart + 60s; now += 2s) {
@@ -51,40 +51,40 @@
   }
 }
 
-TEST(ListLease, WhereListsArePushedItEndsWithTheWatchWithinTheGrace) {
+TEST(ListLease, WithPushedListsItExpiresWithinTheGraceAfterTheWatchWasClosed) {
   ListLease lease(kPushed);
   lease.current_as_of(kStart);
   lease.watch_closed(kStart + 1s);
-  EXPECT_LE(lease.until() + kHeldUp, kStart + 1s + kGrace);
+  EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 1s + kGrace);
 }
 
-TEST(ListLease, AnAgentThatAnswersAgainEndsWhatItsSilenceHadGranted) {
+TEST(ListLease, AnAnswerOfTheAgentCutsALeaseThatWasRenewedAsUnreachable) {
   ListLease lease(kPushed);
   lease.current_as_of(kStart);
   lease.unreachable_as_of(kStart + 10s);
   lease.answered_without_list(kStart + 11s);
-  EXPECT_LE(lease.until() + kHeldUp, kStart + 11s + kGrace);
+  EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 11s + kGrace);
   ListLease asked(kAsked);
   asked.current_as_of(kStart);
   asked.answered_without_list(kStart + 1s);
   EXPECT_TRUE(asked.valid(kStart + 5s)) << "asked for, it has six seconds to tell";
 }
 
-TEST(ListLease, WithoutAWatchItEndsWithinTheTimeThatTheSettingsGiveForAsking) {
+TEST(ListLease, WithoutAWatchItExpiresWithinThePollInterval) {
   ListLease lease({.pushed = false, .drain_grace = kGrace, .ask_within = 2s});
   lease.current_as_of(kStart);
   lease.watch_closed(kStart + 1s);
   EXPECT_LE(lease.until(), kStart + 2s);
 }
 
-TEST(ListLease, ANewConfigurationEndsItWithinFourSeconds) {
+TEST(ListLease, AMovedDiscoveryLimitsItToFourSeconds) {
   ListLease lease(kAsked);
   lease.current_as_of(kStart);
   lease.discovery_moved(kStart);
-  EXPECT_LE(lease.until() + kHeldUp, kStart + 4s);
+  EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 4s);
 }
 
-TEST(ListLease, ARevokedOneNeedsANewProof) {
+TEST(ListLease, ARevokedLeaseNeedsANewProof) {
   ListLease lease(kAsked);
   lease.current_as_of(kStart);
   lease.revoke();
@@ -93,8 +93,8 @@
   EXPECT_TRUE(lease.valid(kStart + 1s));
 }
 
-// What becomes of one call.
-enum class Fate { refused_at_once, refused_late, reset, hangs, slow, good };
+// The outcome of one call.
+enum class Outcome { rejected_at_once, rejected_late, reset, hangs, slow, good };
 
 // One process with its watch, its calls and its lease, in a fleet of a configured size. The watch
 // is lost, calls fail as drawn, and a change is made meanwhile that only a good call brings.
@@ -105,19 +105,20 @@
 
   // Whether at some moment it could send although the change counted. `silent`: the watch falls
   // silent, else it is closed.
-  bool sends_late(bool silent, std::vector<Fate> fates, TimePoint change, Duration counts_after) {
+  bool sends_late(bool silent, std::vector<Outcome> outcomes, TimePoint change,
+                  Duration counts_after) {
     TimePoint now = kStart;
-    lease_.current_as_of(now);  // the last word of the watch
+    lease_.current_as_of(now);  // the last heartbeat of the watch
     TimePoint lost = silent ? now + kHeartbeatTimeout : now;
     if (!silent)
       lease_.watch_closed(now);
     schedule_.watch_lost(lost, draw());
-    bool knows = false;
+    bool has_change = false;
     for (; now < kStart + 60s; now += 5ms) {
-      if (!knows && now > std::max(change, kStart) + counts_after + kGrace &&
-          lease_.valid(now - kHeldUp))
+      if (!has_change && now > std::max(change, kStart) + counts_after + kGrace &&
+          lease_.valid(now - kMaxWriteDelay))
         return true;
-      knows = play(now, fates) || knows;
+      has_change = play(now, outcomes) || has_change;
     }
     return false;
   }
@@ -125,26 +126,26 @@
  private:
   struct Call {
     TimePoint began, ends;
-    Fate fate;
+    Outcome outcome;
   };
   double draw() { return std::uniform_real_distribution<double>()(random_); }
 
   // True: the list has come.
-  bool play(TimePoint now, std::vector<Fate>& fates) {
+  bool play(TimePoint now, std::vector<Outcome>& outcomes) {
     auto next = schedule_.next_call(calls_.size());
     if (next && *next <= now) {
-      if (calls_.size() >= schedule_.most_calls())
+      if (calls_.size() >= schedule_.max_open_calls())
         calls_.pop_front();
       schedule_.call_began(now, draw());
-      Fate fate = fates.empty() ? Fate::good : fates.back();
-      if (!fates.empty())
-        fates.pop_back();
-      calls_.push_back({now, now + lasts(fate), fate});
+      Outcome outcome = outcomes.empty() ? Outcome::good : outcomes.back();
+      if (!outcomes.empty())
+        outcomes.pop_back();
+      calls_.push_back({now, now + lasts(outcome), outcome});
     }
     for (auto call = calls_.begin(); call != calls_.end(); ++call) {
       if (call->ends > now)
         continue;
-      bool good = call->fate == Fate::good || call->fate == Fate::slow;
+      bool good = call->outcome == Outcome::good || call->outcome == Outcome::slow;
       calls_.erase(call);
       if (!good)
         return false;
@@ -154,19 +155,19 @@
     }
     return false;
   }
-  static Duration lasts(Fate fate) {
-    switch (fate) {
-      case Fate::refused_at_once:
+  static Duration lasts(Outcome outcome) {
+    switch (outcome) {
+      case Outcome::rejected_at_once:
         return 1ms;
-      case Fate::refused_late:
+      case Outcome::rejected_late:
         return 2s;
-      case Fate::reset:
+      case Outcome::reset:
         return 20ms;
-      case Fate::hangs:
+      case Outcome::hangs:
         return 1h;
-      case Fate::slow:
+      case Outcome::slow:
         return 1500ms;
-      case Fate::good:
+      case Outcome::good:
         break;
     }
     return 50ms;
@@ -188,46 +189,46 @@
   for (int run = 0; run < 300; ++run) {
     bool pushed = run % 2 == 1, silent = random() % 2 == 0;
     Process process({.pushed = pushed, .processes = GetParam()}, pushed ? kPushed : kAsked, random);
-    std::vector<Fate> fates(random() % 12);
-    for (Fate& fate : fates)
-      fate = static_cast<Fate>(random() % 5);
+    std::vector<Outcome> outcomes(random() % 12);
+    for (Outcome& outcome : outcomes)
+      outcome = static_cast<Outcome>(random() % 5);
     TimePoint change = kStart + std::chrono::milliseconds(random() % 8000);
     Duration counts_after = pushed && !silent ? Duration::zero() : kListDeadline;
-    ASSERT_FALSE(process.sends_late(silent, std::move(fates), change, counts_after))
+    ASSERT_FALSE(process.sends_late(silent, std::move(outcomes), change, counts_after))
         << "run " << run;
   }
 }
 
-TEST(OutagePresumption, NeedsRefusedCallsAndPeersWithoutWatch) {
+TEST(OutagePresumption, NeedsRejectedCallsAndPeersWithoutAWatch) {
   OutagePresumption outage;
   EXPECT_FALSE(outage.until(kStart));
-  outage.call_refused(kStart - 2s, kStart);
-  EXPECT_FALSE(outage.until(kStart)) << "silence of the peers presumes nothing";
+  outage.call_rejected(kStart - 2s, kStart);
+  EXPECT_FALSE(outage.until(kStart)) << "without answers of peers nothing is presumed";
   outage.peer_has_none(kStart);
   EXPECT_TRUE(outage.until(kStart));
-  EXPECT_FALSE(outage.until(kStart + 3s)) << "the peers have fallen silent";
+  EXPECT_FALSE(outage.until(kStart + 3s)) << "the answers of the peers have expired";
 }
 
-TEST(OutagePresumption, ARefusalAtOnceSaysNothing) {
+TEST(OutagePresumption, AnImmediateRejectionIsNoEvidence) {
   OutagePresumption outage;
   outage.peer_has_none(kStart);
-  outage.call_refused(kStart - 10ms, kStart);
+  outage.call_rejected(kStart - 10ms, kStart);
   EXPECT_FALSE(outage.until(kStart));
 }
 
 TEST(OutagePresumption, OnePeerWithAWatchEndsIt) {
   OutagePresumption outage;
-  outage.call_refused(kStart - 2s, kStart);
+  outage.call_rejected(kStart - 2s, kStart);
   outage.peer_has_none(kStart);
   outage.peer_has_watch(kStart);
   outage.peer_has_none(kStart + 1s);
   EXPECT_FALSE(outage.until(kStart + 1s));
-  outage.call_refused(kStart + 1s, kStart + 3s);
+  outage.call_rejected(kStart + 1s, kStart + 3s);
   outage.peer_has_none(kStart + 3s);
   EXPECT_TRUE(outage.until(kStart + 3s)) << "a further outage";
 }
 
-TEST(WatchMessage, IsReadAsItWasWrittenAndNothingElseIs) {
+TEST(WatchMessage, RoundTripsAndRejectsOtherBytes) {
   using Kind = WatchMessage::Kind;
   for (Kind kind : {Kind::question, Kind::has_watch, Kind::has_none}) {
     std::string bytes = encode({kind});
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -336,7 +336,7 @@
           draw.chance(0.5) ? lease.discovery_moved(now) : lease.revoke();
           break;
         case 11:
-          outage.call_refused(now - std::chrono::milliseconds(draw.below(3000)), now);
+          outage.call_rejected(now - std::chrono::milliseconds(draw.below(3000)), now);
           break;
         case 12:
           draw.chance(0.3) ? outage.peer_has_watch(now) : outage.peer_has_none(now);
@@ -347,7 +347,7 @@
       }
       auto open = static_cast<std::size_t>(draw.below(4));
       recording.line(text_of(now) + " next " + text_of(schedule.next_call(open)) + " " +
-                     std::to_string(schedule.most_calls()) + " lease " +
+                     std::to_string(schedule.max_open_calls()) + " lease " +
                      std::to_string(lease.valid(now)) + " " + text_of(lease.until()) + " outage " +
                      text_of(outage.until(now)));
     }
