--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -5,7 +5,7 @@
 namespace keelflow::operation_guard {
 
 std::string_view to_string(Operation operation) {
-  constexpr std::array<std::string_view, 4> names = {"send", "repeat", "close", "start"};
+  constexpr std::array<std::string_view, kOperations> names = {"send", "repeat", "close", "start"};
   return names[static_cast<std::size_t>(operation)];
 }
 
@@ -33,16 +33,16 @@
 
 SendVerdict may_send(const SendFacts& facts) {
   if (!facts.client_waits)
-    return SendVerdict(Reason::client_gone);
+    return SendVerdict(Reason::client_disconnected);
   if (facts.time_left <= std::chrono::nanoseconds::zero())
     return SendVerdict(Reason::deadline_passed);
   if (!facts.in_window)
-    return SendVerdict(Reason::window_over);
+    return SendVerdict(Reason::window_expired);
   if (!facts.endpoint_ready)
     return SendVerdict(Reason::endpoint_not_ready);
   if (!facts.same_address)
     return SendVerdict(Reason::endpoint_moved);
-  // Last, as the only one that passes: the caller may wait for it.
+  // Last, as the only condition that can become true again: the caller may wait for it.
   if (!facts.list_lease_valid)
     return SendVerdict(Reason::list_lease_expired);
   return SendVerdict(Reason::none);
@@ -50,23 +50,23 @@
 
 Verdict may_repeat(const RepeatFacts& facts) {
   if (facts.earlier_out_there)
-    return Verdict(Reason::attempt_out);
+    return Verdict(Reason::attempt_in_flight);
   if (facts.earlier_out && !facts.parallel_allowed)
-    return Verdict(Reason::attempt_out);
+    return Verdict(Reason::attempt_in_flight);
   bool may_have_run = facts.earlier_may_have_run || facts.earlier_out;
   if (may_have_run && facts.idempotency == scheduler::Idempotency::non_idempotent)
     return Verdict(Reason::may_have_run);
   if (may_have_run && facts.idempotency == scheduler::Idempotency::idempotent_with_key &&
       !facts.in_window)
-    return Verdict(Reason::window_over);
+    return Verdict(Reason::window_expired);
   return Verdict(Reason::none);
 }
 
 Verdict may_close(const CloseFacts& facts) {
-  if (facts.request_in_hand)
-    return Verdict(Reason::request_in_hand);
-  if (facts.answer_unsent)
-    return Verdict(Reason::answer_unsent);
+  if (facts.request_unanswered)
+    return Verdict(Reason::request_unanswered);
+  if (facts.response_unsent)
+    return Verdict(Reason::response_unsent);
   if (facts.bytes_unread)
     return Verdict(Reason::bytes_unread);
   return Verdict(Reason::none);
@@ -76,7 +76,7 @@
   if (facts.phase == Phase::ended)
     return Verdict(Reason::process_ended);
   if (!facts.client_waits)
-    return Verdict(Reason::client_gone);
+    return Verdict(Reason::client_disconnected);
   return Verdict(Reason::none);
 }
 
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -1,6 +1,10 @@
-// The last word on four operations: may this be sent, repeated, closed, started now? Every path
-// asks right before its system call. The decision module keeps which endpoint, whether to try again
-// and what is refused; the guard can only forbid. Pure: typed facts in, a typed verdict out.
+/// \file
+/// The final check of four operations: may this be sent, repeated, closed or started now? Every
+/// path checks right before its system call. The scheduler decides which endpoint a request goes
+/// to, whether it is retried and what is rejected; the guard can only forbid.
+///
+/// All functions are pure: the caller passes typed facts and gets a typed verdict. They report no
+/// errors and own nothing.
 #pragma once
 
 #include <array>
@@ -13,60 +17,73 @@
 
 namespace keelflow::operation_guard {
 
+/// What is checked: sending a request's bytes to an endpoint, a further attempt of a request,
+/// closing a client's connection, starting to process a request.
 enum class Operation : std::uint8_t { send, repeat, close, start };
+constexpr std::size_t kOperations = static_cast<std::size_t>(Operation::start) + 1;
 
+/// Why an operation is forbidden.
 enum class Reason : std::uint8_t {
-  none,                // it is allowed
-  list_lease_expired,  // a newer list may count as received
-  endpoint_not_ready,  // it drains, was removed, or is overridden
-  endpoint_moved,      // the connection is to an address that it has left
-  deadline_passed,     // the client waits no longer
-  window_over,         // those who would know a repeat may have forgotten the first
-  client_gone,         // or answered already
-  may_have_run,        // work that must not run twice
-  attempt_out,         // another attempt has neither ended nor been given up
-  request_in_hand,     // the connection has a request that is not answered
-  answer_unsent,       // bytes of an answer wait
-  bytes_unread,        // the peer has sent something that was not read
-  process_ended,       // nothing new is taken
+  none,                 ///< it is allowed
+  list_lease_expired,   ///< a newer list may count as received
+  endpoint_not_ready,   ///< it drains, was removed, or is disabled by an override
+  endpoint_moved,       ///< the connection is to a former address of the endpoint
+  deadline_passed,      ///< the client's timeout has passed
+  window_expired,       ///< endpoints may no longer recognise a retry as such
+  client_disconnected,  ///< the client has disconnected or has its response
+  may_have_run,         ///< a non-idempotent request may have run already
+  attempt_in_flight,    ///< another attempt has neither ended nor been abandoned
+  request_unanswered,   ///< the connection has a request without a response
+  response_unsent,      ///< bytes of a response are still to be written
+  bytes_unread,         ///< the peer has sent bytes that were not read
+  process_ended,        ///< the process accepts no new requests
 };
 constexpr std::size_t kReasons = static_cast<std::size_t>(Reason::process_ended) + 1;
 
+/// The names in the log and in /status. Part of both formats, so they stay when an enumerator is
+/// renamed.
 std::string_view to_string(Operation operation);
 std::string_view to_string(Reason reason);
 
+/// The state of this process.
 enum class Phase : std::uint8_t { starting, serving, draining, ended };
 
-struct SendFacts {  // the first byte, or the last one, of a request to an endpoint
+/// Before the first byte, or the last one, of a request is written to an endpoint.
+struct SendFacts {
   bool list_lease_valid = false;
   bool endpoint_ready = false;
-  bool same_address = false;
+  bool same_address = false;  ///< the connection is to the endpoint's present address
   bool client_waits = false;
-  bool in_window = false;
-  std::chrono::nanoseconds time_left{};
+  bool in_window = false;                ///< within the time in which a retry is recognised
+  std::chrono::nanoseconds time_left{};  ///< of the client's timeout
 };
 
-struct RepeatFacts {  // a further attempt of a request
+/// Before a further attempt of a request.
+struct RepeatFacts {
   scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-  bool parallel_allowed = false;
-  bool earlier_out = false;        // some earlier attempt
-  bool earlier_out_there = false;  // one at the same endpoint
-  bool earlier_may_have_run = false;
-  bool in_window = false;  // of those that may have run
+  bool parallel_allowed = false;      ///< the settings allow hedged requests
+  bool earlier_out = false;           ///< an earlier attempt is in flight
+  bool earlier_out_there = false;     ///< one is in flight at the same endpoint
+  bool earlier_may_have_run = false;  ///< an earlier attempt that has ended may have run
+  bool in_window = false;             ///< those that may have run are still recognised as such
 };
 
-struct CloseFacts {  // of a client's connection, by this process' own choice
-  bool request_in_hand = false, answer_unsent = false, bytes_unread = false;
+/// Before this process closes a client's connection by its own choice.
+struct CloseFacts {
+  bool request_unanswered = false;
+  bool response_unsent = false;
+  bool bytes_unread = false;
 };
 
-struct StartFacts {  // taking a request
+/// Before a request is accepted.
+struct StartFacts {
   Phase phase = Phase::serving;
   bool client_waits = true;
 };
 
 class SendPermit;
 
-// What was decided and why. A permit to write can be had from an allowed send only.
+/// Whether an operation is allowed, and why not.
 class Verdict {
  public:
   constexpr explicit Verdict(Reason reason) : reason_(reason) {}
@@ -77,16 +94,19 @@
   Reason reason_;
 };
 
+/// The verdict on a send, and the only source of a permit to write.
 class SendVerdict : public Verdict {
  public:
-  SendPermit permit() const;  // only where `allowed`
+  /// Precondition: `allowed()`.
+  SendPermit permit() const;
 
  private:
   friend SendVerdict may_send(const SendFacts& facts);
   using Verdict::Verdict;
 };
 
-// Without one no byte of a request goes to an endpoint: ClientConnection asks for it.
+/// Proof that a send was checked and allowed. ClientConnection requires one for each byte of a
+/// request that goes to an endpoint.
 class SendPermit {
  private:
   friend class SendVerdict;
@@ -98,7 +118,7 @@
 Verdict may_close(const CloseFacts& facts);
 Verdict may_start(const StartFacts& facts);
 
-// How often each operation was forbidden, by reason.
+/// Counts how often each operation was forbidden, by reason.
 class Refusals {
  public:
   void count(Operation operation, Reason reason) {
@@ -109,8 +129,8 @@
   }
 
  private:
-  static constexpr std::size_t kOperations = 4;
   static std::size_t index(Operation operation) { return static_cast<std::size_t>(operation); }
+
   std::array<std::array<std::uint64_t, kReasons>, kOperations> counts_{};
 };
 
--- a/node/inbound/server.cpp
+++ b/node/inbound/server.cpp
@@ -131,8 +131,8 @@
 operation_guard::Verdict InboundConnection::may_close() const {
   if (!keep_alive_ && !busy_)
     return operation_guard::may_close({});  // it has its answer, and waits to see the end
-  return operation_guard::may_close({.request_in_hand = busy_ || !parser_.idle(),
-                                     .answer_unsent = connection_.pending() > 0,
+  return operation_guard::may_close({.request_unanswered = busy_ || !parser_.idle(),
+                                     .response_unsent = connection_.pending() > 0,
                                      .bytes_unread = connection_.unread()});
 }
 
--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -35,36 +35,36 @@
        [](SendFacts& f) {
          f.same_address = false;
        }},
-      {Reason::client_gone,
+      {Reason::client_disconnected,
        [](SendFacts& f) {
          f.client_waits = false;
        }},
-      {Reason::window_over,
+      {Reason::window_expired,
        [](SendFacts& f) {
          f.in_window = false;
        }},
       {Reason::deadline_passed, [](SendFacts& f) {
          f.time_left = 0ms;
        }}};
-  for (const auto& [reason, spoil] : faults) {
+  for (const auto& [reason, break_fact] : faults) {
     SendFacts facts = kSend;
-    spoil(facts);
+    break_fact(facts);
     EXPECT_EQ(may_send(facts).reason(), reason) << to_string(reason);
   }
 }
 
-TEST(OperationGuard, WhatWaitsForAListIsNotGivenUpForIt) {
+TEST(OperationGuard, AnExpiredLeaseIsReportedOnlyWhenNothingElseForbidsASend) {
   SendFacts facts = kSend;
   facts.list_lease_valid = facts.endpoint_ready = false;
   EXPECT_EQ(may_send(facts).reason(), Reason::endpoint_not_ready) << "it would wait in vain";
 }
 
-TEST(OperationGuard, UnsafeWorkThatMayHaveRunIsNotRepeated) {
-  for (bool out : {false, true}) {
+TEST(OperationGuard, ANonIdempotentRequestThatMayHaveRunIsNotRepeated) {
+  for (bool in_flight : {false, true}) {
     RepeatFacts facts{.idempotency = Idempotency::non_idempotent,
                       .parallel_allowed = true,
-                      .earlier_out = out,
-                      .earlier_may_have_run = !out,
+                      .earlier_out = in_flight,
+                      .earlier_may_have_run = !in_flight,
                       .in_window = true};
     EXPECT_EQ(may_repeat(facts).reason(), Reason::may_have_run);
   }
@@ -72,43 +72,43 @@
       << "it never ran";
 }
 
-TEST(OperationGuard, KeyedWorkIsRepeatedWithinItsWindowAlone) {
+TEST(OperationGuard, ARequestWithAnIdempotencyKeyIsRepeatedOnlyWithinItsWindow) {
   RepeatFacts facts{.idempotency = Idempotency::idempotent_with_key,
                     .earlier_may_have_run = true,
                     .in_window = true};
   EXPECT_TRUE(may_repeat(facts).allowed());
   facts.in_window = false;
-  EXPECT_EQ(may_repeat(facts).reason(), Reason::window_over);
+  EXPECT_EQ(may_repeat(facts).reason(), Reason::window_expired);
 }
 
-TEST(OperationGuard, ASecondAttemptWhileOneIsOutNeedsLeaveAndAnotherEndpoint) {
+TEST(OperationGuard, AHedgedAttemptNeedsPermissionAndAnotherEndpoint) {
   RepeatFacts facts{.idempotency = Idempotency::idempotent, .earlier_out = true, .in_window = true};
-  EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_out);
+  EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_in_flight);
   facts.parallel_allowed = true;
   EXPECT_TRUE(may_repeat(facts).allowed());
   facts.earlier_out_there = true;
-  EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_out);
+  EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_in_flight);
 }
 
-TEST(OperationGuard, AConnectionIsClosedOnlyOverNothing) {
+TEST(OperationGuard, AConnectionIsClosedOnlyWithNothingPending) {
   EXPECT_TRUE(may_close({}).allowed());
-  EXPECT_EQ(may_close({.request_in_hand = true}).reason(), Reason::request_in_hand);
-  EXPECT_EQ(may_close({.answer_unsent = true}).reason(), Reason::answer_unsent);
+  EXPECT_EQ(may_close({.request_unanswered = true}).reason(), Reason::request_unanswered);
+  EXPECT_EQ(may_close({.response_unsent = true}).reason(), Reason::response_unsent);
   EXPECT_EQ(may_close({.bytes_unread = true}).reason(), Reason::bytes_unread);
 }
 
-TEST(OperationGuard, NothingIsTakenAtTheEndOrForWhoHasGone) {
+TEST(OperationGuard, NoRequestIsStartedAtTheEndOrForADisconnectedClient) {
   EXPECT_TRUE(may_start({.phase = Phase::draining}).allowed());
   EXPECT_EQ(may_start({.phase = Phase::ended}).reason(), Reason::process_ended);
-  EXPECT_EQ(may_start({.client_waits = false}).reason(), Reason::client_gone);
+  EXPECT_EQ(may_start({.client_waits = false}).reason(), Reason::client_disconnected);
 }
 
 TEST(OperationGuard, RefusalsAreCountedByOperationAndReason) {
   Refusals refusals;
-  refusals.count(Operation::send, Reason::client_gone);
-  refusals.count(Operation::send, Reason::client_gone);
-  EXPECT_EQ(refusals.of(Operation::send, Reason::client_gone), 2u);
-  EXPECT_EQ(refusals.of(Operation::close, Reason::client_gone), 0u);
+  refusals.count(Operation::send, Reason::client_disconnected);
+  refusals.count(Operation::send, Reason::client_disconnected);
+  EXPECT_EQ(refusals.of(Operation::send, Reason::client_disconnected), 2u);
+  EXPECT_EQ(refusals.of(Operation::close, Reason::client_disconnected), 0u);
 }
 
 }  // namespace
