--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -9,21 +9,36 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kChangeCountsWithin = 6s;
-constexpr Duration kSlack = 200ms;  // for a process that is held up, and for messages on their way
-constexpr Duration kClientLeftSlack = 100ms;
-constexpr Duration kDeadlineSlack = 150ms;
-constexpr std::size_t kMostEvents = 40;
-
+// The platform regards a change of the list as received this long after discovery had it.
+constexpr Duration kListDeadline = 6s;
+// Tolerated delays: of a process that is slow or of messages in transit, of the notice that a
+// client has disconnected, and of the time left between its computation and the write.
+constexpr Duration kDrainTolerance = 200ms;
+constexpr Duration kClientLeftTolerance = 100ms;
+constexpr Duration kDeadlineTolerance = 150ms;
+// What a report of a violation shows.
+constexpr std::size_t kMaxEvents = 40;
+
+// The value of a header of a request's head; empty: it has none of that name.
 std::string_view header(std::string_view bytes, std::string_view name) {
-  std::string wanted = "\r\n" + std::string(name) + ": ";
-  auto at = bytes.find(wanted);
+  std::string line_start = "\r\n" + std::string(name) + ": ";
+  auto at = bytes.find(line_start);
   if (at == bytes.npos || at > bytes.find("\r\n\r\n"))
     return {};
-  at += wanted.size();
+  at += line_start.size();
   return bytes.substr(at, bytes.find("\r\n", at) - at);
 }
 
+std::optional<std::uint64_t> version_of(const nlohmann::json& list) {
+  if (!list.contains("seq") || !list["seq"].is_number_unsigned())
+    return std::nullopt;
+  return list["seq"].get<std::uint64_t>();
+}
+
+bool is_ready(const nlohmann::json& entry) {
+  return entry.contains("health") && entry["health"] == "ready";
+}
+
 }  // namespace
 
 std::string_view to_string(Rule rule) {
@@ -32,8 +47,8 @@
   return names[static_cast<std::size_t>(rule)];
 }
 
-void Monitor::note(std::string event) {
-  if (events_.size() >= kMostEvents)
+void Monitor::record(std::string event) {
+  if (events_.size() >= kMaxEvents)
     events_.pop_front();
   events_.push_back(std::move(event));
 }
@@ -48,36 +63,34 @@
 void Monitor::violate(Rule rule, const std::string& what) {
   ++violations_;
   ++by_rule_[static_cast<std::size_t>(rule)];
-  note("violation " + std::string(to_string(rule)) + ": " + what);
-  violated_(rule, what);
+  record("violation " + std::string(to_string(rule)) + ": " + what);
+  on_violation_(rule, what);
 }
 
 void Monitor::list_received(std::string_view object, TimePoint now) {
   auto list = nlohmann::json::parse(object, nullptr, false);
   if (!list.is_object() || !list.contains("hosts") || !list["hosts"].is_array())
     return;
-  bool whole = list.contains("whole") && list["whole"] == true;
-  std::uint64_t version = list.contains("seq") && list["seq"].is_number_unsigned()
-                              ? list["seq"].get<std::uint64_t>()
-                              : version_;
-  if (!whole && version < version_)
-    return;  // overtaken
+  bool is_complete = list.contains("whole") && list["whole"] == true;
+  std::uint64_t version = version_of(list).value_or(version_);
+  if (!is_complete && version < version_)
+    return;  // a later change was received before it
   version_ = version;
-  if (whole)
+  // Hosts that a complete list does not name are not ready.
+  if (is_complete)
     for (auto& [host, since] : not_ready_since_)
       since = since.value_or(now);
   for (const auto& entry : list["hosts"]) {
     if (!entry.is_object() || !entry.contains("host") || !entry["host"].is_string())
       continue;
-    bool ready = entry.contains("health") && entry["health"] == "ready";
     auto& since = not_ready_since_[entry["host"].get<std::string>()];
-    if (ready)
+    if (is_ready(entry))
       since.reset();
     else
       since = since.value_or(now);
   }
   confirmed_ = now;
-  note("list " + std::to_string(list["hosts"].size()) + (whole ? " whole" : ""));
+  record("list " + std::to_string(list["hosts"].size()) + (is_complete ? " whole" : ""));
 }
 
 void Monitor::heartbeat_received(TimePoint now) {
@@ -86,13 +99,16 @@
 
 void Monitor::discovery_unavailable(TimePoint now) {
   confirmed_ = now;
-  note("discovery unavailable");
+  record("discovery unavailable");
 }
 
-void Monitor::request_read(const std::string& id, Duration patience, TimePoint now) {
-  requests_[id] = {
-      .client_left = {}, .deadline = now + patience, .over = false, .whole_writes = 0, .out = {}};
-  note("read " + id);
+void Monitor::request_read(const std::string& id, Duration timeout, TimePoint now) {
+  requests_[id] = Request{.client_left = {},
+                          .deadline = now + timeout,
+                          .has_ended = false,
+                          .complete_writes = 0,
+                          .in_flight = {}};
+  record("read " + id);
 }
 
 void Monitor::client_left(const std::string& id, TimePoint now) {
@@ -100,20 +116,20 @@
   if (it == requests_.end() || it->second.client_left)
     return;
   it->second.client_left = now;
-  note("client left " + id);
+  record("client left " + id);
 }
 
 void Monitor::request_over(const std::string& id) {
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
-  it->second.over = true;
-  forget_if_over(id);
+  it->second.has_ended = true;
+  erase_if_ended(id);
 }
 
-void Monitor::forget_if_over(const std::string& id) {
+void Monitor::erase_if_ended(const std::string& id) {
   auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.over && it->second.out.empty())
+  if (it != requests_.end() && it->second.has_ended && it->second.in_flight.empty())
     requests_.erase(it);
 }
 
@@ -125,39 +141,52 @@
 void Monitor::check_list(const std::string& id, const std::string& host, TimePoint now) {
   auto known = not_ready_since_.find(host);
   if (known != not_ready_since_.end() && known->second &&
-      now > *known->second + terms_.drain_grace + kSlack)
+      now > *known->second + terms_.drain_grace + kDrainTolerance)
     violate(Rule::drain, id + " to " + host);
-  if (!confirmed_ || now > *confirmed_ + kChangeCountsWithin + terms_.drain_grace)
+  if (!confirmed_ || now > *confirmed_ + kListDeadline + terms_.drain_grace)
     violate(Rule::stale_list, id + " to " + host);
 }
 
-void Monitor::count_whole(Request& request, const std::string& id,
-                          scheduler::Idempotency idempotency) {
-  if (++request.whole_writes > 1 && idempotency == scheduler::Idempotency::non_idempotent)
+void Monitor::count_complete_write(Request& request, const std::string& id,
+                                   scheduler::Idempotency idempotency) {
+  if (++request.complete_writes > 1 && idempotency == scheduler::Idempotency::non_idempotent)
     violate(Rule::repeat, id);
 }
 
-void Monitor::attempt_written(const std::string& host, std::string_view bytes, bool whole,
+void Monitor::check_request(const Request& request, const std::string& id, const std::string& host,
+                            TimePoint now) {
+  if (request.client_left && now > *request.client_left + kClientLeftTolerance)
+    violate(Rule::client_gone, id + " to " + host);
+  bool same_host = request.in_flight.contains(host);
+  bool forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
+  if (same_host || forbidden_hedge)
+    violate(Rule::one_attempt, id + " to " + host);
+}
+
+void Monitor::check_deadline(const Request& request, const std::string& id, const std::string& host,
+                             std::string_view bytes, TimePoint now) {
+  std::string_view text = header(bytes, "X-Expires-In-Ms");
+  std::int64_t expires_in_ms = 0;
+  std::from_chars(text.data(), text.data() + text.size(), expires_in_ms);
+  Duration left = request.deadline - now;
+  if (std::chrono::milliseconds(expires_in_ms) > left + kDeadlineTolerance)
+    violate(Rule::deadline, id + " to " + host);
+}
+
+void Monitor::attempt_written(const std::string& host, std::string_view bytes, bool is_complete,
                               scheduler::Idempotency idempotency, TimePoint now) {
   std::string id(header(bytes, "X-Trace-Id"));
-  note("write " + id + " to " + host);
+  record("write " + id + " to " + host);
   check_list(id, host, now);
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
   Request& request = it->second;
-  if (request.client_left && now > *request.client_left + kClientLeftSlack)
-    violate(Rule::client_gone, id + " to " + host);
-  if (request.out.contains(host) || (!request.out.empty() && !terms_.parallel_attempts))
-    violate(Rule::one_attempt, id + " to " + host);
-  std::string_view stated = header(bytes, "X-Expires-In-Ms");
-  std::int64_t told = 0;
-  std::from_chars(stated.data(), stated.data() + stated.size(), told);
-  if (std::chrono::milliseconds(told) > request.deadline - now + kDeadlineSlack)
-    violate(Rule::deadline, id + " to " + host);
-  request.out.emplace(host, whole);
-  if (whole)
-    count_whole(request, id, idempotency);
+  check_request(request, id, host, now);
+  check_deadline(request, id, host, bytes, now);
+  request.in_flight.emplace(host, is_complete);
+  if (is_complete)
+    count_complete_write(request, id, idempotency);
 }
 
 void Monitor::last_byte_written(const std::string& id, scheduler::Idempotency idempotency,
@@ -165,25 +194,27 @@
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
-  for (auto& [host, whole] : it->second.out) {
-    if (whole)
+  for (auto& [host, is_complete] : it->second.in_flight) {
+    if (is_complete)
       continue;
-    whole = true;
-    return count_whole(it->second, id, idempotency);
+    is_complete = true;
+    count_complete_write(it->second, id, idempotency);
+    return;
   }
 }
 
-void Monitor::attempt_over(const std::string& id, const std::string& host, bool never_ran) {
+void Monitor::attempt_ended(const std::string& id, const std::string& host, bool never_ran) {
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
-  auto out = it->second.out.find(host);
-  if (out == it->second.out.end())
+  auto attempt = it->second.in_flight.find(host);
+  if (attempt == it->second.in_flight.end())
     return;
-  if (out->second && never_ran)
-    --it->second.whole_writes;
-  it->second.out.erase(out);
-  forget_if_over(id);
+  bool was_complete = attempt->second;
+  if (was_complete && never_ran)
+    --it->second.complete_writes;
+  it->second.in_flight.erase(attempt);
+  erase_if_ended(id);
 }
 
 }  // namespace keelflow::invariants
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -1,7 +1,8 @@
-// Watches what this process really does: bytes written to endpoints, lists and refusals that came
-// from discovery, requests read, answers given, connections closed. It keeps records of its own,
-// shares no code with the operation guard, decides nothing, and counts what breaks a rule. In test
-// builds a violation ends the process with its last events.
+/// \file
+/// Checks what this process really does: bytes written to endpoints, lists and rejections received
+/// from discovery, requests read, responses written, connections closed. The monitor keeps records
+/// of its own, shares no code with the operation guard, decides nothing, and counts violations. In
+/// test builds a violation ends the process and prints its last events.
 #pragma once
 
 #include <array>
@@ -13,86 +14,104 @@
 #include <string>
 #include <string_view>
 #include <unordered_map>
+#include <utility>
 
 #include "core/time.h"
 #include "scheduler/dispatcher.h"
 
 namespace keelflow::invariants {
 
+/// The rules that are checked.
 enum class Rule : std::uint8_t {
-  drain,  // nothing goes to an endpoint that the list received last did not name ready, once the
-          // grace is over
-  stale_list,   // nothing is sent by a list that nothing has confirmed for longer than a change may
-                // take to count
-  one_attempt,  // no attempt begins at an endpoint that still has one of the same request, nor
-                // beside any where that is barred
-  repeat,       // unsafe work is written to its last byte once
-  client_gone,  // no attempt begins for a client that left more than a moment ago
-  deadline,     // an endpoint is told no more time than the client has left
-  answer,       // a request that was read gets one answer before its connection is closed
+  drain,        ///< after the grace nothing is sent to an endpoint that the latest list does not
+                ///< name ready
+  stale_list,   ///< nothing is sent by a list that has not been confirmed for longer than a change
+                ///< may take to count as received
+  one_attempt,  ///< no attempt starts at an endpoint that has one of the same request in flight,
+                ///< nor beside any other where hedged requests are not permitted
+  repeat,       ///< a non-idempotent request is written to its last byte once
+  client_gone,  ///< no attempt starts for a client that disconnected more than 100 ms ago
+  deadline,     ///< an endpoint is given no more time than the client has left
+  answer,       ///< a request that was read gets one response before its connection is closed
 };
-constexpr std::size_t kRules = 7;
+constexpr std::size_t kRules = static_cast<std::size_t>(Rule::answer) + 1;
+/// The name in the log and in /status.
 std::string_view to_string(Rule rule);
 
+/// The settings that the rules depend on.
 struct Terms {
-  Duration drain_grace{};
-  bool parallel_attempts = false;
+  Duration drain_grace{};          ///< after a change of the list, in which a send is permitted
+  bool parallel_attempts = false;  ///< hedged requests are permitted
 };
 
+/// Receives an event for each thing the process does, and calls the listener for each violation.
+/// Events must come in the order of `now`. Reports no errors; not thread-safe.
 class Monitor {
  public:
-  // `violated`: called for each violation.
+  /// Called for each violation, from within the event's call. `what`: the request and the host.
   using Listener = std::function<void(Rule rule, const std::string& what)>;
-  Monitor(const Terms& terms, Listener violated) : terms_(terms), violated_(std::move(violated)) {}
+  Monitor(const Terms& terms, Listener on_violation)
+      : terms_(terms), on_violation_(std::move(on_violation)) {}
 
+  /// Takes effect with the next event.
   void change(const Terms& terms) { terms_ = terms; }
 
-  // Discovery: one whole JSON object, as it came; any further word on a call that has brought one;
-  // a call that was refused or never came up.
+  /// A complete JSON object of discovery, as it came.
   void list_received(std::string_view object, TimePoint now);
+  /// Any further bytes on a call to discovery that has brought an object.
   void heartbeat_received(TimePoint now);
+  /// A call to discovery was rejected, or its connection was not established.
   void discovery_unavailable(TimePoint now);
 
-  // Clients. A request is known by its id; `patience` as the client stated it.
-  void request_read(const std::string& id, Duration patience, TimePoint now);
+  /// A request with the client's `id` was read; `timeout` is the client's.
+  void request_read(const std::string& id, Duration timeout, TimePoint now);
   void client_left(const std::string& id, TimePoint now);
-  void request_over(const std::string& id);  // its final answer is written, or its client has left
-  // Of a connection that has a request which was read: an answer begins; the connection is closed
-  // by this process.
+  /// Its final response was written, or its client has disconnected.
+  void request_over(const std::string& id);
+  /// This process closed a client's connection. `request_unanswered`: it had a request that was
+  /// read and has no response; `client_left`: the client had closed its side before.
   void connection_closed(bool request_unanswered, bool client_left, TimePoint now);
 
-  // Endpoints. `bytes`: what is written first of an attempt, with its head.
-  void attempt_written(const std::string& host, std::string_view bytes, bool whole,
+  /// An attempt's first bytes are written to an endpoint. `bytes`: the head, and the body as far as
+  /// it is written; `is_complete`: they contain the last byte.
+  void attempt_written(const std::string& host, std::string_view bytes, bool is_complete,
                        scheduler::Idempotency idempotency, TimePoint now);
   void last_byte_written(const std::string& id, scheduler::Idempotency idempotency, TimePoint now);
-  void attempt_over(const std::string& id, const std::string& host, bool never_ran);
+  /// `never_ran`: it is certain that the endpoint did not run it.
+  void attempt_ended(const std::string& id, const std::string& host, bool never_ran);
 
   std::uint64_t violations() const { return violations_; }
   std::uint64_t violations(Rule rule) const { return by_rule_[static_cast<std::size_t>(rule)]; }
-  std::size_t records() const { return requests_.size(); }  // of requests; for tests
+  std::size_t records() const { return requests_.size(); }  ///< of requests; for tests
+  /// The latest events, oldest first, a line each.
   std::string last_events() const;
 
  private:
   struct Request {
     std::optional<TimePoint> client_left;
     TimePoint deadline;
-    bool over = false;
-    int whole_writes = 0;  // attempts that were written to their last byte and may have run
-    std::multimap<std::string, bool> out;  // by host: whether its last byte was written
+    bool has_ended = false;
+    int complete_writes = 0;  // attempts that were written to their last byte and may have run
+    std::multimap<std::string, bool> in_flight;  // by host: whether the last byte was written
   };
 
-  void note(std::string event);
+  void record(std::string event);
   void violate(Rule rule, const std::string& what);
   void check_list(const std::string& id, const std::string& host, TimePoint now);
-  void count_whole(Request& request, const std::string& id, scheduler::Idempotency idempotency);
-  void forget_if_over(const std::string& id);
+  void check_request(const Request& request, const std::string& id, const std::string& host,
+                     TimePoint now);
+  void check_deadline(const Request& request, const std::string& id, const std::string& host,
+                      std::string_view bytes, TimePoint now);
+  void count_complete_write(Request& request, const std::string& id,
+                            scheduler::Idempotency idempotency);
+  void erase_if_ended(const std::string& id);
 
   Terms terms_;
-  Listener violated_;
-  std::unordered_map<std::string, std::optional<TimePoint>>
-      not_ready_since_;  // by host; empty: it is ready
+  Listener on_violation_;
+  // By host: since when it is not ready; empty: it is ready.
+  std::unordered_map<std::string, std::optional<TimePoint>> not_ready_since_;
   std::uint64_t version_ = 0;
-  std::optional<TimePoint> confirmed_;
+  std::optional<TimePoint> confirmed_;  // when discovery last proved the list or was unavailable
   std::unordered_map<std::string, Request> requests_;
   std::uint64_t violations_ = 0;
   std::array<std::uint64_t, kRules> by_rule_{};
--- a/node/outbound/outbound.cpp
+++ b/node/outbound/outbound.cpp
@@ -137,7 +137,7 @@
   loop_.dispose(std::move(it->second));  // it is calling us
   calls_.erase(it);
   if (monitor_)
-    monitor_->attempt_over(
+    monitor_->attempt_ended(
         call.id(), call.host(),
         end.outcome == AttemptOutcome::rejected || end.delivery < DeliveryState::fully_written);
   engine_.attempt_ended(ref, std::move(end));
