--- a/node/discovery/discovery_call.cpp
+++ b/node/discovery/discovery_call.cpp
@@ -9,9 +9,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration kAcknowledgedWithin = 1s;  // for a connection to come up
-constexpr Duration kObjectTimeout = 2s;       // on a watch, from an object's first byte to its last
-constexpr std::size_t kMostObject = 4 * 1024 * 1024;
+using discovery::CallEnd;
+
+// The time in which a connection is normally established.
+constexpr Duration kConnectTimeout = 1s;
+// On a watch, from an object's first byte to its last.
+constexpr Duration kObjectTimeout = 2s;
+// Bytes of one object. A larger one ends the call as malformed.
+constexpr std::size_t kMaxObjectSize = 4 * 1024 * 1024;
 
 }  // namespace
 
@@ -32,79 +37,85 @@
   close();
 }
 
-bool DiscoveryCall::begin(const net::Address& discovery) {
+std::error_code DiscoveryCall::begin(const net::Address& discovery) {
   if (!connection_.connect(discovery))
-    return false;
-  acknowledgement_ =
-      loop_.at(loop_.now() + kAcknowledgedWithin, [this] { owner_.on_not_acknowledged(*this); });
-  return true;
+    return {errno != 0 ? errno : EIO, std::generic_category()};
+  acknowledgement_timer_ =
+      loop_.at(loop_.now() + kConnectTimeout, [this] { owner_.on_not_acknowledged(*this); });
+  return {};
 }
 
 void DiscoveryCall::close() {
-  loop_.cancel(silence_);
-  loop_.cancel(acknowledgement_);
+  loop_.cancel(silence_timer_);
+  loop_.cancel(acknowledgement_timer_);
   connection_.close();
 }
 
 void DiscoveryCall::on_connected() {
-  loop_.cancel(acknowledgement_);
+  loop_.cancel(acknowledgement_timer_);
   connection_.send("GET /discovery/hosts?follow=1" + since_ +
                    " HTTP/1.1\r\nHost: " + connection_.dial().text() + "\r\n\r\n");
 }
 
 void DiscoveryCall::on_head(const net::Head& head) {
   status_ = head.status;
-  accepted_ = head.status == 200;
-  if (accepted_)
-    owner_.on_accepted(*this);
-  else
-    owner_.on_failed(
-        *this,
-        discovery::CallEnd::rejected);  // whatever its body says, and however long that takes
+  if (head.status != 200) {
+    // Whatever its body says, and however long that takes to come.
+    owner_.on_failed(*this, CallEnd::rejected);
+    return;
+  }
+  enter(State::accepted);
+  owner_.on_accepted(*this);
 }
 
 void DiscoveryCall::on_broken() {
-  using discovery::CallEnd;
-  CallEnd not_connected =
-      connection_.error() == ECONNREFUSED ? CallEnd::connect_refused : CallEnd::connect_failed;
-  owner_.on_failed(*this, connected() ? CallEnd::closed : not_connected);
+  bool is_refused = connection_.error() == ECONNREFUSED;
+  CallEnd without_connection = is_refused ? CallEnd::connect_refused : CallEnd::connect_failed;
+  owner_.on_failed(*this, connected() ? CallEnd::closed : without_connection);
 }
 
 void DiscoveryCall::on_body(std::string_view bytes) {
-  if (!accepted_ || !connection_.open())
+  if (state_ == State::requested || !connection_.open())
     return;
-  bool was_within = frames_.within();
-  std::size_t had = frames_.count();
-  bool fine = frames_.feed(bytes, kMostObject, [this](const std::string& text) {
+  bool was_within = framer_.is_within_object();
+  std::size_t count_before = framer_.count();
+  bool is_well_formed = framer_.feed(bytes, kMaxObjectSize, [this](const std::string& text) {
     return owner_.on_object(*this, text) && connection_.open();
   });
   if (!connection_.open())
     return;  // its owner has closed it
-  if (!fine)
-    return owner_.on_failed(*this, discovery::CallEnd::malformed);
-  if (!frames_.within() && frames_.count() == had)
+  if (!is_well_formed) {
+    owner_.on_failed(*this, CallEnd::malformed);
+    return;
+  }
+  bool has_new_object = framer_.count() > count_before;
+  if (!framer_.is_within_object() && !has_new_object)
     owner_.on_heartbeat(*this);
   if (!connection_.open())
     return;
-  bool begins = frames_.within() && (!was_within || frames_.count() > had);
-  if (begins)
-    object_begun_ = loop_.now();
-  watch_for_silence();
+  if (framer_.is_within_object() && (!was_within || has_new_object))
+    object_began_ = loop_.now();
+  restart_silence_timer();
 }
 
 void DiscoveryCall::established() {
-  established_ = true;
-  watch_for_silence();
+  enter(State::watching);
+  restart_silence_timer();
+}
+
+// The only place where the state changes: forward, a step at a time.
+void DiscoveryCall::enter(State state) {
+  state_ = std::max(state_, state);
 }
 
-// Empty lines do not keep an object alive that does not end.
-void DiscoveryCall::watch_for_silence() {
-  if (!established_)
+// White space within an object does not extend the time in which the object has to be complete.
+void DiscoveryCall::restart_silence_timer() {
+  if (state_ != State::watching)
     return;
-  loop_.cancel(silence_);
-  TimePoint latest = frames_.within() ? object_begun_ + kObjectTimeout
-                                      : loop_.now() + discovery::kHeartbeatTimeout;
-  silence_ = loop_.at(latest, [this] { owner_.on_failed(*this, discovery::CallEnd::timed_out); });
+  loop_.cancel(silence_timer_);
+  TimePoint latest = framer_.is_within_object() ? object_began_ + kObjectTimeout
+                                                : loop_.now() + discovery::kHeartbeatTimeout;
+  silence_timer_ = loop_.at(latest, [this] { owner_.on_failed(*this, CallEnd::timed_out); });
 }
 
 }  // namespace keelflow
--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -1,60 +1,77 @@
-// One call to discovery for the list and its changes. It becomes the watch once it has brought
-// something.
+/// \file
+/// One call to discovery for the list and its changes. It becomes the watch once it has brought
+/// something.
 #pragma once
 
 #include <algorithm>
-#include <functional>
+#include <cstdint>
 #include <string>
+#include <string_view>
+#include <system_error>
 
 #include "discovery/call_end.h"
-#include "discovery/value_frames.h"
+#include "discovery/object_framer.h"
 #include "outbound/client_connection.h"
 
 namespace keelflow {
 
+/// An HTTP exchange with discovery whose response does not end. Reports what comes to its owner,
+/// which must outlive it. Not thread-safe.
 class DiscoveryCall final : ClientConnection::User {
  public:
+  /// Receives the events of a call, each from within the event loop.
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void on_accepted(
-        DiscoveryCall& call) = 0;  // discovery has answered with 200; what it has comes next
-    // One whole JSON object. False: it is no list, and the call is of no use.
+    /// Discovery has answered with 200; objects follow.
+    virtual void on_accepted(DiscoveryCall& call) = 0;
+    /// A complete JSON object. False: it cannot be applied, and the call has to end.
     virtual bool on_object(DiscoveryCall& call, const std::string& text) = 0;
+    /// White space between objects.
     virtual void on_heartbeat(DiscoveryCall& call) = 0;
-    virtual void on_not_acknowledged(
-        DiscoveryCall& call) = 0;  // its connection does not come up; it goes on trying
-    virtual void on_failed(DiscoveryCall& call, discovery::CallEnd how) = 0;  // last call
+    /// The connection was not established within a second. The call goes on.
+    virtual void on_not_acknowledged(DiscoveryCall& call) = 0;
+    /// The last event: the owner has to close the call.
+    virtual void on_failed(DiscoveryCall& call, discovery::CallEnd how) = 0;
   };
 
-  // `since`: the query of the version to go on from; empty: the whole list is asked for.
+  /// `number`: the call's name in the log, counted from 1 in each process. `since`: the query for
+  /// the changes since a version; empty: for the complete list.
   DiscoveryCall(net::EventLoop& loop, Owner& owner, std::uint64_t number, std::string since);
   ~DiscoveryCall() override;
   DiscoveryCall(const DiscoveryCall&) = delete;
   DiscoveryCall& operator=(const DiscoveryCall&) = delete;
 
-  bool begin(const net::Address& discovery);  // false: no connection could be begun (errno)
-  void close();                               // nothing is heard of it any more
-  void established();  // it is the watch: from now on it fails when it falls silent
-  std::uint64_t number() const {
-    return number_;
-  }  // of this process, from 1 on: its name in the log
+  /// Starts to connect; a non-zero error code means that no connection could be started, and that
+  /// `begin` may be called once more.
+  std::error_code begin(const net::Address& discovery);
+  /// No event follows. Idempotent.
+  void close();
+  /// The call is the watch: from now on it fails when no heartbeat comes in time.
+  void established();
+
+  std::uint64_t number() const { return number_; }
   TimePoint began() const { return began_; }
   bool connected() const { return connection_.connected(); }
-  int status() const { return status_; }  // of the answer; 0: none yet
-  bool has_brought_object() const { return frames_.count() > 0; }
-  // Not later than what is being read was written.
+  /// The HTTP status of the answer; 0: there is none yet.
+  int status() const { return status_; }
+  bool has_brought_object() const { return framer_.count() > 0; }
+  /// A time not later than the one at which what is now being read was written.
   TimePoint written_after() const { return std::max(began_, connection_.readable_since()); }
   bool asked_for_all() const { return since_.empty(); }
-  bool at_first_object() const { return frames_.count() == 1; }  // within `on_object`
+  /// Within `on_object`: whether the object is the first of the call.
+  bool at_first_object() const { return framer_.count() == 1; }
 
  private:
+  enum class State : std::uint8_t { requested, accepted, watching };
+
   void on_connected() override;
   void on_head(const net::Head& head) override;
   void on_body(std::string_view bytes) override;
   void on_complete(bool) override { owner_.on_failed(*this, discovery::CallEnd::closed); }
   void on_broken() override;
-  void watch_for_silence();
+  void enter(State state);
+  void restart_silence_timer();
 
   net::EventLoop& loop_;
   Owner& owner_;
@@ -63,10 +80,11 @@
   TimePoint began_;
   int status_ = 0;
   ClientConnection connection_;
-  ValueFrames frames_;
-  TimePoint object_begun_;  // of the one that is not complete yet
-  TimerId silence_ = 0, acknowledgement_ = 0;
-  bool accepted_ = false, established_ = false;
+  ObjectFramer framer_;
+  TimePoint object_began_;  // of the one that is not complete yet
+  TimerId silence_timer_ = 0;
+  TimerId acknowledgement_timer_ = 0;
+  State state_ = State::requested;
 };
 
 }  // namespace keelflow
--- a/node/discovery/host_list.h
+++ b/node/discovery/host_list.h
@@ -1,6 +1,8 @@
-// Discovery's list of endpoints, decoded.
+/// \file
+/// Discovery's list of endpoints, decoded. The only reader of its JSON keys.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -12,36 +14,45 @@
 
 namespace keelflow {
 
-struct Names {  // positions in these lists are the numbers that the module knows
-  std::vector<std::string> classes, tenants, zones, kinds;
-  // By class number: the class has left the settings, or changed and has another number now. Jobs
-  // under way keep theirs.
+using scheduler::EndpointId;
+
+/// The configured names. The scheduler knows each by its position here.
+struct Names {
+  std::vector<std::string> classes;
+  std::vector<std::string> tenants;
+  std::vector<std::string> zones;
+  std::vector<std::string> kinds;
+  /// By class number: the class has left the settings, or has changed and has another number now.
+  /// Requests in flight keep the former number. May be shorter than `classes`.
   std::vector<bool> former = {};
-  static int place(const std::vector<std::string>& list, std::string_view name);  // -1: unknown
-  int class_of(std::string_view name) const;  // -1: not, or no more
+
+  /// The position of `name` in `list`; -1: unknown.
+  static int place(const std::vector<std::string>& list, std::string_view name);
+  /// The number of a class of the present settings; -1: there is none of that name.
+  int class_of(std::string_view name) const;
 };
 
+/// An entry of the list.
 struct Host {
   std::string name;
-  net::Address dial;
+  net::Address dial;  ///< port 0: the entry has no address
   scheduler::EndpointEntry entry;
 };
 
+/// A complete list, or the changes since a version.
 struct HostList {
   std::uint64_t version = 0;
-  bool whole = false;
+  bool is_complete = false;
   std::vector<Host> hosts;
-  // Entries that could not be read. The others stand in `hosts`, and so does one whose host at
-  // least is named: as gone, since nothing is to be sent where it is not known what holds there.
+  /// Entries that could not be decoded. One that has at least a host's name stands in `hosts` as
+  /// not ready, since nothing may be sent to an endpoint of which the present state is unknown.
   std::size_t malformed = 0;
 };
 
-// Throws nlohmann::json::exception on what is no list at all.
+/// Throws nlohmann::json::exception if `list` is no list at all.
 HostList decode_list(const nlohmann::json& list, const Names& names);
 
-// The module wants numbers, and the same ones at every node: they are a hash of the name.
-using scheduler::EndpointId;
-
-scheduler::EndpointId endpoint_id(std::string_view host);
+/// The scheduler's id of an endpoint: a hash of its name, so that it is the same in each process.
+EndpointId endpoint_id(std::string_view host);
 
 }  // namespace keelflow
--- /dev/null
+++ b/node/discovery/list_lease_keeper.h
@@ -0,0 +1,87 @@
+/// \file
+/// The lease of the endpoint list, renewed and cut by what happens to the calls to discovery.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+
+#include "core/counters.h"
+#include "discovery/call_end.h"
+#include "discovery/list_lease.h"
+#include "discovery/watch_survey.h"
+#include "net/event_loop.h"
+
+namespace keelflow {
+
+/// The state of the watch at this moment.
+struct WatchStatus {
+  bool has_watch = false;
+  bool is_overdue = false;         ///< its timer is late: the process was stopped meanwhile
+  std::size_t open_calls = 0;      ///< the watch included
+  std::uint64_t list_version = 0;  ///< the version of the present list
+};
+
+/// A call to discovery that has ended.
+struct EndedCall {
+  discovery::CallEnd how = discovery::CallEnd::closed;
+  TimePoint began;
+  bool was_watch = false;
+};
+
+/// Decides whether requests may be sent by the list: keeps its lease (logic/discovery/list_lease)
+/// and the presumption of an outage, and reports each change. Not thread-safe. Reports no errors.
+class ListLeaseKeeper {
+ public:
+  /// `watch_status`: asked whenever the lease is computed. `on_lease`: the lease has expired
+  /// (false) or runs again (true), and sends that waited may go on.
+  ListLeaseKeeper(net::EventLoop& loop, Counters& counters, std::uint64_t seed,
+                  std::function<WatchStatus()> watch_status,
+                  std::function<void(bool may_send)> on_lease);
+  ~ListLeaseKeeper();
+  ListLeaseKeeper(const ListLeaseKeeper&) = delete;
+  ListLeaseKeeper& operator=(const ListLeaseKeeper&) = delete;
+
+  void change(const discovery::LeaseTerms& terms);
+  /// Computes the lease's end anew. To be called after each change of the watch or of the calls.
+  void update();
+
+  /// Whether requests may be sent by the list at this moment.
+  bool may_send();
+  /// The list is proven complete: it was when the watch ended or, with pushed lists, when it last
+  /// brought something. False after a watch has timed out without a connection error: what it
+  /// missed is not known, and an outage after it does not make the list complete.
+  bool is_list_complete() const { return is_list_complete_; }
+
+  /// The watch has brought something that was written at `written` or later. Updates.
+  void proven_current(TimePoint written);
+  /// Discovery accepted no connection at `when`. Updates.
+  void discovery_unreachable(TimePoint when);
+  /// Discovery can be reached, so that no outage is presumed, and has not sent its list. Updates.
+  void answered_without_list();
+  /// The address of discovery has changed. Updates.
+  void discovery_moved();
+  /// What the end of a call proves; before the call is removed. `update` has to follow.
+  void call_ended(const EndedCall& call);
+  /// The list may be of any age. `update` has to follow.
+  void revoke();
+
+  WatchSurvey& survey() { return survey_; }
+
+ private:
+  TimePoint may_send_until() const;
+
+  net::EventLoop& loop_;
+  Counters& counters_;
+  std::function<WatchStatus()> watch_status_;
+  std::function<void(bool)> on_lease_;
+  discovery::ListLease lease_;
+  bool pushed_ = false;
+  WatchSurvey survey_;
+  bool is_list_complete_ = false;
+  bool is_running_ = false;     // as `on_lease_` was last notified
+  bool has_withheld_ = false;   // a send was withheld while the lease ran: `on_lease_` is due
+  TimerId lease_end_timer_ = 0;
+};
+
+}  // namespace keelflow
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -8,19 +8,20 @@
 using namespace std::chrono_literals;
 using Kind = discovery::WatchMessage::Kind;
 
-constexpr Duration kPause = 250ms;  // between two questions
+// Between two questions: four random peers a second.
+constexpr Duration kPollInterval = 250ms;
 
 }  // namespace
 
 WatchSurvey::WatchSurvey(net::EventLoop& loop, std::uint64_t seed, std::function<bool()> has_watch,
-                         std::function<void()> changed)
+                         std::function<void()> on_answer)
     : loop_(loop),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
       has_watch_(std::move(has_watch)),
-      changed_(std::move(changed)) {}
+      on_answer_(std::move(on_answer)) {}
 
 WatchSurvey::~WatchSurvey() {
-  loop_.cancel(timer_);
+  loop_.cancel(poll_timer_);
 }
 
 void WatchSurvey::connect(PeerSender* peers, int count, int rank) {
@@ -29,38 +30,47 @@
   rank_ = rank;
 }
 
-void WatchSurvey::run(bool on) {
-  if (std::exchange(running_, on) == on)
+void WatchSurvey::run(bool is_polling) {
+  if (std::exchange(is_polling_, is_polling) == is_polling)
     return;
-  loop_.cancel(timer_);
-  if (on)
-    ask();
+  loop_.cancel(poll_timer_);
+  if (is_polling)
+    poll();
 }
 
-void WatchSurvey::ask() {
-  timer_ = loop_.at(loop_.now() + kPause, [this] { ask(); });
-  if (!peers_ || count_ < 2)
-    return;
+void WatchSurvey::poll() {
+  poll_timer_ = loop_.at(loop_.now() + kPollInterval, [this] { poll(); });
+  if (peers_ && count_ >= 2)
+    send(draw_peer(), Kind::question);
+}
+
+// Any process but this one.
+int WatchSurvey::draw_peer() {
   int peer = std::uniform_int_distribution<int>(0, count_ - 2)(random_);
-  if (peer >= rank_)
-    ++peer;
-  peers_->tell(peer, discovery::encode({Kind::question}));
+  return peer >= rank_ ? peer + 1 : peer;
+}
+
+void WatchSurvey::send(int peer, Kind kind) {
+  if (peers_)
+    peers_->tell(peer, discovery::encode({kind}));
 }
 
 bool WatchSurvey::hear(int peer, std::string_view bytes) {
   auto message = discovery::decode_watch_message(bytes);
   if (!message)
     return false;
-  if (message->kind == Kind::question) {
-    if (peers_)
-      peers_->tell(peer, discovery::encode({has_watch_() ? Kind::has_watch : Kind::has_none}));
-    return true;
+  switch (message->kind) {
+    case Kind::question:
+      send(peer, has_watch_() ? Kind::has_watch : Kind::has_none);
+      return true;
+    case Kind::has_watch:
+      presumption_.peer_has_watch(loop_.now());
+      break;
+    case Kind::has_none:
+      presumption_.peer_has_none(loop_.now());
+      break;
   }
-  if (message->kind == Kind::has_watch)
-    presumption_.peer_has_watch(loop_.now());
-  else
-    presumption_.peer_has_none(loop_.now());
-  changed_();
+  on_answer_();
   return true;
 }
 
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -1,9 +1,12 @@
-// Asks drawn peers whether they have a watch on discovery, while this process has none, and answers
-// theirs. What follows from the answers is decided by logic/discovery/outage_presumption.
+/// \file
+/// Polls random peers whether they have a watch on discovery, while this process has none, and
+/// answers theirs. What follows from the answers is decided by logic/discovery/outage_presumption.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <random>
+#include <string_view>
 
 #include "core/ports.h"
 #include "discovery/outage_presumption.h"
@@ -11,30 +14,42 @@
 
 namespace keelflow {
 
+/// The messages about watches, and the evidence from the answers. Messages may be lost: nothing
+/// waits for an answer, and no errors are reported. Not thread-safe.
 class WatchSurvey {
  public:
-  // `has_watch`: whether this process has one; `changed`: an answer has come.
+  /// `has_watch`: whether this process has a watch. `on_answer`: a peer has answered.
   WatchSurvey(net::EventLoop& loop, std::uint64_t seed, std::function<bool()> has_watch,
-              std::function<void()> changed);
+              std::function<void()> on_answer);
   ~WatchSurvey();
+  WatchSurvey(const WatchSurvey&) = delete;
+  WatchSurvey& operator=(const WatchSurvey&) = delete;
+
+  /// `peers`: sends messages and must outlive this object; null: there are no peers. `count`: the
+  /// processes of the fleet, this one included; `rank`: this one's number, from 0.
+  void connect(PeerSender* peers, int count, int rank);
+  /// Starts or stops polling.
+  void run(bool is_polling);
+  /// A message of a peer. False: it is of another kind.
+  bool hear(int peer, std::string_view bytes);
 
-  void connect(PeerSender* peers, int count, int rank);  // null: processes may not talk
-  void run(bool on);                                     // whether peers are asked
-  bool hear(int peer, std::string_view bytes);           // false: the message is of another kind
   discovery::OutagePresumption& presumption() { return presumption_; }
   const discovery::OutagePresumption& presumption() const { return presumption_; }
 
  private:
-  void ask();
+  void poll();
+  int draw_peer();
+  void send(int peer, discovery::WatchMessage::Kind kind);
 
   net::EventLoop& loop_;
   std::minstd_rand random_;
   std::function<bool()> has_watch_;
-  std::function<void()> changed_;
+  std::function<void()> on_answer_;
   PeerSender* peers_ = nullptr;
-  int count_ = 0, rank_ = 0;
-  TimerId timer_ = 0;
-  bool running_ = false;
+  int count_ = 0;
+  int rank_ = 0;
+  TimerId poll_timer_ = 0;
+  bool is_polling_ = false;
   discovery::OutagePresumption presumption_;
 };
 
