--- a/node/discovery/list_lease_keeper.h
+++ b/node/discovery/list_lease_keeper.h
@@ -48,9 +48,9 @@
 
   /// Whether requests may be sent by the list at this moment.
   bool may_send();
-  /// The list is proven complete: it was when the watch ended or, with pushed lists, when it last
-  /// brought something. False after a watch has timed out without a connection error: what it
-  /// missed is not known, and an outage after it does not make the list complete.
+  /// The list was complete when the watch ended or, with pushed lists, when the watch last brought
+  /// something. False after a watch for polled lists has timed out: what it missed is not known,
+  /// and an outage after it does not make the list complete.
   bool is_list_complete() const { return is_list_complete_; }
 
   /// The watch has brought something that was written at `written` or later. Updates.
@@ -79,8 +79,8 @@
   bool pushed_ = false;
   WatchSurvey survey_;
   bool is_list_complete_ = false;
-  bool is_running_ = false;     // as `on_lease_` was last notified
-  bool has_withheld_ = false;   // a send was withheld while the lease ran: `on_lease_` is due
+  bool is_running_ = false;    // as `on_lease_` was last notified
+  bool has_withheld_ = false;  // a send was withheld while the lease ran: `on_lease_` is due
   TimerId lease_end_timer_ = 0;
 };
 
--- a/node/discovery/list_receiver.cpp
+++ b/node/discovery/list_receiver.cpp
@@ -60,8 +60,7 @@
     has_list_ = false;
     return {.verdict = ListVerdict::stale, .list = std::move(*list)};
   }
-  ListVerdict verdict =
-      list->malformed > 0 ? ListVerdict::malformed_entries : ListVerdict::current;
+  ListVerdict verdict = list->malformed > 0 ? ListVerdict::malformed_entries : ListVerdict::current;
   return {.verdict = verdict, .list = std::move(*list)};
 }
 
--- a/node/discovery/watch_manager.cpp
+++ b/node/discovery/watch_manager.cpp
@@ -110,16 +110,15 @@
 
 std::error_code WatchManager::connect(DiscoveryCall& call) {
   std::error_code error = call.begin(discovery_);
-  bool is_exhausted = error == std::errc::too_many_files_open ||
-                      error == std::errc::too_many_files_open_in_system;
+  bool is_exhausted =
+      error == std::errc::too_many_files_open || error == std::errc::too_many_files_open_in_system;
   if (is_exhausted && callbacks_.on_descriptors_exhausted())
     error = call.begin(discovery_);
   return error;
 }
 
 bool WatchManager::is_overdue() const {
-  return watch_ &&
-         loop_.now() > last_received_ + discovery::kHeartbeatTimeout + kStoppedTolerance;
+  return watch_ && loop_.now() > last_received_ + discovery::kHeartbeatTimeout + kStoppedTolerance;
 }
 
 // Lists are pushed by an agent on this machine, which answers at once while it has anything to
--- a/tests/node/drains_test.cpp
+++ b/tests/node/drains_test.cpp
@@ -1,5 +1,6 @@
-// Draining endpoints get nothing new, whatever happens to the calls that bring the list. Faults
-// between one process and discovery; lab/experiments/ci-drains.sexp has those of several processes.
+// Draining endpoints get no new requests, whatever the outcome of the calls that bring the list.
+// Faults between one process and discovery; lab/experiments/ci-drains.sexp has those of several
+// processes.
 // See docs/design/drains.md.
 #include "config/config.h"
 #include "scenario.h"
@@ -30,7 +31,7 @@
          ",\"whole\":false,\"hosts\":[" + hosts + "]}\\n\n";
 }
 
-// The request waits in vain: nothing is sent to a box that drains.
+// The request times out: nothing is sent to an endpoint that drains.
 const std::string kNothingGoesToBox = R"(
     open c
     send c job A price 700
@@ -47,7 +48,7 @@
                          [](const auto& mode) { return std::string(mode.param); });
 
 // Each of the calls fails in another way and does not end by itself; the fifth brings the drain.
-TEST_P(Drains, FourCallsThatHangDoNotKeepADrainFromBeingHeardInTime) {
+TEST_P(Drains, FourCallsThatHangDoNotDelayADrainBeyondItsDeadline) {
   play(R"(
     close disco
     clock
@@ -71,7 +72,7 @@
        mode());
 }
 
-TEST_P(Drains, ARefusalWhoseBodyDoesNotEndIsOneAtOnce) {
+TEST_P(Drains, ARejectionCountsBeforeItsBodyEnds) {
   play(R"(
     close disco
     accept one disco
@@ -84,8 +85,8 @@
        mode());
 }
 
-// The well-formed entries count at once, whatever the others are; the watch is opened anew for what
-// could not be read.
+// The well-formed entries are applied at once, whatever the others are; the watch is reopened for
+// those that could not be decoded.
 TEST_P(Drains, OneMalformedEntryDoesNotKeepTheOthersFromTakingEffect) {
   for (const char* bad :
        {R"({"host":"odd","dial":"nowhere","health":"ready"})", R"({"host":"odd","health":null})",
@@ -122,9 +123,9 @@
       mode());
 }
 
-// Changes that begin under the version that was asked for are those of a discovery that counts
-// anew.
-TEST_P(Drains, AFirstAnswerUnderTheVersionAskedForIsNotTakenForOldNews) {
+// Changes that are older than the requested version come from a discovery that has restarted its
+// count.
+TEST_P(Drains, AFirstAnswerOlderThanTheRequestedVersionIsNotStale) {
   play(R"(
     close disco
     accept disco disco
@@ -143,9 +144,9 @@
        mode());
 }
 
-// Everything that waited is there at once when the process goes on, the list last.
+// All that was sent meanwhile can be read when the process continues, the list last.
 TEST_P(Drains, AfterAPauseTheListIsReadBeforeAnythingIsSent) {
-  constexpr int kClients = 600;  // more than one turn of the loop brings
+  constexpr int kClients = 600;  // more than one iteration of the event loop handles
   std::string open, ask;
   for (int i = 0; i < kClients; ++i) {
     open += "open c" + std::to_string(i) + "\n";
@@ -163,7 +164,7 @@
        options);
 }
 
-TEST_P(Drains, ADrainAfterAReloadThatMovesDiscoveryIsHeard) {
+TEST_P(Drains, ADrainIsAppliedAfterAReloadThatMovesDiscovery) {
   for (const char* old_one : {"", "close disco\nstop disco\n"})
     play("config disco2\n" + std::string(old_one) + R"(
       clock
@@ -195,8 +196,8 @@
        mode());
 }
 
-// Idle clients hold what descriptors they get while discovery is away.
-TEST_P(Drains, WithItsDescriptorsFullTheNodeHearsTheListAndServes) {
+// Idle clients use up the descriptors while discovery is unavailable.
+TEST_P(Drains, WithoutFreeDescriptorsTheNodeReceivesTheListAndServes) {
   std::string idle;
   for (int i = 0; i < 150; ++i)
     idle += "open idle" + std::to_string(i) + "\n";
@@ -233,28 +234,28 @@
       options);
 }
 
-// A restarted process has the list that the platform kept for it, of whatever age. It does not even
-// connect to a box before it has heard from discovery; it serves by that list where nobody listens
+// A restarted process has the list that the platform stored for it, of any age. It does not even
+// connect to an endpoint before discovery has answered; it serves by that list where nobody listens
 // at discovery's address.
-TEST_P(Drains, ARestartedProcessAsksBeforeItSendsByTheListFromBefore) {
+TEST_P(Drains, ARestartedProcessPollsBeforeItSendsByACachedList) {
   Options options = mode();
   options.known =
       R"({"seq":2,"whole":true,"hosts":[{"host":"box","dial":"@box","site":"east","class":"fast","block":1,"health":"ready"}]})";
-  Scenario told(options);
-  told.play(R"(
+  Scenario with_discovery(options);
+  with_discovery.play(R"(
     open c
     send c job A price 700
     accept disco disco
     expect disco since=2 HTTP
-    send disco )" +
-            kHead + "\n" + delta("disco", 3, kDraining) + R"(
+    send disco )" + kHead +
+                      "\n" + delta("disco", 3, kDraining) + R"(
     expect c HTTP/1.1 503
     nobody box
   )");
   if (HasFailure())
     return;
-  Scenario alone(options);
-  alone.play(R"(
+  Scenario without_discovery(options);
+  without_discovery.play(R"(
     open c
     clock
     stop disco
@@ -265,9 +266,8 @@
   )");
 }
 
-// What a process believes of the size of its fleet makes it call later, and never makes it send
-// earlier.
-TEST_P(Drains, ARestartedProcessOfAnyFleetSendsNothingBeforeTheListHasCome) {
+// A larger configured fleet makes a process call later, and never makes it send earlier.
+TEST_P(Drains, ARestartedProcessSendsNothingBeforeTheListAtAnyFleetSize) {
   for (const char* processes : {"5", "300", "900"}) {
     Options options = with(std::string(R"({"balancers":)") + processes + R"(,"registry_mode":")" +
                            GetParam() + "\"}");
@@ -286,7 +286,7 @@
   }
 }
 
-// What keeps a call alive says nothing of the list before the call has brought one.
+// A heartbeat proves nothing about the list before its call has brought one.
 TEST_P(Drains, AHeartbeatBeforeTheListProvesNothing) {
   Options options = mode();
   options.known =
@@ -309,9 +309,8 @@
   )");
 }
 
-// An agent that is slow gets its answer through: a call is not given up for later ones before it
-// could be answered.
-TEST(Drain, AnAnswerOfTheAgentThatTakesThreeSecondsIsHeard) {
+// An agent that is slow can answer: a call is not replaced by later ones before that.
+TEST(Drain, AnAnswerOfTheAgentThatTakesThreeSecondsIsApplied) {
   std::string others;
   for (int i = 2; i <= 12; ++i)
     others += "accept call" + std::to_string(i) + " disco\n";
@@ -323,8 +322,8 @@
        with(R"({"registry_mode":"push"})"));
 }
 
-// What waits for a list waits for that of the discovery that a reload names, too.
-TEST_P(Drains, AWaitForTheListEndsWithTheDiscoveryThatAReloadNames) {
+// A request that waits for a list also waits for that of the discovery that a reload names.
+TEST_P(Drains, AWaitForTheListEndsWhenTheDiscoveryOfAReloadAnswers) {
   Options options = mode();
   options.known =
       R"({"seq":2,"whole":true,"hosts":[{"host":"box","dial":"@box","site":"east","class":"fast","block":1,"health":"ready"}]})";
@@ -347,7 +346,7 @@
   )");
 }
 
-// Whoever may send nothing yet leaves clients to others, for a while.
+// A process that may not send yet reports itself as not ready.
 TEST_P(Drains, AProcessIsNotUpBeforeItHasAList) {
   Scenario scenario(mode());
   scenario.play(R"(
@@ -364,9 +363,9 @@
   )");
 }
 
-// A wait that outlasts the request ends with a refusal, for unsafe work too: nothing of it was ever
-// sent.
-TEST_P(Drains, WhatWaitedForAListToItsEndIsRefused) {
+// A wait until the deadline ends with a rejection, for non-idempotent requests too: nothing of
+// them was ever sent.
+TEST_P(Drains, ARequestThatWaitedForAListUntilItsDeadlineIsRejected) {
   Options options = mode();
   options.known =
       R"({"seq":2,"whole":true,"hosts":[{"host":"box","dial":"@box","site":"east","class":"fast","block":1,"health":"ready"}]})";
@@ -380,8 +379,9 @@
   )");
 }
 
-// An override reaches attempts whose connection is still to come up, as a drain in the list does.
-TEST(Drain, NothingIsWrittenToAnExecutorDisabledBeforeItsConnectionCameUp) {
+// An override applies to attempts whose connection is not established yet, as a drain in the list
+// does.
+TEST(Drain, NothingIsWrittenToAnEndpointDisabledBeforeItsConnectionIsEstablished) {
   Options options = with(R"({"limits":{"connect_timeout_ms":8000}})");
   options.operators = true;
   play(R"(
