--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -1,177 +1,146 @@
-// The Engine feeds the decision module and carries out its actions. It keeps the requests and
-// attempts that are open and enforces the protocol's limits; it decides nothing and knows no wire.
+/// Joins the schedulers of all pools to the ports: requests come in, attempts go out, answers go
+/// back. It enforces the protocol's limits, decides nothing and knows no wire.
 #pragma once
 
-#include <deque>
+#include <functional>
 #include <optional>
-#include <unordered_map>
+#include <string>
 #include <vector>
 
+#include "core/attempt_tracker.h"
 #include "core/counters.h"
+#include "core/pool_dispatchers.h"
 #include "core/ports.h"
-#include "fleet/subsets.h"
-#include "fleet/turns.h"
+#include "core/request_table.h"
 #include "invariants/monitor.h"
 #include "operation_guard/operation_guard.h"
 
 namespace keelflow {
 
+/// The way of each request through the node. Single-threaded; it is called on the event loop, and
+/// all references and pointers that it is given must outlive it. Nothing here fails: faults of the
+/// outside come in as the end of an attempt.
 class Engine {
  public:
   struct Limits {
-    std::size_t most_held = 20000;
-    Duration tick{};
+    std::size_t most_held = 20000;  ///< Open requests; one more is rejected.
+    Duration tick{};                ///< The least time between two timers of one pool.
   };
 
   Engine(const scheduler::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
          const UnixClock& clock, Counters& counters);
   void connect(EndpointPort& endpoints) { endpoints_ = &endpoints; }
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
-  void peers(PeerSender* peers) {
-    peers_ = peers;
-  }  // null: what the module would tell them is dropped
-  // Pools: each has a lane, a Dispatcher that sees its endpoints and its requests only. There is
-  // one from the start.
-  void route(PoolSelector* routes) { routes_ = routes; }
-  void lanes(int count);  // at least so many
-  void screen(RequestFilter* screen) {
-    screen_ = screen;
-  }  // null: requests go to the module at once
-  void screened(RequestId id, const RequestFilter::Decision& said);
-  // By class number; whose figures its requests count under.
+  /// Null: messages to peers are dropped.
+  void peers(PeerSender* peers) { peers_ = peers; }
+  /// Null: all requests go to pool 0.
+  void route(PoolSelector* routes) { selector_ = routes; }
+  /// Adds pools until there are so many. Each has a Dispatcher that sees its endpoints and its
+  /// requests only. There is one from the start.
+  void lanes(int count) { pools_.grow(count); }
+  /// Null: requests go to the scheduler at once.
+  void screen(RequestFilter* filter) { filter_ = filter; }
+  /// The decision that RequestFilter::screen did not return at once.
+  void screened(RequestId id, const RequestFilter::Decision& decision);
+  /// By class number: the name under which the figures of its requests are counted.
   void name_classes(const std::vector<std::string>& names);
-  // Another process of this node: what the modules tell one another goes through `tell`. Null: it
-  // has gone.
-  void twin(std::function<void(const std::string&)> tell);
-  std::vector<scheduler::LearnedState> knowledge() const;  // by lane
-  void learn(const std::vector<scheduler::LearnedState>& knowledge);
-  // Settings that a running node takes over. Class numbers in use keep their meaning; `from`: see
-  // scheduler::SettingsChanged.
-  void retune(const scheduler::Settings& settings, std::vector<int> from, Limits limits);
-  bool class_in_use(int class_index) const;
-  // While the list of endpoints may not be sent by, requests are held and nothing is sent.
-  void allow_sends(bool allowed);
-  // Whether its client still waits for its final answer.
+  /// Another process of this node: what the schedulers notify one another of goes through `send`.
+  /// Null: it has gone.
+  void twin(std::function<void(const std::string&)> send);
+  std::vector<scheduler::LearnedState> knowledge() const { return pools_.learned_state(); }
+  void learn(const std::vector<scheduler::LearnedState>& learned) { pools_.restore(learned); }
+  /// Settings that a running node takes over. Class numbers in use keep their meaning;
+  /// `previous_classes`: see scheduler::SettingsChanged.
+  void retune(const scheduler::Settings& settings, const std::vector<int>& previous_classes,
+              Limits limits);
+  bool class_in_use(int class_index) const { return requests_.is_class_in_use(class_index); }
+  /// While the endpoint list may not be used for sending, requests are queued and nothing is sent.
+  void allow_sends(bool allowed) { pools_.allow_sends(allowed); }
+  /// Whether its client still waits for its final answer.
   bool client_waits(RequestId id) const;
   const operation_guard::Refusals& refusals() const { return refusals_; }
   void count_refusal(operation_guard::Operation operation, operation_guard::Reason reason) {
     refusals_.count(operation, reason);
   }
-  // Requests of that pool that no endpoint was ever sent are routed again.
+  /// Routes again all requests of that pool for which no attempt was made.
   void rehome(int pool);
 
-  // From the inbound side. Takes the request over: `asker` hears its final answer, perhaps before
-  // this returns, and must live until then or until client_gone. Empty: an open request has that id
-  // already.
+  /// From the inbound side: admits a request. `sink` gets its final answer, perhaps before this
+  /// returns, and must live until then or until client_gone. Empty: an open request has that id
+  /// already.
   std::optional<RequestId> take(Job job, ResponseSink& sink);
   void client_gone(RequestId id);
-  // The node will be gone after that: to requests taken from now on it is their latest deadline.
+  /// The process ends after that: it is the latest deadline of requests taken from now on.
   void answer_all_by(TimePoint last) { last_answer_ = last; }
 
-  // From the outbound side.
+  /// From the outbound side. Reports of an attempt that has ended are ignored.
   void attempt_started(AttemptRef ref);
   void attempt_progress(AttemptRef ref, double share);
   void attempt_ended(AttemptRef ref, AttemptEnd end);
   void probed(EndpointId endpoint, bool ok, Duration elapsed, const scheduler::LoadReport& report);
 
-  // Which nodes of the tier live, by rank.
-  void members(const std::vector<bool>& lives);
+  /// Which nodes of the tier are alive, by rank.
+  void members(const std::vector<bool>& alive) { pools_.change_membership(alive); }
+  /// From another node of the tier: to every pool, as each knows its own endpoints only.
+  void on_peer_message(int peer, const std::string& bytes);
+  /// From discovery.
+  void destinations(scheduler::EndpointList list, int pool = 0);
 
   void for_each_subset_entry(
-      const std::function<void(int pool, const scheduler::SubsetEntry&)>& look) const;
+      const std::function<void(int pool, const scheduler::SubsetEntry&)>& visit) const {
+    pools_.for_each_subset_entry(visit);
+  }
   void for_each_lease(
       const std::function<void(int pool, const fleet::SlowStartLeases::EndpointLease&,
-                               const scheduler::SlowStartBudget&)>& look) const;
-  fleet::SlowStartLeases::Statistics lease_statistics() const;  // of all lanes
-  void grants(bool on);  // whether nodes grant one another of their parts; else each keeps its own
-
-  // From another node of the tier: to every lane, as each knows its own endpoints only.
-  void on_peer_message(int peer, const std::string& bytes);
-
-  // From discovery.
-  void destinations(scheduler::EndpointList list, int pool = 0);
-
-  std::size_t pending() const {
-    return pending_;
-  }                                            // requests whose client still waits for its answer
-  bool is_ejected(EndpointId endpoint) const;  // some lane leaves it alone at present
-  std::size_t open_requests() const { return by_name_.size(); }
-  std::size_t open_attempts() const { return attempts_out_; }
-  std::size_t held(int pool) const {
-    return lanes_.at(static_cast<std::size_t>(pool))->dispatcher.queued_requests();
+                               const scheduler::SlowStartBudget&)>& visit) const {
+    pools_.for_each_lease(visit);
   }
+  fleet::SlowStartLeases::Statistics lease_statistics() const { return pools_.lease_statistics(); }
+  /// Whether nodes lease one another parts of their slow-start budgets; else each keeps its own.
+  void grants(bool enabled) { pools_.enable_leases(enabled); }
+
+  /// Requests whose client still waits for its answer.
+  std::size_t pending() const { return pending_; }
+  /// Whether some pool has ejected it at present.
+  bool is_ejected(EndpointId endpoint) const { return pools_.is_ejected(endpoint); }
+  std::size_t open_requests() const { return requests_.size(); }
+  std::size_t open_attempts() const { return attempts_.open_attempts(); }
+  /// Requests that are queued in that pool.
+  std::size_t held(int pool) const { return pools_.at(pool).dispatcher().queued_requests(); }
 
  private:
-  struct Attempt {
-    EndpointId endpoint = 0;
-    TimePoint sent;
-    TimerId timer = 0;
-    bool out = true, started = false, timed_out = false, giving_up = false,
-         may_send_callbacks = false, may_have_run = false;
-  };
-  struct Request {
-    Job job;
-    ResponseSink* sink = nullptr;  // null once answered or gone
-    TimePoint taken, admitted, deadline;
-    int pool = 0;
-    bool screening = false;  // the module has not seen it yet
-    std::vector<Attempt> attempts;
-    double queue_weight = 1;
-    bool expired = false;  // an attempt ran into its time limit
-  };
-
-  struct Lane {
-    Lane(const scheduler::Settings& settings, std::uint64_t seed,
-         std::shared_ptr<scheduler::TenantQuotas> shares, double started)
-        : dispatcher(settings, seed, std::move(shares)),
-          homes(settings),
-          turns(settings, started) {}
-    scheduler::Dispatcher dispatcher;
-    fleet::Subsets homes;
-    fleet::SlowStartLeases turns;
-    TimePoint last_bell{};
-  };
-
-  void post(int pool, scheduler::Event event);
-  void after(int lane, const scheduler::Event& event);
-  void ring(int pool, std::uint64_t name);
-  void carry_out(int pool, const scheduler::Action& action);
-  scheduler::RequestArrived arrival_of(RequestId id, const Request& request) const;
+  const scheduler::Settings& settings() const { return pools_.settings(); }
+  ClassFigures& figures_of(const Job& job) {
+    return *figures_.at(static_cast<std::size_t>(job.class_index));
+  }
+  void execute(const scheduler::Action& action);
+  void on_handled(const scheduler::Event& event);
+  void reject_at_once(const Job& job, ResponseSink& sink);
   void admit(RequestId id, Request& request);
-  void tell_end(const Request& request, PoolSelector::End how);
-  void count_end(const Request& request, FinalAnswer::Kind kind);
   void send(const scheduler::SendAttempt& send);
-  TimePoint write_by(const Request& request) const;
-  operation_guard::Verdict may_repeat(const Request& request, EndpointId endpoint) const;
-  void recall(AttemptRef ref, bool timed_out);
+  void send_to_peer(const scheduler::SendPeerMessage& message);
+  void cancel(AttemptRef ref, bool has_timed_out);
+  void fail(RequestId id);
   void finish(RequestId id, FinalAnswer answer);
-  void forget_if_over(RequestId id);
-  Attempt* out(AttemptRef ref);
+  void count_answer(const Job& job, FinalAnswer::Kind kind);
+  void report_end(const Request& request, PoolSelector::End outcome);
 
-  scheduler::Settings settings_;
-  std::uint64_t seed_;
-  std::shared_ptr<scheduler::TenantQuotas> shares_ = std::make_shared<scheduler::TenantQuotas>();
-  std::vector<std::unique_ptr<Lane>> lanes_;
-  std::vector<bool> lives_;  // by rank, as told last; empty: never
-  PoolSelector* routes_ = nullptr;
-  RequestFilter* screen_ = nullptr;
   Limits limits_;
-  std::vector<ClassFigures*> figures_;  // by class number
   TimerPort& timers_;
-  const UnixClock& clock_;
   Counters& counters_;
+  PoolDispatchers pools_;
+  RequestTable requests_;
+  AttemptTracker attempts_;
+  std::vector<ClassFigures*> figures_;  // by class number
+  PoolSelector* selector_ = nullptr;
+  RequestFilter* filter_ = nullptr;
   EndpointPort* endpoints_ = nullptr;
   invariants::Monitor* monitor_ = nullptr;
   PeerSender* peers_ = nullptr;
-  std::function<void(const std::string&)> twin_;
-  std::unordered_map<RequestId, Request> requests_;
-  std::unordered_map<std::string, RequestId> by_name_;  // of all in requests_
-  std::deque<std::pair<int, scheduler::Event>> inbox_;
-  bool pumping_ = false, grants_ = true, sends_allowed_ = true;
+  std::function<void(const std::string&)> send_to_sibling_;
   operation_guard::Refusals refusals_;
   TimePoint last_answer_ = TimePoint::max();
-  RequestId next_id_ = 1;
-  std::size_t attempts_out_ = 0, pending_ = 0;
+  std::size_t pending_ = 0;
 };
 
 }  // namespace keelflow
