--- a/node/core/attempt.h
+++ b/node/core/attempt.h
@@ -3,7 +3,8 @@
 
 #include <cstdint>
 
-#include "core/ports.h"
+#include "core/job.h"
+#include "core/timer_port.h"
 
 namespace keelflow {
 
--- a/node/core/attempt_tracker.h
+++ b/node/core/attempt_tracker.h
@@ -5,8 +5,9 @@
 #include <cstddef>
 
 #include "core/counters.h"
-#include "core/ports.h"
+#include "core/endpoint_port.h"
 #include "core/request_table.h"
+#include "core/timer_port.h"
 #include "operation_guard/operation_guard.h"
 
 namespace keelflow {
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -9,9 +9,14 @@
 
 #include "core/attempt_tracker.h"
 #include "core/counters.h"
+#include "core/endpoint_port.h"
+#include "core/peer_sender.h"
 #include "core/pool_dispatchers.h"
-#include "core/ports.h"
+#include "core/pool_selector.h"
+#include "core/request_filter.h"
 #include "core/request_table.h"
+#include "core/response_sink.h"
+#include "core/timer_port.h"
 #include "invariants/monitor.h"
 #include "operation_guard/operation_guard.h"
 
--- a/node/core/pool_dispatcher.h
+++ b/node/core/pool_dispatcher.h
@@ -5,7 +5,8 @@
 #include <memory>
 #include <vector>
 
-#include "core/ports.h"
+#include "core/job.h"
+#include "core/timer_port.h"
 #include "fleet/subsets.h"
 #include "fleet/turns.h"
 
--- a/node/core/pool_dispatchers.cpp
+++ b/node/core/pool_dispatchers.cpp
@@ -25,8 +25,8 @@
 void PoolDispatchers::grow(int count) {
   while (pools_.size() < static_cast<std::size_t>(count)) {
     int pool = static_cast<int>(pools_.size());
-    pools_.push_back(std::make_unique<PoolDispatcher>(
-        settings_, seed_ + pools_.size() * kSeedStep, quotas_, now_ms()));
+    pools_.push_back(std::make_unique<PoolDispatcher>(settings_, seed_ + pools_.size() * kSeedStep,
+                                                      quotas_, now_ms()));
     pools_.back()->enable_leases(leases_enabled_);
     if (!sends_allowed_)
       post(pool, scheduler::SendPermission{false});
--- a/node/core/pool_dispatchers.h
+++ b/node/core/pool_dispatchers.h
@@ -7,9 +7,10 @@
 #include <memory>
 #include <vector>
 
+#include "core/job.h"
 #include "core/pool_dispatcher.h"
-#include "core/ports.h"
 #include "core/time.h"
+#include "core/timer_port.h"
 
 namespace keelflow {
 
--- a/node/core/request_table.h
+++ b/node/core/request_table.h
@@ -7,7 +7,8 @@
 #include <vector>
 
 #include "core/attempt.h"
-#include "core/ports.h"
+#include "core/job.h"
+#include "core/response_sink.h"
 
 namespace keelflow {
 
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -5,7 +5,8 @@
 #include <functional>
 #include <random>
 
-#include "core/ports.h"
+#include "core/peer_sender.h"
+#include "core/timer_port.h"
 #include "discovery/outage_presumption.h"
 #include "net/event_loop.h"
 
--- a/node/fleet/members.h
+++ b/node/fleet/members.h
@@ -9,7 +9,8 @@
 
 #include "core/counters.h"
 #include "core/engine.h"
-#include "core/ports.h"
+#include "core/peer_sender.h"
+#include "core/timer_port.h"
 #include "fleet/membership.h"
 
 namespace keelflow {
--- a/node/net/timer_queue.h
+++ b/node/net/timer_queue.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "core/ports.h"
+#include "core/timer_port.h"
 
 namespace keelflow::net {
 
--- a/node/outbound/client_connection.h
+++ b/node/outbound/client_connection.h
@@ -3,7 +3,8 @@
 
 #include <string>
 
-#include "core/ports.h"
+#include "core/endpoint_port.h"
+#include "core/timer_port.h"
 #include "net/connection.h"
 #include "net/http.h"
 #include "operation_guard/operation_guard.h"
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/counters.h"
-#include "core/ports.h"
+#include "core/peer_sender.h"
 #include "net/address.h"
 #include "net/event_loop.h"
 
