--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -35,7 +35,7 @@
                  {Names{{"price", "hold"}, {"a"}, {"east"}, {"std"}}, settings()}, counters_),
         destinations_(
             loop_, {}, {}, [](scheduler::EndpointList) {}, counters_, 1) {
-    engine_.connect(*this);
+    engine_.set_endpoints(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
     std::vector<moves::MoveSpec> moves;
@@ -66,12 +66,12 @@
     job.key = n % 5000;
     job.path = "/hold/x";
     job.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-    job.patience = 1s;
+    job.client_timeout = 1s;
     job.hint = 50ms;
     now_ += 1ms;
-    engine_.take(std::move(job), *this);
+    engine_.submit(std::move(job), *this);
     for (auto ref = std::exchange(sent_, {}); ref.request;) {
-      engine_.attempt_ended(
+      engine_.on_attempt_ended(
           ref,
           {.outcome = AttemptOutcome::served, .delivery = DeliveryState::accepted, .result = "x"});
       break;
@@ -82,9 +82,9 @@
  private:
   void on_final(FinalAnswer) override {}
   void start(AttemptRef ref, EndpointId, const Job&, const Terms&) override { sent_ = ref; }
-  void give_up(AttemptRef) override {}
-  void give_up_unsent(AttemptRef) override {}
-  void probe(EndpointId) override {}
+  void cancel(AttemptRef) override {}
+  void cancel_unsent(AttemptRef) override {}
+  void send_health_check(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers_.add(when, std::move(task));
--- a/node/core/endpoint_port.h
+++ b/node/core/endpoint_port.h
@@ -19,7 +19,7 @@
   error,               ///< The endpoint reports that it failed.
   rejected,            ///< The endpoint reports that it never ran.
   broken,              ///< The connection or the process ended; `delivery` says if it may have run.
-  cancelled,           ///< Given up because the Engine cancelled it.
+  cancelled,           ///< The Engine cancelled it.
   cancel_undelivered,  ///< The same, but the endpoint has accepted it and the cancellation did not
                        ///< reach it: it may still run.
 };
@@ -35,7 +35,7 @@
   scheduler::LoadReport report = {};
 };
 
-/// Carries attempts to endpoints. Every attempt started ends with one Engine::attempt_ended.
+/// Carries attempts to endpoints. Every attempt started ends with one Engine::on_attempt_ended.
 class EndpointPort {
  public:
   virtual ~EndpointPort() = default;
@@ -47,11 +47,11 @@
                          ///< endpoint may still come.
   };
   virtual void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) = 0;
-  virtual void give_up(AttemptRef ref) = 0;
+  virtual void cancel(AttemptRef ref) = 0;
   /// Only if its last byte has not been written: then the endpoint has no request of it yet.
-  virtual void give_up_unsent(AttemptRef ref) = 0;
-  /// Sends a health check; Engine::probed follows.
-  virtual void probe(EndpointId endpoint) = 0;
+  virtual void cancel_unsent(AttemptRef ref) = 0;
+  /// Sends a health check; Engine::on_health_check_result follows.
+  virtual void send_health_check(EndpointId endpoint) = 0;
 };
 
 }  // namespace keelflow
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -12,16 +12,16 @@
 // Given with a rejection that no scheduler has decided.
 constexpr Duration kRetryAfterOverload = std::chrono::seconds(1);
 
-PoolSelector::End outcome_of(FinalAnswer::Kind kind) {
+RequestOutcome outcome_of(FinalAnswer::Kind kind) {
   switch (kind) {
     case FinalAnswer::Kind::served:
-      return PoolSelector::End::served;
+      return RequestOutcome::served;
     case FinalAnswer::Kind::refused:
-      return PoolSelector::End::refused;
+      return RequestOutcome::rejected;
     case FinalAnswer::Kind::failed:
       break;
   }
-  return PoolSelector::End::failed;
+  return RequestOutcome::failed;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
                     on_handled(event);
                   }}),
       attempts_(requests_, pools_.settings(), timers, counters) {
-  lanes(1);
+  ensure_pools(1);
   name_classes(std::vector<std::string>(settings.classes.size()));
 }
 
@@ -48,19 +48,19 @@
     figures_.push_back(&counters_.classes[name]);
 }
 
-void Engine::retune(const scheduler::Settings& settings, const std::vector<int>& previous_classes,
-                    Limits limits) {
+void Engine::change_settings(const scheduler::Settings& settings,
+                             const std::vector<int>& previous_classes, Limits limits) {
   limits_ = limits;
   pools_.set_tick(limits.tick);
   pools_.change_settings(settings, previous_classes);
 }
 
-bool Engine::client_waits(RequestId id) const {
+bool Engine::is_client_waiting(RequestId id) const {
   const Request* request = requests_.find(id);
   return request && request->has_client();
 }
 
-void Engine::twin(std::function<void(const std::string&)> send) {
+void Engine::set_sibling(std::function<void(const std::string&)> send) {
   send_to_sibling_ = std::move(send);
   pools_.post_to_all(scheduler::SiblingProcess{send_to_sibling_ != nullptr});
 }
@@ -79,7 +79,7 @@
     return cancel({a->request, a->attempt}, false);
   if (const auto* a = std::get_if<scheduler::SendHealthCheck>(&action)) {
     ++counters_.probes_sent;
-    return endpoints_->probe(a->endpoint);
+    return endpoints_->send_health_check(a->endpoint);
   }
   if (const auto* a = std::get_if<scheduler::SendPeerMessage>(&action))
     return send_to_peer(*a);
@@ -106,7 +106,7 @@
   sink.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = kRetryAfterOverload});
 }
 
-std::optional<RequestId> Engine::take(Job job, ResponseSink& sink) {
+std::optional<RequestId> Engine::submit(Job job, ResponseSink& sink) {
   if (requests_.contains_name(job.id))
     return std::nullopt;
   RequestId id = requests_.next_id();
@@ -126,32 +126,32 @@
   ++pending_;
   TimePoint now = timers_.now();
   if (monitor_)
-    monitor_->request_read(job.id, job.patience, now);
-  if (job.patience > last_answer_ - now)
-    job.patience = std::max(Duration::zero(), last_answer_ - now);
+    monitor_->request_read(job.id, job.client_timeout, now);
+  if (job.client_timeout > last_answer_ - now)
+    job.client_timeout = std::max(Duration::zero(), last_answer_ - now);
   job.limits_retries =
       settings().classes.at(static_cast<std::size_t>(job.class_index)).idempotency !=
       scheduler::Idempotency::idempotent;
   Request& request = requests_.add(id, std::move(job));
   request.taken = now;
-  request.deadline = now + request.job.patience;
+  request.deadline = now + request.job.client_timeout;
   request.sink = &sink;
   request.awaits_filter = filter_ != nullptr;
   if (!filter_)
     admit(id, request);
-  else if (auto decision = filter_->screen(id, request.job, request.deadline))
-    screened(id, *decision);
+  else if (auto decision = filter_->decide(id, request.job, request.deadline))
+    on_filter_decision(id, *decision);
   return id;
 }
 
-void Engine::screened(RequestId id, const RequestFilter::Decision& decision) {
+void Engine::on_filter_decision(RequestId id, const RequestFilter::Decision& decision) {
   Request* request = requests_.find(id);
   if (!request || !request->awaits_filter)
     return;
-  if (decision.refuse) {
+  if (decision.is_rejected) {
     Duration most = from_ms(settings().max_retry_after_ms);
     Duration retry_after =
-        settings().retry_after ? std::min(decision.come_back, most) : Duration::zero();
+        settings().retry_after ? std::min(decision.retry_after, most) : Duration::zero();
     return finish(id, {.kind = FinalAnswer::Kind::refused, .retry_after = retry_after});
   }
   request->awaits_filter = false;
@@ -170,7 +170,7 @@
 // To the Dispatcher that queued it, a request that leaves is one whose client has disconnected:
 // nothing was sent, so nothing has to be cancelled. Its deadline stays what it was, and it counts
 // once against its tenant's quota.
-void Engine::rehome(int pool) {
+void Engine::reroute(int pool) {
   if (!selector_)
     return;
   for (RequestId id : requests_.unsent_in_pool(pool)) {
@@ -185,27 +185,27 @@
   }
 }
 
-void Engine::report_end(const Request& request, PoolSelector::End outcome) {
+void Engine::report_end(const Request& request, RequestOutcome outcome) {
   if (selector_ && !request.awaits_filter)
-    selector_->ended(request.job, request.pool, request.admitted, outcome);
+    selector_->on_request_ended(request.job, request.pool, request.admitted, outcome);
   if (filter_)
-    filter_->ended(request.job, timers_.now() - request.taken, outcome);
+    filter_->on_request_ended(request.job, timers_.now() - request.taken, outcome);
 }
 
-void Engine::client_gone(RequestId id) {
+void Engine::on_client_disconnected(RequestId id) {
   Request* request = requests_.find(id);
   if (!request || !request->has_client())
     return;
   ++counters_.clients_gone;
   --pending_;
   request->sink = nullptr;
-  report_end(*request, PoolSelector::End::gone);
+  report_end(*request, RequestOutcome::client_disconnected);
   if (monitor_) {
     monitor_->client_left(request->job.id, timers_.now());
     monitor_->request_over(request->job.id);
   }
   if (request->awaits_filter) {
-    filter_->forget(id);
+    filter_->on_client_disconnected(id);
     return requests_.erase_if_complete(id);
   }
   // Where the settings bar cancelling, the scheduler leaves attempts alone; one of which nothing
@@ -217,7 +217,7 @@
   }
   pools_.post(request->pool, scheduler::ClientDisconnected{id});
   for (AttemptRef ref : unsent)
-    endpoints_->give_up_unsent(ref);
+    endpoints_->cancel_unsent(ref);
 }
 
 void Engine::send(const scheduler::SendAttempt& send) {
@@ -244,19 +244,19 @@
   refusals_.count(operation_guard::Operation::repeat, verdict.reason());
   log::warning(log::Subsystem::node, "repeat-forbidden",
                {{"id", request->job.id}, {"why", operation_guard::to_string(verdict.reason())}});
-  attempt_ended(ref, {.outcome = AttemptOutcome::cancelled,
-                      .delivery = DeliveryState::never_written,
-                      .withheld = true});
+  on_attempt_ended(ref, {.outcome = AttemptOutcome::cancelled,
+                         .delivery = DeliveryState::never_written,
+                         .withheld = true});
 }
 
 // The scheduler learns the attempt's outcome only when the outbound side has given it up, so that
 // no other attempt of the request goes out while the endpoint may still hold this one.
 void Engine::cancel(AttemptRef ref, bool has_timed_out) {
   if (attempts_.on_cancel(ref, has_timed_out))
-    endpoints_->give_up(ref);
+    endpoints_->cancel(ref);
 }
 
-void Engine::attempt_started(AttemptRef ref) {
+void Engine::on_attempt_started(AttemptRef ref) {
   if (!attempts_.on_started(ref))
     return;
   if (ResponseSink* sink = requests_.find(ref.request)->sink)
@@ -265,14 +265,14 @@
               scheduler::AttemptStarted{ref.request, ref.attempt});
 }
 
-void Engine::attempt_progress(AttemptRef ref, double share) {
+void Engine::on_attempt_progress(AttemptRef ref, double share) {
   if (!attempts_.find_open(ref))
     return;
   if (ResponseSink* sink = requests_.find(ref.request)->sink)
     sink->on_progress({.kind = Progress::Kind::running, .share = share, .attempt = ref.attempt});
 }
 
-void Engine::attempt_ended(AttemptRef ref, AttemptEnd end) {
+void Engine::on_attempt_ended(AttemptRef ref, AttemptEnd end) {
   if (!attempts_.find_open(ref))
     return;
   scheduler::AttemptFinished finished = attempts_.on_ended(ref, end);
@@ -287,8 +287,8 @@
 
 // The scheduler sends no health checks yet. With pools, the result belongs to the one that asked
 // for it.
-void Engine::probed(EndpointId endpoint, bool ok, Duration elapsed,
-                    const scheduler::LoadReport& report) {
+void Engine::on_health_check_result(EndpointId endpoint, bool ok, Duration elapsed,
+                                    const scheduler::LoadReport& report) {
   pools_.post_to_all(scheduler::HealthCheckResult{endpoint, ok, to_ms(elapsed), report});
 }
 
@@ -296,7 +296,7 @@
   pools_.post_to_all(scheduler::PeerMessage{peer, bytes});
 }
 
-void Engine::destinations(scheduler::EndpointList list, int pool) {
+void Engine::on_endpoint_list(scheduler::EndpointList list, int pool) {
   pools_.post(pool, std::move(list));
 }
 
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -34,62 +34,63 @@
 
   Engine(const scheduler::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
          const UnixClock& clock, Counters& counters);
-  void connect(EndpointPort& endpoints) { endpoints_ = &endpoints; }
-  void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
+  void set_endpoints(EndpointPort& endpoints) { endpoints_ = &endpoints; }
+  void set_monitor(invariants::Monitor* monitor) { monitor_ = monitor; }
   /// Null: messages to peers are dropped.
-  void peers(PeerSender* peers) { peers_ = peers; }
+  void set_peers(PeerSender* peers) { peers_ = peers; }
   /// Null: all requests go to pool 0.
-  void route(PoolSelector* routes) { selector_ = routes; }
+  void set_selector(PoolSelector* routes) { selector_ = routes; }
   /// Adds pools until there are so many. Each has a Dispatcher that sees its endpoints and its
   /// requests only. There is one from the start.
-  void lanes(int count) { pools_.grow(count); }
+  void ensure_pools(int count) { pools_.grow(count); }
   /// Null: requests go to the scheduler at once.
-  void screen(RequestFilter* filter) { filter_ = filter; }
-  /// The decision that RequestFilter::screen did not return at once.
-  void screened(RequestId id, const RequestFilter::Decision& decision);
+  void set_filter(RequestFilter* filter) { filter_ = filter; }
+  /// The decision that RequestFilter::decide did not return at once.
+  void on_filter_decision(RequestId id, const RequestFilter::Decision& decision);
   /// By class number: the name under which the figures of its requests are counted.
   void name_classes(const std::vector<std::string>& names);
   /// Another process of this node: what the schedulers notify one another of goes through `send`.
   /// Null: it has gone.
-  void twin(std::function<void(const std::string&)> send);
-  std::vector<scheduler::LearnedState> knowledge() const { return pools_.learned_state(); }
-  void learn(const std::vector<scheduler::LearnedState>& learned) { pools_.restore(learned); }
+  void set_sibling(std::function<void(const std::string&)> send);
+  std::vector<scheduler::LearnedState> learned_state() const { return pools_.learned_state(); }
+  void restore(const std::vector<scheduler::LearnedState>& learned) { pools_.restore(learned); }
   /// Settings that a running node takes over. Class numbers in use keep their meaning;
   /// `previous_classes`: see scheduler::SettingsChanged.
-  void retune(const scheduler::Settings& settings, const std::vector<int>& previous_classes,
-              Limits limits);
-  bool class_in_use(int class_index) const { return requests_.is_class_in_use(class_index); }
+  void change_settings(const scheduler::Settings& settings,
+                       const std::vector<int>& previous_classes, Limits limits);
+  bool is_class_in_use(int class_index) const { return requests_.is_class_in_use(class_index); }
   /// While the endpoint list may not be used for sending, requests are queued and nothing is sent.
   void allow_sends(bool allowed) { pools_.allow_sends(allowed); }
   /// Whether its client still waits for its final answer.
-  bool client_waits(RequestId id) const;
+  bool is_client_waiting(RequestId id) const;
   const operation_guard::Refusals& refusals() const { return refusals_; }
   void count_refusal(operation_guard::Operation operation, operation_guard::Reason reason) {
     refusals_.count(operation, reason);
   }
   /// Routes again all requests of that pool for which no attempt was made.
-  void rehome(int pool);
+  void reroute(int pool);
 
   /// From the inbound side: admits a request. `sink` gets its final answer, perhaps before this
-  /// returns, and must live until then or until client_gone. Empty: an open request has that id
-  /// already.
-  std::optional<RequestId> take(Job job, ResponseSink& sink);
-  void client_gone(RequestId id);
+  /// returns, and must live until then or until on_client_disconnected. Empty: an open request has
+  /// that id already.
+  std::optional<RequestId> submit(Job job, ResponseSink& sink);
+  void on_client_disconnected(RequestId id);
   /// The process ends after that: it is the latest deadline of requests taken from now on.
-  void answer_all_by(TimePoint last) { last_answer_ = last; }
+  void set_last_answer(TimePoint last) { last_answer_ = last; }
 
   /// From the outbound side. Reports of an attempt that has ended are ignored.
-  void attempt_started(AttemptRef ref);
-  void attempt_progress(AttemptRef ref, double share);
-  void attempt_ended(AttemptRef ref, AttemptEnd end);
-  void probed(EndpointId endpoint, bool ok, Duration elapsed, const scheduler::LoadReport& report);
+  void on_attempt_started(AttemptRef ref);
+  void on_attempt_progress(AttemptRef ref, double share);
+  void on_attempt_ended(AttemptRef ref, AttemptEnd end);
+  void on_health_check_result(EndpointId endpoint, bool ok, Duration elapsed,
+                              const scheduler::LoadReport& report);
 
   /// Which nodes of the tier are alive, by rank.
-  void members(const std::vector<bool>& alive) { pools_.change_membership(alive); }
+  void on_membership_changed(const std::vector<bool>& alive) { pools_.change_membership(alive); }
   /// From another node of the tier: to every pool, as each knows its own endpoints only.
   void on_peer_message(int peer, const std::string& bytes);
   /// From discovery.
-  void destinations(scheduler::EndpointList list, int pool = 0);
+  void on_endpoint_list(scheduler::EndpointList list, int pool = 0);
 
   void for_each_subset_entry(
       const std::function<void(int pool, const scheduler::SubsetEntry&)>& visit) const {
@@ -102,16 +103,18 @@
   }
   fleet::SlowStartLeases::Statistics lease_statistics() const { return pools_.lease_statistics(); }
   /// Whether nodes lease one another parts of their slow-start budgets; else each keeps its own.
-  void grants(bool enabled) { pools_.enable_leases(enabled); }
+  void enable_leases(bool enabled) { pools_.enable_leases(enabled); }
 
   /// Requests whose client still waits for its answer.
-  std::size_t pending() const { return pending_; }
+  std::size_t pending_requests() const { return pending_; }
   /// Whether some pool has ejected it at present.
   bool is_ejected(EndpointId endpoint) const { return pools_.is_ejected(endpoint); }
   std::size_t open_requests() const { return requests_.size(); }
   std::size_t open_attempts() const { return attempts_.open_attempts(); }
   /// Requests that are queued in that pool.
-  std::size_t held(int pool) const { return pools_.at(pool).dispatcher().queued_requests(); }
+  std::size_t queued_requests(int pool) const {
+    return pools_.at(pool).dispatcher().queued_requests();
+  }
 
  private:
   const scheduler::Settings& settings() const { return pools_.settings(); }
@@ -128,7 +131,7 @@
   void fail(RequestId id);
   void finish(RequestId id, FinalAnswer answer);
   void count_answer(const Job& job, FinalAnswer::Kind kind);
-  void report_end(const Request& request, PoolSelector::End outcome);
+  void report_end(const Request& request, RequestOutcome outcome);
 
   Limits limits_;
   TimerPort& timers_;
--- a/node/core/job.h
+++ b/node/core/job.h
@@ -24,7 +24,7 @@
   std::string id;  ///< The client's own name for it.
   int class_index = 0, tenant = 0;
   std::uint64_t key = 0;
-  Duration patience{};               ///< From its arrival until the client gives up.
+  Duration client_timeout{};         ///< From its arrival until the client gives up.
   std::chrono::microseconds hint{};  ///< Expected running time; zero: none given.
   double slots = 1, memory = 0;
   bool repeat = false;  ///< The client says that it is a retry.
--- a/node/core/request_filter.h
+++ b/node/core/request_filter.h
@@ -16,18 +16,18 @@
  public:
   /// What is to become of one request.
   struct Decision {
-    bool refuse = false;
-    Duration come_back{};     ///< Retry-After of a rejection.
+    bool is_rejected = false;
+    Duration retry_after{};   ///< Retry-After of a rejection.
     double queue_weight = 1;  ///< Of a request that is admitted.
     std::string label;        ///< Empty: none.
   };
   virtual ~RequestFilter() = default;
-  /// Empty: Engine::screened follows, in any case before the deadline.
-  virtual std::optional<Decision> screen(RequestId id, const Job& job, TimePoint deadline) = 0;
+  /// Empty: Engine::on_filter_decision follows, in any case before the deadline.
+  virtual std::optional<Decision> decide(RequestId id, const Job& job, TimePoint deadline) = 0;
   /// The client of a request without a decision has disconnected.
-  virtual void forget(RequestId id) = 0;
+  virtual void on_client_disconnected(RequestId id) = 0;
   /// How a request ended, `elapsed` after it was read.
-  virtual void ended(const Job& job, Duration elapsed, PoolSelector::End how) = 0;
+  virtual void on_request_ended(const Job& job, Duration elapsed, RequestOutcome outcome) = 0;
 };
 
 }  // namespace keelflow
--- a/node/fleet/members.cpp
+++ b/node/fleet/members.cpp
@@ -102,7 +102,7 @@
   std::vector<bool> lives;
   for (int m = 0; m < membership_->members(); ++m)
     lives.push_back(membership_->lives(m));
-  engine_.members(lives);
+  engine_.on_membership_changed(lives);
 }
 
 json MembershipAgent::status() const {
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -54,13 +54,13 @@
       : engine_(engine), connection_(connection) {}
 
   bool take(Job job) {
-    auto id = engine_.take(std::move(job), *this);
+    auto id = engine_.submit(std::move(job), *this);
     if (id)
       id_ = *id;
     return id.has_value();
   }
   void on_final(FinalAnswer answer) override { respond_final(connection_, answer); }
-  void on_client_gone() override { engine_.client_gone(id_); }
+  void on_client_gone() override { engine_.on_client_disconnected(id_); }
 
  private:
   Engine& engine_;
@@ -94,7 +94,7 @@
   auto patience = number<std::int64_t>(head.find("X-Expires-In-Ms"));
   if (!patience || *patience < 0 || *patience > kMostPatienceMs)
     return Rejection{400, "X-Expires-In-Ms is missing or out of range\n"};
-  job.patience = std::chrono::milliseconds(*patience);
+  job.client_timeout = std::chrono::milliseconds(*patience);
   job.tenant = Names::place(names.tenants,
                             head.find("X-Customer"));  // -1: it has no share, and uses up nobody's
   if (std::string_view key = head.find("X-Object"); !key.empty()) {
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -140,15 +140,15 @@
 
   int run() {
     engine_.name_classes(config_.names.classes);
-    engine_.connect(outbound_);
-    engine_.observe(&monitor_);
+    engine_.set_endpoints(outbound_);
+    engine_.set_monitor(&monitor_);
     outbound_.observe(&monitor_);
     destinations_.observe(&monitor_);
     server_.observe(&monitor_);
     server_.on_close_forbidden = [this](operation_guard::Reason reason) {
       engine_.count_refusal(operation_guard::Operation::close, reason);
     };
-    engine_.peers(&peers_);
+    engine_.set_peers(&peers_);
     traffic_.connect(destinations_);
     traffic_.configure(own_.routes, own_.moves);
     plugins_.configure(own_.plugins, plugins::load_all(own_.plugins, files_.own, config_.names));
@@ -181,7 +181,7 @@
       take_over_from_elder();
     else
       serve();
-    engine_.grants(own_.turns);
+    engine_.enable_leases(own_.turns);
     if (config_.peer_listen)
       open_peers();
     if (own_.progress.listen)
@@ -346,7 +346,7 @@
 
   nlohmann::json welcome() const {
     nlohmann::json knowledge = nlohmann::json::array();
-    for (const scheduler::LearnedState& k : engine_.knowledge())
+    for (const scheduler::LearnedState& k : engine_.learned_state())
       knowledge.push_back(to_json(k, config_.names));
     return {{"out", admin_overrides_.hosts()}, {"knowledge", knowledge}};
   }
@@ -357,8 +357,8 @@
     learned_.clear();
     for (const auto& told : word.at("knowledge"))
       learned_.push_back(from_json(told, config_.names));
-    engine_.learn(learned_);  // of the endpoints on the list that the platform keeps; of the others
-                              // when they are listed
+    engine_.restore(learned_);  // of the endpoints on the list that the platform keeps; of the
+                                // others when they are listed
     succession_->answered();
     log::info(Subsystem::node, "taken-over", {{"out", word.at("out").size()}});
     serve_if_ready();
@@ -367,7 +367,7 @@
   void take_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
     if (!serving_ && !learned_.empty())
-      engine_.learn(learned_);
+      engine_.restore(learned_);
   }
 
   void on_violation(invariants::Rule rule, const std::string& what) {
@@ -404,9 +404,9 @@
     server_.limit(handover::part(budget_.inbound, here));
     pool_.most_idle(handover::part(budget_.idle_outbound, here));
     if (here) {
-      engine_.twin([this](const std::string& note) { handover_->send_load_update(note); });
+      engine_.set_sibling([this](const std::string& note) { handover_->send_load_update(note); });
     } else {
-      engine_.twin(nullptr);
+      engine_.set_sibling(nullptr);
       successor_ = false;
       server_.accepting(true);
       if (succession_)
@@ -447,7 +447,7 @@
   Gauges gauges() const {
     std::size_t away = admin_overrides_.unavailable(
         [this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
-    return {.pending = engine_.pending(),
+    return {.pending = engine_.pending_requests(),
             .members = admin_overrides_.listed(),
             .members_unavailable = away};
   }
@@ -563,8 +563,9 @@
   void reload() {
     log::reopen();
     try {
-      Retuned next = retune(config_, read_config(files_.platform),
-                            [this](int class_index) { return engine_.class_in_use(class_index); });
+      Retuned next = retune(config_, read_config(files_.platform), [this](int class_index) {
+        return engine_.is_class_in_use(class_index);
+      });
       const Names& names = next.config.names;
       config::Own own = config::read_own(files_.own, !files_.own_given);
       Traffic::check(own.routes, names);
@@ -579,7 +580,7 @@
       plugins_.configure(own.plugins, std::move(packages));
       own_ = std::move(own);
       take_over(std::move(next));
-      engine_.grants(own_.turns);
+      engine_.enable_leases(own_.turns);
       ++counters_.reloads;
       log::info(Subsystem::node, "reloaded");
     } catch (const std::exception& fault) {
@@ -592,8 +593,8 @@
   void take_over(Retuned next) {
     config_ = std::move(next.config);
     engine_.name_classes(config_.names.classes);
-    engine_.retune(for_module(config_.settings), std::move(next.from),
-                   {config_.most_held, config_.tick});
+    engine_.change_settings(for_module(config_.settings), std::move(next.from),
+                            {config_.most_held, config_.tick});
     outbound_.retune({config_.connect_timeout, config_.report_names});
     pool_.keep(config_.idle_limit * 6 / 10);
     destinations_.names(config_.names);
@@ -615,7 +616,7 @@
     loop_.at(told + kForgiven, [this, told] {
       if (counters_.drain_stage < 2)
         counters_.drain_stage = 2;
-      engine_.answer_all_by(told + last_answer());
+      engine_.set_last_answer(told + last_answer());
     });
     loop_.at(told + std::min(kStillServing, last_answer()), [this] { leave(); });
     if (handover::leaves_accepting(true, successor_))
--- a/node/outbound/outbound.cpp
+++ b/node/outbound/outbound.cpp
@@ -48,8 +48,8 @@
     auto it = owner.probes_.find(this);
     owner.loop_.dispose(std::move(it->second));
     owner.probes_.erase(it);
-    owner.engine_.probed(endpoint_, ok, owner.loop_.now() - sent_,
-                         read_load_report(body_, owner.settings_.report_names));
+    owner.engine_.on_health_check_result(endpoint_, ok, owner.loop_.now() - sent_,
+                                         read_load_report(body_, owner.settings_.report_names));
   }
 
   Outbound& owner_;
@@ -75,7 +75,7 @@
 void Outbound::start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) {
   const Destination* to = destinations_.find(endpoint);
   if (!to)
-    return engine_.attempt_ended(
+    return engine_.on_attempt_ended(
         ref, {.outcome = AttemptOutcome::broken, .delivery = DeliveryState::never_written});
   auto& call = calls_[{ref.request, ref.attempt}];
   call = std::make_unique<OutboundCall>(*this, ref, endpoint, *to, job, terms);
@@ -83,22 +83,22 @@
   call->begin();
 }
 
-void Outbound::give_up(AttemptRef ref) {
+void Outbound::cancel(AttemptRef ref) {
   auto it = calls_.find({ref.request, ref.attempt});
   if (it != calls_.end())
     it->second->give_up();
 }
 
-void Outbound::give_up_unsent(AttemptRef ref) {
+void Outbound::cancel_unsent(AttemptRef ref) {
   auto it = calls_.find({ref.request, ref.attempt});
   if (it != calls_.end() && it->second->unsent())
     it->second->give_up();
 }
 
-void Outbound::probe(EndpointId endpoint) {
+void Outbound::send_health_check(EndpointId endpoint) {
   const Destination* to = destinations_.find(endpoint);
   if (!to)
-    return engine_.probed(endpoint, false, {}, {});
+    return engine_.on_health_check_result(endpoint, false, {}, {});
   auto call = std::make_unique<ProbeCall>(*this, endpoint);
   ProbeCall* raw = call.get();
   probes_.emplace(raw, std::move(call));
@@ -140,7 +140,7 @@
     monitor_->attempt_over(
         call.id(), call.host(),
         end.outcome == AttemptOutcome::rejected || end.delivery < DeliveryState::fully_written);
-  engine_.attempt_ended(ref, std::move(end));
+  engine_.on_attempt_ended(ref, std::move(end));
 }
 
 }  // namespace keelflow
--- a/node/outbound/outbound.h
+++ b/node/outbound/outbound.h
@@ -39,9 +39,9 @@
   ~Outbound() override;
 
   void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) override;
-  void give_up(AttemptRef ref) override;
-  void give_up_unsent(AttemptRef ref) override;
-  void probe(EndpointId endpoint) override;
+  void cancel(AttemptRef ref) override;
+  void cancel_unsent(AttemptRef ref) override;
+  void send_health_check(EndpointId endpoint) override;
 
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
   void retune(Settings settings) { settings_ = std::move(settings); }
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -73,7 +73,7 @@
   return operation_guard::may_send({.list_lease_valid = owner_.destinations_.may_send_by_list(),
                                     .endpoint_ready = endpoint && endpoint->accepts_new_work(),
                                     .same_address = endpoint && endpoint->dial == dial_,
-                                    .client_waits = owner_.engine_.client_waits(ref_.request),
+                                    .client_waits = owner_.engine_.is_client_waiting(ref_.request),
                                     .in_window = now <= terms_.write_by,
                                     .time_left = terms_.until - now});
 }
@@ -307,9 +307,9 @@
   if (state_ == State::giving_up)
     return;
   if (news.state == "started")
-    owner_.engine_.attempt_started(ref_);
+    owner_.engine_.on_attempt_started(ref_);
   if (news.state == "running")
-    owner_.engine_.attempt_progress(ref_, news.share);
+    owner_.engine_.on_attempt_progress(ref_, news.share);
 }
 
 // A call-back names no attempt and comes again until it has been answered: where this endpoint has
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -35,15 +35,15 @@
              : "";
 }
 
-const char* word(PoolSelector::End how) {
+const char* word(RequestOutcome how) {
   switch (how) {
-    case PoolSelector::End::served:
+    case RequestOutcome::served:
       return "served";
-    case PoolSelector::End::refused:
+    case RequestOutcome::rejected:
       return "refused";
-    case PoolSelector::End::failed:
+    case RequestOutcome::failed:
       return "failed";
-    case PoolSelector::End::gone:
+    case RequestOutcome::client_disconnected:
       return "gone";
   }
   return "";
@@ -160,7 +160,7 @@
       abandon(*gone);
   for (std::size_t i : begins)
     begin(*plugins_[i], packages[i], true);
-  engine_.screen(on() ? this : nullptr);
+  engine_.set_filter(on() ? this : nullptr);
   if (!on())
     release(holds_.all());
 }
@@ -454,10 +454,10 @@
   bool waits = false;
   Decision said = this->said(id, screening, waits);
   if (!waits)
-    engine_.screened(id, said);
+    engine_.on_filter_decision(id, said);
 }
 
-std::optional<RequestFilter::Decision> Plugins::screen(RequestId id, const Job& job,
+std::optional<RequestFilter::Decision> Plugins::decide(RequestId id, const Job& job,
                                                        TimePoint deadline) {
   Screening s;
   wire::Request message;
@@ -467,7 +467,7 @@
     if (s.said.empty()) {
       message = {.call = 0,
                  .now = unix_seconds(),
-                 .patience_ms = to_ms(job.patience),
+                 .patience_ms = to_ms(job.client_timeout),
                  .hint_ms = Milliseconds(job.hint).count(),
                  .repeat = job.repeat,
                  .id = cut(job.id),
@@ -477,7 +477,7 @@
                  .object = hex(job.key)};
     }
     // A client that waits hardly longer than a plug-in may take is not made to.
-    bool time = job.patience > 2 * plugin->wanted.answer_within;
+    bool time = job.client_timeout > 2 * plugin->wanted.answer_within;
     message.call = ++last_call_;
     CallId call =
         time ? ask(*plugin, message, {.request = true, .of = id, .place = s.said.size()}) : 0;
@@ -516,11 +516,11 @@
   auto plugin = [&](int place) {
     return place >= 0 ? s.plugins[static_cast<std::size_t>(place)] : nullptr;
   };
-  Decision out{.refuse = all.verdict.refuse,
-               .come_back = from_ms(all.verdict.come_back_ms),
+  Decision out{.is_rejected = all.verdict.refuse,
+               .retry_after = from_ms(all.verdict.come_back_ms),
                .queue_weight = all.verdict.queue_weight,
                .label = all.verdict.label};
-  if (out.refuse) {
+  if (out.is_rejected) {
     ++counters_.plugin_refused;
     if (Plugin* by = plugin(all.refused_by))
       ++by->refused;
@@ -549,7 +549,7 @@
       continue;
     Decision said = std::move(it->second);
     waiting_.erase(it);
-    engine_.screened(id, said);
+    engine_.on_filter_decision(id, said);
   }
 }
 
@@ -570,7 +570,7 @@
   watch_holds();
 }
 
-void Plugins::forget(RequestId id) {
+void Plugins::on_client_disconnected(RequestId id) {
   if (holds_.remove(id))
     watch_holds();
   waiting_.erase(id);
@@ -592,7 +592,7 @@
   screenings_.erase(it);
 }
 
-void Plugins::ended(const Job& job, Duration elapsed, PoolSelector::End how) {
+void Plugins::on_request_ended(const Job& job, Duration elapsed, RequestOutcome how) {
   for (const auto& plugin : plugins_) {
     if (!plugin->current || plugin->breaker.state() != Breaker::State::closed ||
         !sees(*plugin, job.class_index, job.tenant, Entry::on_answer))
--- a/node/plugins/plugins.h
+++ b/node/plugins/plugins.h
@@ -59,9 +59,9 @@
   // From now on nothing is held back, and what is held goes on: the node is being ended.
   void drain();
 
-  std::optional<Decision> screen(RequestId id, const Job& job, TimePoint deadline) override;
-  void forget(RequestId id) override;
-  void ended(const Job& job, Duration elapsed, PoolSelector::End how) override;
+  std::optional<Decision> decide(RequestId id, const Job& job, TimePoint deadline) override;
+  void on_client_disconnected(RequestId id) override;
+  void on_request_ended(const Job& job, Duration elapsed, RequestOutcome how) override;
 
   struct Event {  // of progress, as it would go out
     std::string_view request, class_index, label;
--- a/node/progress/progress_front.cpp
+++ b/node/progress/progress_front.cpp
@@ -116,7 +116,7 @@
     name_ = job.id;
     cls_ = front_.names_.classes[static_cast<std::size_t>(job.class_index)];
     tenant_ = job.tenant;
-    auto id = front_.engine_.take(std::move(job), *this);
+    auto id = front_.engine_.submit(std::move(job), *this);
     if (id)
       id_ = *id;
     return id.has_value();
@@ -166,7 +166,7 @@
   void on_client_gone() override {
     if (front_.store_ && sequence_ > 0)
       front_.store_->append(name_, ++sequence_, "cancelled", "{}");
-    front_.engine_.client_gone(id_);
+    front_.engine_.on_client_disconnected(id_);
   }
 
  private:
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -96,8 +96,8 @@
     known_.clear();
   }
   auto lists = router_->replace(spec.on() ? spec : one_pool(), now);
-  engine_.lanes(router_->numbers());
-  engine_.route(this);
+  engine_.ensure_pools(router_->numbers());
+  engine_.set_selector(this);
   counts_.resize(at(router_->numbers()));
   std::vector<std::unique_ptr<Moving>> old = std::exchange(moves_, {});
   for (const moves::MoveSpec& m : moves) {
@@ -130,7 +130,7 @@
   // What waits in a pool that is no more would wait in vain.
   for (int pool = 0; pool < router_->numbers(); ++pool)
     if (!router_->live(pool))
-      engine_.rehome(pool);
+      engine_.reroute(pool);
   wait_for_due();
   tick();
 }
@@ -153,7 +153,7 @@
           known_.erase(e.endpoint);
       }
     }
-    return engine_.destinations(std::move(list));
+    return engine_.on_endpoint_list(std::move(list));
   }
   listed_ = true;
   tell(router_->split(
@@ -166,7 +166,7 @@
 
 void Traffic::tell(routes::Router::Lists lists) {
   for (auto& [pool, list] : lists)
-    engine_.destinations(std::move(list), pool);
+    engine_.on_endpoint_list(std::move(list), pool);
   tell_health();
 }
 
@@ -205,7 +205,7 @@
                       .object = job.key,
                       .idempotency_key = job.idempotency_key,
                       .id = job.id,
-                      .patience_ms = to_ms(job.patience)};
+                      .patience_ms = to_ms(job.client_timeout)};
   routes::Choice choice = router_->choose(query, now);
   ++counts_[at(choice.pool)].chosen;
   counters_.requests_spilled += choice.spilled;
@@ -222,18 +222,18 @@
 
 // In time is an answer by the class's aim: target + objective_runtime_factor x the job's own
 // running time.
-void Traffic::ended(const Job& job, int pool, TimePoint taken, End how) {
+void Traffic::on_request_ended(const Job& job, int pool, TimePoint taken, RequestOutcome how) {
   const scheduler::ClassSettings& class_settings = settings_.module.classes.at(at(job.class_index));
   double elapsed = to_ms(timers_.now() - taken),
          aim = class_settings.latency_objective_ms +
                class_settings.objective_runtime_factor * Milliseconds(job.hint).count();
-  bool in_time = how == End::served && elapsed <= aim;
+  bool in_time = how == RequestOutcome::served && elapsed <= aim;
   PoolCount& count = counts_[at(pool)];
-  ++(how == End::served    ? count.served
-     : how == End::refused ? count.refused
-     : how == End::failed  ? count.failed
-                           : count.gone);
-  if (how == End::gone && elapsed <= aim)
+  ++(how == RequestOutcome::served     ? count.served
+     : how == RequestOutcome::rejected ? count.refused
+     : how == RequestOutcome::failed   ? count.failed
+                                       : count.gone);
+  if (how == RequestOutcome::client_disconnected && elapsed <= aim)
     return;  // who leaves before that tells nothing of the pool
   count.asked += class_settings.priority_weight;
   count.in_time += in_time ? class_settings.priority_weight : 0;
@@ -277,7 +277,7 @@
   moving.told = share;
   router_->shift(moving.route, moving.from, moving.to, share);
   if (router_->spec().routes[at(moving.route)].rehome)
-    engine_.rehome(back ? moving.to : moving.from);
+    engine_.reroute(back ? moving.to : moving.from);
 }
 
 // Runs only while a move is under way.
@@ -335,7 +335,7 @@
                    {"ready", h.ready},
                    {"warm", h.warm},
                    {"draining", h.draining},
-                   {"held", engine_.held(pool)},
+                   {"held", engine_.queued_requests(pool)},
                    {"chosen", c.chosen},
                    {"served", c.served},
                    {"refused", c.refused},
--- a/node/routes/traffic.h
+++ b/node/routes/traffic.h
@@ -43,7 +43,7 @@
   void list(scheduler::EndpointList list);
 
   int choose(const Job& job) override;
-  void ended(const Job& job, int pool, TimePoint taken, End how) override;
+  void on_request_ended(const Job& job, int pool, TimePoint taken, RequestOutcome how) override;
 
   // For the admin socket. `verb` is start, pause, resume or undo. Empty: done; else why not.
   bool has_move(std::string_view name) const;
--- a/tests/node/parts_test.cpp
+++ b/tests/node/parts_test.cpp
@@ -172,7 +172,7 @@
   EXPECT_EQ(job.class_index, 1);
   EXPECT_EQ(job.tenant, 1);
   EXPECT_EQ(job.hint, std::chrono::milliseconds(160));
-  EXPECT_EQ(job.patience, std::chrono::milliseconds(480));
+  EXPECT_EQ(job.client_timeout, std::chrono::milliseconds(480));
   EXPECT_EQ(job.key, 255u);
   EXPECT_EQ(job.slots, 2);
   EXPECT_EQ(job.memory, 1.5);
@@ -198,9 +198,9 @@
 // The Engine with a clock of the test's own; no endpoint is ever there.
 struct Idle final : EndpointPort, TimerPort, ResponseSink {
   void start(AttemptRef, EndpointId, const Job&, const Terms&) override {}
-  void give_up(AttemptRef) override {}
-  void give_up_unsent(AttemptRef) override {}
-  void probe(EndpointId) override {}
+  void cancel(AttemptRef) override {}
+  void cancel_unsent(AttemptRef) override {}
+  void send_health_check(EndpointId) override {}
   TimePoint now() const override { return time; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers.add(when, std::move(task));
@@ -228,14 +228,14 @@
     settings.classes.resize(1);
     settings.tick_ms = 4;
     Engine engine(settings, 1, {100, 4ms}, idle, clock, counters);
-    engine.connect(idle);
+    engine.set_endpoints(idle);
     idle.advance(idle.time + offset);
     TimePoint deadline = idle.time + 100ms;
     Job job;
     job.id = "A";
-    job.patience = 100ms;
-    ASSERT_TRUE(engine.take(job, idle));
-    EXPECT_FALSE(engine.take(job, idle));
+    job.client_timeout = 100ms;
+    ASSERT_TRUE(engine.submit(job, idle));
+    EXPECT_FALSE(engine.submit(job, idle));
     idle.advance(deadline + 1s);
     ASSERT_EQ(idle.answered.size(), 1u);
     EXPECT_EQ(idle.kind, FinalAnswer::Kind::refused);
@@ -251,15 +251,15 @@
   scheduler::Settings settings;
   settings.classes.resize(1);
   Engine engine(settings, 1, {1, {}}, idle, clock, counters);
-  engine.connect(idle);
+  engine.set_endpoints(idle);
   Job job;
   job.id = "A";
-  ASSERT_TRUE(engine.take(job, idle));
+  ASSERT_TRUE(engine.submit(job, idle));
   EXPECT_EQ(idle.answered.size(), 1u);
-  job.patience = std::chrono::seconds(1);
-  ASSERT_TRUE(engine.take(job, idle));
+  job.client_timeout = std::chrono::seconds(1);
+  ASSERT_TRUE(engine.submit(job, idle));
   job.id = "B";  // one more than may be open
-  ASSERT_TRUE(engine.take(job, idle));
+  ASSERT_TRUE(engine.submit(job, idle));
   EXPECT_EQ(idle.answered.size(), 2u);
   EXPECT_EQ(counters.answers_refused, 2u);
 }
--- a/tests/node/traffic_test.cpp
+++ b/tests/node/traffic_test.cpp
@@ -25,7 +25,7 @@
                  counters_),
         destinations_(
             loop_, {}, {}, [](scheduler::EndpointList) {}, counters_, 1) {
-    engine_.connect(*this);
+    engine_.set_endpoints(*this);
     traffic_.connect(destinations_);
     routes::Spec spec;
     if (one_pool) {
@@ -88,10 +88,10 @@
     job.class_index = static_cast<int>(random_() % 3);
     job.tenant = static_cast<int>(random_() % 2);
     job.key = random_() % 2 ? random_() % 50 : 0;
-    job.patience = std::chrono::milliseconds(200 + random_() % 2000);
+    job.client_timeout = std::chrono::milliseconds(200 + random_() % 2000);
     job.hint = std::chrono::microseconds(10'000 + random_() % 100'000);
     clients_.push_back(std::make_unique<Client>(*this, n));
-    engine_.take(std::move(job), *clients_.back());
+    engine_.submit(std::move(job), *clients_.back());
   }
 
   void list(scheduler::ListScope scope) {
@@ -111,24 +111,24 @@
     Duration wait = std::chrono::microseconds(random_() % 20'000),
              run = std::chrono::microseconds(random_() % 200'000);
     unsigned what = random_() % 12;
-    at(now_ + wait, [this, ref] { engine_.attempt_started(ref); });
+    at(now_ + wait, [this, ref] { engine_.on_attempt_started(ref); });
     at(now_ + wait + run, [this, ref, what] {
       AttemptOutcome outcome = what == 0   ? AttemptOutcome::rejected
                                : what == 1 ? AttemptOutcome::error
                                : what == 2 ? AttemptOutcome::broken
                                            : AttemptOutcome::served;
-      engine_.attempt_ended(
+      engine_.on_attempt_ended(
           ref, {.outcome = outcome,
                 .delivery = what == 2 ? DeliveryState::fully_written : DeliveryState::accepted});
     });
   }
-  void give_up_unsent(AttemptRef) override {}
-  void give_up(AttemptRef ref) override {
+  void cancel_unsent(AttemptRef) override {}
+  void cancel(AttemptRef ref) override {
     note("give up " + std::to_string(ref.request));
     at(now_ + 1ms,
-       [this, ref] { engine_.attempt_ended(ref, {.outcome = AttemptOutcome::cancelled}); });
+       [this, ref] { engine_.on_attempt_ended(ref, {.outcome = AttemptOutcome::cancelled}); });
   }
-  void probe(EndpointId) override {}
+  void send_health_check(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint when, std::function<void()> task) override {
     return timers_.add(when, std::move(task));
@@ -181,14 +181,14 @@
   void start(AttemptRef, EndpointId, const Job& job, const Terms&) override {
     sent.push_back(job.id);
   }
-  void give_up(AttemptRef) override {}
-  void give_up_unsent(AttemptRef) override {}
-  void probe(EndpointId) override {}
+  void cancel(AttemptRef) override {}
+  void cancel_unsent(AttemptRef) override {}
+  void send_health_check(EndpointId) override {}
   TimePoint now() const override { return now_; }
   TimerId at(TimePoint, std::function<void()>) override { return 0; }
   void cancel(TimerId) override {}
   int choose(const Job&) override { return chosen; }
-  void ended(const Job&, int, TimePoint, End) override {}
+  void on_request_ended(const Job&, int, TimePoint, RequestOutcome) override {}
   void on_final(FinalAnswer) override {}
 
   TimePoint now_ = Clock::now();
@@ -202,12 +202,14 @@
   std::vector<RequestId> forgotten;
 
  private:
-  std::optional<Decision> screen(RequestId, const Job& job, TimePoint) override {
+  std::optional<Decision> decide(RequestId, const Job& job, TimePoint) override {
     auto it = says.find(job.id);
     return it == says.end() ? std::nullopt : std::optional(it->second);
   }
-  void forget(RequestId id) override { forgotten.push_back(id); }
-  void ended(const Job& job, Duration, PoolSelector::End) override { heard.push_back(job.id); }
+  void on_client_disconnected(RequestId id) override { forgotten.push_back(id); }
+  void on_request_ended(const Job& job, Duration, RequestOutcome) override {
+    heard.push_back(job.id);
+  }
 };
 
 TEST(Engine, WhatIsWeighedMoreIsQueuedAsIfLargerAndWhatIsScreenedIsNotTheModulesYet) {
@@ -216,36 +218,37 @@
   settings.classes[0].latency_objective_ms = 1000;
   Order order;
   Screen screen;
-  screen.says = {{"a", {.refuse = false, .come_back = {}, .queue_weight = 4, .label = {}}},
+  screen.says = {{"a", {.is_rejected = false, .retry_after = {}, .queue_weight = 4, .label = {}}},
                  {"b", {}}};
   Counters counters;
   UnixClock clock;
   Engine engine(settings, 1, {1000, 0ms}, order, clock, counters);
-  engine.connect(order);
-  engine.screen(&screen);
+  engine.set_endpoints(order);
+  engine.set_filter(&screen);
   auto take = [&](std::string id, Duration hint) {
     Job job;
     job.id = std::move(id);
     job.tenant = -1;
-    job.patience = 60s;
+    job.client_timeout = 60s;
     job.hint = std::chrono::duration_cast<std::chrono::microseconds>(hint);
-    return *engine.take(std::move(job), order);
+    return *engine.submit(std::move(job), order);
   };
   take("a", 100ms), take("b", 200ms);
   RequestId late = take("late", 10ms), gone = take("gone", 10ms);
-  EXPECT_EQ(engine.held(0), 2u);
-  engine.client_gone(gone);
+  EXPECT_EQ(engine.queued_requests(0), 2u);
+  engine.on_client_disconnected(gone);
   EXPECT_EQ(screen.forgotten, std::vector<RequestId>{gone});
-  engine.screened(gone, {});  // too late: nothing comes of it
-  EXPECT_EQ(engine.held(0), 2u);
+  engine.on_filter_decision(gone, {});  // too late: nothing comes of it
+  EXPECT_EQ(engine.queued_requests(0), 2u);
   scheduler::EndpointList list;
   for (scheduler::EndpointId w = 1; w <= 10; ++w)
     list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
-  engine.destinations(list);
+  engine.on_endpoint_list(list);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"b", "a"}));
-  engine.screened(late, {});
-  engine.screened(
-      late, {.refuse = true, .come_back = {}, .queue_weight = 1, .label = {}});  // once is all
+  engine.on_filter_decision(late, {});
+  engine.on_filter_decision(
+      late,
+      {.is_rejected = true, .retry_after = {}, .queue_weight = 1, .label = {}});  // once is all
   EXPECT_EQ(order.sent.back(), "late");
   EXPECT_EQ(counters.answers_refused, 0u);
   EXPECT_EQ(engine.open_requests(), 3u);
@@ -262,27 +265,27 @@
   Counters counters;
   UnixClock clock;
   Engine engine(settings, 1, {1000, 0ms}, order, clock, counters);
-  engine.connect(order);
-  engine.lanes(2);
-  engine.route(&order);
+  engine.set_endpoints(order);
+  engine.ensure_pools(2);
+  engine.set_selector(&order);
   auto take = [&](std::string id, int tenant, Duration hint) {
     Job job;
     job.id = std::move(id);
     job.tenant = tenant;
-    job.patience = 60s;
+    job.client_timeout = 60s;
     job.hint = std::chrono::duration_cast<std::chrono::microseconds>(hint);
-    engine.take(std::move(job), order);
+    engine.submit(std::move(job), order);
   };
   for (const char* id : {"a", "b", "c", "d"})
     take(id, 0, 100ms);
   order.chosen = 1;
-  engine.rehome(0);
+  engine.reroute(0);
   EXPECT_EQ(counters.requests_rehomed, 4u);
   take("large", -1, 300ms);  // behind what is within the share, before what is beyond it
   scheduler::EndpointList list;
   for (scheduler::EndpointId w = 1; w <= 10; ++w)
     list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
-  engine.destinations(list, 1);
+  engine.on_endpoint_list(list, 1);
   ASSERT_EQ(order.sent.size(), 5u);
   EXPECT_EQ(order.sent, (std::vector<std::string>{"a", "b", "c", "d", "large"}));
 }
