--- a/node/node.cpp
+++ b/node/node.cpp
@@ -13,6 +13,7 @@
 #include "admin/admin_front.h"
 #include "admin/line_server.h"
 #include "admin/operator_calls.h"
+#include "admin/status_report.h"
 #include "admin_overrides/admin_overrides.h"
 #include "config/retune.h"
 #include "core/engine.h"
@@ -271,12 +272,13 @@
   }
 
   void open_admin() {
-    admin_front_ = std::make_unique<AdminFront>(traffic_, plugins_,
-                                                AdminFront::Pages{[this] { return status(); },
-                                                                  [this] {
-                                                                    return fleet();
-                                                                  }},
-                                                counters_);
+    admin_front_ =
+        std::make_unique<AdminFront>(traffic_, plugins_,
+                                     AdminFront::Pages{[this] { return status_report_.status(); },
+                                                       [this] {
+                                                         return status_report_.fleet();
+                                                       }},
+                                     counters_);
     admin_server_ = std::make_unique<Server>(loop_, *admin_front_, kAdminConnections, counters_);
     listen_when_free(*admin_server_, own_.admin.socket, [this] {
       log::info(Subsystem::admin, "listens",
@@ -472,90 +474,6 @@
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
   }
 
-  nlohmann::json status() {
-    counters_.log_dropped = log::dropped();
-    nlohmann::json counters = nlohmann::json::object();
-#define X(name) counters[#name] = counters_.name;
-    KEELFLOW_COUNTERS(X)
-#undef X
-    return {{"name", config_.name},
-            {"address", server_.address().text()},
-            {"version", KEELFLOW_VERSION},
-            {"forbidden", forbidden()},
-            {"violations", violations()},
-            {"draining", counters_.drain_stage > 0},
-            {"open_requests", engine_.open_requests()},
-            {"open_attempts", engine_.open_attempts()},
-            {"counters", counters}};
-  }
-
-  // What the operation guard has forbidden, by operation and reason.
-  nlohmann::json forbidden() const {
-    using namespace operation_guard;
-    nlohmann::json all = nlohmann::json::object();
-    for (Operation operation :
-         {Operation::send, Operation::repeat, Operation::close, Operation::start})
-      for (std::size_t i = 1; i < kReasons; ++i)
-        if (auto count = engine_.refusals().of(operation, static_cast<Reason>(i)); count > 0)
-          all[std::string(to_string(operation))][std::string(to_string(static_cast<Reason>(i)))] =
-              count;
-    return all;
-  }
-
-  nlohmann::json violations() const {
-    nlohmann::json all = nlohmann::json::object();
-    for (std::size_t i = 0; i < invariants::kRules; ++i)
-      if (auto count = monitor_.violations(static_cast<invariants::Rule>(i)); count > 0)
-        all[std::string(invariants::to_string(static_cast<invariants::Rule>(i)))] = count;
-    return all;
-  }
-
-  nlohmann::json turns() {
-    nlohmann::json at = nlohmann::json::array();
-    double now = clock_.unix_ms(loop_.now());
-    engine_.for_each_lease([&](int pool, const fleet::SlowStartLeases::EndpointLease& turn,
-                               const scheduler::SlowStartBudget& room) {
-      const Destination* known = destinations_.find(turn.entry.endpoint);
-      double granted = 0;
-      for (const auto& [node, given] : turn.given)
-        granted += given.until > now && !given.back ? given.work : 0;
-      at.push_back(
-          {{"pool", pool},
-           {"executor", known ? known->host : ""},
-           {"age_s", (now - turn.entry.started_at) / 1000},
-           {"share", turn.told_share},
-           {"left_ms", room.own},
-           {"held_ms", room.granted},
-           {"held_of", room.granted > 0 ? nlohmann::json(turn.owner) : nlohmann::json(nullptr)},
-           {"granted_ms", granted}});
-    });
-    fleet::SlowStartLeases::Statistics f = engine_.lease_statistics();
-    return {{"on", own_.turns && config_.settings.peers},
-            {"executors", at},
-            {"asked", f.asked},
-            {"got", f.got},
-            {"granted", f.granted},
-            {"denied", f.denied},
-            {"came_back", f.came_back},
-            {"late", f.late}};
-  }
-
-  nlohmann::json fleet() {
-    nlohmann::json homes = nlohmann::json::array();
-    engine_.for_each_subset_entry([&](int pool, const scheduler::SubsetEntry& at) {
-      const Destination* known = destinations_.find(at.endpoint);
-      homes.push_back({{"pool", pool},
-                       {"executor", known ? known->host : ""},
-                       {"own", at.is_own},
-                       {"others", at.peers}});
-    });
-    return {{"self", config_.settings.rank},
-            {"nodes", config_.settings.dispatchers},
-            {"membership", membership_agent_.status()},
-            {"homes", homes},
-            {"turns", turns()}};
-  }
-
   // SIGHUP: of the platform's file the settings and the discovery are taken over; the addresses to
   // listen on, the limits of the process and the peers hold until a restart. Of our own file pools,
   // routes, moves, plug-ins and the log are taken over, and what listens holds until a restart. All
@@ -693,6 +611,16 @@
   std::optional<handover::Succession> succession_;  // where the platform lends the listening socket
   std::vector<scheduler::LearnedState> learned_;    // by the process before us
   invariants::Monitor monitor_;
+  StatusReport status_report_{{.config = config_,
+                               .own = own_,
+                               .loop = loop_,
+                               .clock = clock_,
+                               .engine = engine_,
+                               .destinations = destinations_,
+                               .membership = membership_agent_,
+                               .server = server_,
+                               .monitor = monitor_,
+                               .counters = counters_}};
   bool serving_ = false, successor_ = false;
   bool was_ready_ = false;  // it had a list that could be sent by
   Signals signals_;
