--- /dev/null
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -0,0 +1,99 @@
+#include "lifecycle/graceful_shutdown.h"
+
+#include <algorithm>
+
+#include "handover/succession.h"
+#include "log/log.h"
+
+namespace keelflow {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they
+// have for as long as these stay open. While the next node is still starting they have no other
+// place to go to.
+constexpr Duration kServeAfterSigterm = 1600ms;
+// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7
+// s. What came in more than 0.7 s after SIGTERM must be answered by then; a little before that all
+// answers are out.
+constexpr Duration kLongestDeadline = 3s;
+constexpr Duration kAfterDeadline = 700ms;
+constexpr Duration kLimitDeadlinesAfter = 600ms;
+constexpr Duration kAnswerTravelTime = 300ms;
+// Between two checks whether all is done.
+constexpr Duration kCheckInterval = 20ms;
+
+}  // namespace
+
+void GracefulShutdown::begin() {
+  if (!advance(Stage::requested))
+    return;
+  log::info(log::Subsystem::node, "told-to-end");
+  parts_.plugins.drain();
+  TimePoint begun = parts_.loop.now();
+  parts_.loop.at(begun + kLimitDeadlinesAfter, [this, begun] {
+    advance(Stage::deadlines_limited);
+    parts_.engine.set_last_answer(begun + last_answer());
+  });
+  parts_.loop.at(begun + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
+  if (handover::leaves_accepting(true, callbacks_.has_successor()))
+    drain();
+}
+
+void GracefulShutdown::on_successor_ready() {
+  if (has_begun())
+    drain();
+}
+
+bool GracefulShutdown::advance(Stage next) {
+  if (stage() >= next)
+    return false;
+  parts_.counters.drain_stage = static_cast<std::uint64_t>(next);
+  return true;
+}
+
+Duration GracefulShutdown::last_answer() const {
+  return std::min(parts_.config.longest_deadline, kLongestDeadline) + kAfterDeadline -
+         kAnswerTravelTime;
+}
+
+// With a successor the listening socket is left to it at once: it accepts from the same socket, and
+// clients lose nothing by connecting to it.
+void GracefulShutdown::drain() {
+  if (!advance(Stage::draining))
+    return;
+  if (callbacks_.has_successor())
+    parts_.server.accepting(false);
+  else
+    parts_.membership.leave();
+  parts_.server.drain();
+  if (Server* progress = callbacks_.progress_server())
+    progress->drain();
+  check_drained();
+}
+
+bool GracefulShutdown::is_idle() const {
+  Server* progress = callbacks_.progress_server();
+  return parts_.engine.open_requests() == 0 && parts_.engine.open_attempts() == 0 &&
+         parts_.server.busy() == 0 && (!progress || progress->busy() == 0);
+}
+
+void GracefulShutdown::check_drained() {
+  Server* progress = callbacks_.progress_server();
+  parts_.server.close_idle();
+  if (progress)
+    progress->close_idle();
+  if (is_idle() && callbacks_.is_upgrade_done()) {
+    // What the kernel has accepted is served before the end, and nothing comes after it.
+    parts_.server.take_the_last();
+    if (progress)
+      progress->take_the_last();
+    if (parts_.server.connections() == 0 && (!progress || progress->connections() == 0))
+      return parts_.loop.stop();
+  }
+  parts_.loop.at(parts_.loop.now() + kCheckInterval, [this] { check_drained(); });
+}
+
+}  // namespace keelflow
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -24,6 +24,7 @@
 #include "handover/succession.h"
 #include "inbound/platform_front.h"
 #include "inbound/server.h"
+#include "lifecycle/graceful_shutdown.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
 #include "peers/peers.h"
@@ -37,16 +38,6 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they
-// have for as long as these stay open. While the next node is still starting they have no other
-// place to go to.
-constexpr Duration kStillServing = 1600ms;
-// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7
-// s. What came in more than 0.7 s after SIGTERM must be answered by then; a little before that all
-// answers are out.
-constexpr Duration kMostDeadline = 3s, kAfterDeadline = 700ms, kForgiven = 600ms,
-                   kAnswersTravel = 300ms;
-constexpr Duration kDrainCheck = 20ms;
 constexpr Duration kRetryAddress = 50ms;
 constexpr Duration kListArrives = 30ms;
 constexpr Duration kListBeforeReady = 4s;
@@ -215,7 +206,7 @@
         else if (info.ssi_signo == SIGHUP)
           node_.reload();
         else
-          node_.drain();
+          node_.shutdown_.begin();
       }
     }
 
@@ -419,8 +410,7 @@
 
   void successor_ready() {
     successor_ = true;
-    if (counters_.drain_stage > 0)
-      leave();
+    shutdown_.on_successor_ready();
   }
 
   // While the process before us lives the address is its own.
@@ -441,7 +431,7 @@
       if (!why.empty())
         return why;
     }
-    if (counters_.drain_stage > 0)
+    if (shutdown_.has_begun())
       return "it was told to end";
     return "";
   }
@@ -521,65 +511,11 @@
     destinations_.move(config_.discovery);
   }
 
-  // Nothing is turned away. At first all goes on as before; what comes later has only until the
-  // last answer. Then answers end their connections, and when nothing is open any more the program
-  // ends.
-  void drain() {
-    if (counters_.drain_stage > 0)
-      return;
-    counters_.drain_stage = 1;
-    log::info(Subsystem::node, "told-to-end");
-    plugins_.drain();
-    TimePoint told = loop_.now();
-    loop_.at(told + kForgiven, [this, told] {
-      if (counters_.drain_stage < 2)
-        counters_.drain_stage = 2;
-      engine_.set_last_answer(told + last_answer());
-    });
-    loop_.at(told + std::min(kStillServing, last_answer()), [this] { leave(); });
-    if (handover::leaves_accepting(true, successor_))
-      leave();
-  }
-
-  Duration last_answer() const {
-    return std::min(config_.longest_deadline, kMostDeadline) + kAfterDeadline - kAnswersTravel;
-  }
-
-  // With a successor at once: it accepts from the same socket, and clients lose nothing by coming
-  // back to it.
-  void leave() {
-    if (counters_.drain_stage == 3)
-      return;
-    counters_.drain_stage = 3;
-    if (successor_)
-      server_.accepting(false);
-    else
-      membership_agent_.leave();
-    server_.drain();
-    if (progress_server_)
-      progress_server_->drain();
-    check_drained();
-  }
-
-  void check_drained() {
-    server_.close_idle();
-    if (progress_server_)
-      progress_server_->close_idle();
-    bool over = engine_.open_requests() == 0 && engine_.open_attempts() == 0 &&
-                server_.busy() == 0 && (!progress_server_ || progress_server_->busy() == 0);
-    // One in the middle passes call-backs from its successor to its elder; without a successor the
-    // elder accepts again.
+  // A process between two others passes status callbacks from its successor to its predecessor;
+  // without a successor the predecessor accepts again.
+  bool is_upgrade_done() const {
     bool passes = handover_ && successor_ && handover_->has_old_process();
-    if (over && !passes && (!handover_ || handover_->flushed())) {
-      // What the kernel has accepted is taken: it is served before the end, and nothing comes after
-      // it.
-      server_.take_the_last();
-      if (progress_server_)
-        progress_server_->take_the_last();
-      if (server_.connections() == 0 && (!progress_server_ || progress_server_->connections() == 0))
-        return loop_.stop();
-    }
-    loop_.at(loop_.now() + kDrainCheck, [this] { check_drained(); });
+    return !passes && (!handover_ || handover_->flushed());
   }
 
   NodeFiles files_;
@@ -621,6 +557,19 @@
                                .server = server_,
                                .monitor = monitor_,
                                .counters = counters_}};
+  GracefulShutdown shutdown_{{.loop = loop_,
+                              .config = config_,
+                              .engine = engine_,
+                              .plugins = plugins_,
+                              .membership = membership_agent_,
+                              .server = server_,
+                              .counters = counters_},
+                             {.progress_server = [this] { return progress_server_.get(); },
+                              .has_successor = [this] { return successor_; },
+                              .is_upgrade_done =
+                                  [this] {
+                                    return is_upgrade_done();
+                                  }}};
   bool serving_ = false, successor_ = false;
   bool was_ready_ = false;  // it had a list that could be sent by
   Signals signals_;
