--- a/node/node.cpp
+++ b/node/node.cpp
@@ -15,7 +15,6 @@
 #include "admin/operator_calls.h"
 #include "admin/status_report.h"
 #include "admin_overrides/admin_overrides.h"
-#include "config/retune.h"
 #include "core/engine.h"
 #include "discovery/destination_set.h"
 #include "fleet/members.h"
@@ -24,6 +23,8 @@
 #include "handover/succession.h"
 #include "inbound/platform_front.h"
 #include "inbound/server.h"
+#include "lifecycle/config_reload.h"
+#include "lifecycle/derived_settings.h"
 #include "lifecycle/graceful_shutdown.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
@@ -56,27 +57,6 @@
   return {usable * 5 / 8, usable / 8, std::clamp(usable / 16, std::size_t{4}, std::size_t{24})};
 }
 
-// The list is this side's to keep fresh (DestinationSet): the module is told of it and never asks.
-scheduler::Settings for_module(scheduler::Settings settings) {
-  settings.polls_list = false;
-  return settings;
-}
-
-discovery::CallPolicy call_policy(const scheduler::Settings& settings) {
-  return {.pushed = !settings.polls_list, .processes = settings.dispatchers};
-}
-
-discovery::LeaseTerms lease_terms(const scheduler::Settings& settings) {
-  return {.pushed = !settings.polls_list,
-          .drain_grace = from_ms(settings.drain_grace_ms),
-          .ask_within = from_ms(settings.poll_within_ms)};
-}
-
-invariants::Terms monitor_terms(const scheduler::Settings& settings) {
-  return {.drain_grace = from_ms(settings.drain_grace_ms),
-          .parallel_attempts = settings.concurrent_attempts};
-}
-
 sigset_t signals() {
   sigset_t set;
   sigemptyset(&set);
@@ -92,8 +72,8 @@
         config_(std::move(config)),
         own_(std::move(own)),
         budget_(split(config_.sockets)),
-        engine_(for_module(config_.settings), config_.seed, {config_.most_held, config_.tick},
-                loop_, clock_, counters_),
+        engine_(scheduler_settings(config_.settings), config_.seed,
+                {config_.most_held, config_.tick}, loop_, clock_, counters_),
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
         destinations_(
             loop_, config_.discovery, config_.names,
@@ -204,7 +184,7 @@
         if (info.ssi_signo == SIGUSR1)
           node_.tell_counters();
         else if (info.ssi_signo == SIGHUP)
-          node_.reload();
+          node_.reload_.run();
         else
           node_.shutdown_.begin();
       }
@@ -464,53 +444,6 @@
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
   }
 
-  // SIGHUP: of the platform's file the settings and the discovery are taken over; the addresses to
-  // listen on, the limits of the process and the peers hold until a restart. Of our own file pools,
-  // routes, moves, plug-ins and the log are taken over, and what listens holds until a restart. All
-  // is read before anything changes: a bad file changes nothing.
-  void reload() {
-    log::reopen();
-    try {
-      Retuned next = retune(config_, read_config(files_.platform), [this](int class_index) {
-        return engine_.is_class_in_use(class_index);
-      });
-      const Names& names = next.config.names;
-      config::Own own = config::read_own(files_.own, !files_.own_given);
-      Traffic::check(own.routes, names);
-      traffic_.check_numbers(own.routes);
-      auto packages = plugins::load_all(own.plugins, files_.own, names);
-      if (own.log.json != own_.log.json || own.log.file != own_.log.file ||
-          own.log.level != own_.log.level || own.log.levels != own_.log.levels)
-        log::open(own.log);  // the last that may throw
-      traffic_.retune({names, next.config.settings});
-      traffic_.configure(own.routes, own.moves);
-      plugins_.retune(names, next.config.settings.classes);
-      plugins_.configure(own.plugins, std::move(packages));
-      own_ = std::move(own);
-      take_over(std::move(next));
-      engine_.enable_leases(own_.turns);
-      ++counters_.reloads;
-      log::info(Subsystem::node, "reloaded");
-    } catch (const std::exception& fault) {
-      ++counters_.reloads_failed;
-      log::error(Subsystem::node, "reload-refused",
-                 {{"file", files_.platform}, {"fault", fault.what()}});
-    }
-  }
-
-  void take_over(Retuned next) {
-    config_ = std::move(next.config);
-    engine_.name_classes(config_.names.classes);
-    engine_.change_settings(for_module(config_.settings), std::move(next.from),
-                            {config_.most_held, config_.tick});
-    outbound_.retune({config_.connect_timeout, config_.report_names});
-    pool_.keep(config_.idle_limit * 6 / 10);
-    destinations_.names(config_.names);
-    monitor_.change(monitor_terms(config_.settings));
-    destinations_.change(call_policy(config_.settings), lease_terms(config_.settings));
-    destinations_.move(config_.discovery);
-  }
-
   // A process between two others passes status callbacks from its successor to its predecessor;
   // without a successor the predecessor accepts again.
   bool is_upgrade_done() const {
@@ -557,6 +490,17 @@
                                .server = server_,
                                .monitor = monitor_,
                                .counters = counters_}};
+  ConfigReload reload_{{.files = files_,
+                        .config = config_,
+                        .own = own_,
+                        .engine = engine_,
+                        .traffic = traffic_,
+                        .destinations = destinations_,
+                        .connections = pool_,
+                        .outbound = outbound_,
+                        .plugins = plugins_,
+                        .monitor = monitor_,
+                        .counters = counters_}};
   GracefulShutdown shutdown_{{.loop = loop_,
                               .config = config_,
                               .engine = engine_,
