--- /dev/null
+++ b/node/lifecycle/process_upgrade.cpp
@@ -0,0 +1,127 @@
+#include "lifecycle/process_upgrade.h"
+
+#include <cstdlib>
+
+#include "handover/knowledge_form.h"
+#include "log/log.h"
+
+namespace keelflow {
+
+using log::Subsystem;
+
+namespace {
+
+// From an established watch until the list that discovery sends at once has been applied.
+constexpr Duration kListArrives = std::chrono::milliseconds(30);
+
+}  // namespace
+
+void ProcessUpgrade::begin() {
+  const char* folder = std::getenv("TMPDIR");
+  if (!folder || !*folder)
+    log::warning(Subsystem::node, "no-handover", {{"fault", "TMPDIR is not set"}});
+  else
+    handover_ = std::make_unique<Handover>(parts_.loop, folder, parts_.config.name,
+                                           handover_callbacks(), parts_.counters);
+  succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()), handover_ && handover_->ask());
+  parts_.loop.at(parts_.clock.at(succession_->latest()), callbacks_.serve_if_ready);
+}
+
+Handover::Callbacks ProcessUpgrade::handover_callbacks() {
+  return {.welcome = [this] { return welcome(); },
+          .welcomed = [this](const nlohmann::json& message) { on_welcomed(message); },
+          .partner = [this](bool is_here) { on_sibling(is_here); },
+          .successor_ready =
+              [this] {
+                has_successor_ = true;
+                callbacks_.on_successor_ready();
+              },
+          .by_hand = callbacks_.apply_override,
+          .note =
+              [this](const std::string& update) {
+                parts_.engine.on_peer_message(parts_.config.settings.rank, update);
+              },
+          .news =
+              [this](const std::string& body) {
+                auto callback = decode_status_callback(body, parts_.config.report_names);
+                return callback && parts_.outbound.news(*callback);
+              }};
+}
+
+bool ProcessUpgrade::is_done() const {
+  // A process between two others passes status callbacks from its successor to its predecessor;
+  // without a successor the predecessor accepts again.
+  bool passes_callbacks = handover_ && has_successor_ && handover_->has_old_process();
+  return !passes_callbacks && (!handover_ || handover_->flushed());
+}
+
+std::string ProcessUpgrade::waits_for() const {
+  return succession_ ? succession_->waits_for(parts_.clock.unix_ms(parts_.loop.now()))
+                     : "it starts";
+}
+
+void ProcessUpgrade::on_serving() {
+  if (handover_)
+    handover_->listen();
+}
+
+// What discovery has to send follows at once, in this iteration of the loop or the next.
+void ProcessUpgrade::on_watch_established() {
+  parts_.loop.at(parts_.loop.now() + kListArrives, [this] {
+    succession_->listed();
+    callbacks_.serve_if_ready();
+  });
+}
+
+void ProcessUpgrade::on_list_before_serving() {
+  if (!learned_.empty())
+    parts_.engine.restore(learned_);
+}
+
+void ProcessUpgrade::send_admin_override(const std::string& host, bool out) {
+  if (handover_)
+    handover_->send_admin_override(host, out);
+}
+
+bool ProcessUpgrade::forward_status_callback(const std::string& body) {
+  return !handover_ || handover_->forward_status_callback(body);
+}
+
+nlohmann::json ProcessUpgrade::welcome() const {
+  nlohmann::json learned = nlohmann::json::array();
+  for (const scheduler::LearnedState& state : parts_.engine.learned_state())
+    learned.push_back(to_json(state, parts_.config.names));
+  return {{"out", parts_.overrides.hosts()}, {"knowledge", learned}};
+}
+
+void ProcessUpgrade::on_welcomed(const nlohmann::json& message) {
+  for (const auto& host : message.at("out"))
+    callbacks_.apply_override(host.get<std::string>(), true);
+  learned_.clear();
+  for (const auto& state : message.at("knowledge"))
+    learned_.push_back(from_json(state, parts_.config.names));
+  // Of the endpoints on the list that the platform keeps; of the others when they are listed.
+  parts_.engine.restore(learned_);
+  succession_->answered();
+  log::info(Subsystem::node, "taken-over", {{"out", message.at("out").size()}});
+  callbacks_.serve_if_ready();
+}
+
+void ProcessUpgrade::on_sibling(bool is_here) {
+  log::info(Subsystem::node, is_here ? "partner-here" : "partner-gone");
+  parts_.server.limit(handover::part(limits_.inbound, is_here));
+  parts_.connections.most_idle(handover::part(limits_.idle_outbound, is_here));
+  if (is_here) {
+    parts_.engine.set_sibling(
+        [this](const std::string& update) { handover_->send_load_update(update); });
+    return;
+  }
+  parts_.engine.set_sibling(nullptr);
+  has_successor_ = false;
+  parts_.server.accepting(true);
+  if (succession_)
+    succession_->gone();
+  callbacks_.serve_if_ready();
+}
+
+}  // namespace keelflow
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -18,14 +18,12 @@
 #include "core/engine.h"
 #include "discovery/destination_set.h"
 #include "fleet/members.h"
-#include "handover/handover.h"
-#include "handover/knowledge_form.h"
-#include "handover/succession.h"
 #include "inbound/platform_front.h"
 #include "inbound/server.h"
 #include "lifecycle/config_reload.h"
 #include "lifecycle/derived_settings.h"
 #include "lifecycle/graceful_shutdown.h"
+#include "lifecycle/process_upgrade.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
 #include "peers/peers.h"
@@ -40,7 +38,6 @@
 using log::Subsystem;
 
 constexpr Duration kRetryAddress = 50ms;
-constexpr Duration kListArrives = 30ms;
 constexpr Duration kListBeforeReady = 4s;
 constexpr std::size_t kAdminConnections = 6;
 
@@ -147,10 +144,10 @@
       return was_ready_ || loop_.now() >= latest;
     };
     front_.forward_status_callback = [this](const std::string& body) {
-      return !handover_ || handover_->forward_status_callback(body);
+      return upgrade_.forward_status_callback(body);
     };
     if (config_.listen_fd >= 0)
-      take_over_from_elder();
+      upgrade_.begin();
     else
       serve();
     engine_.enable_leases(own_.turns);
@@ -229,7 +226,7 @@
     try {
       server.listen(where);
     } catch (const std::system_error& fault) {
-      if (!handover_ || !handover_->partner() || fault.code().value() != EADDRINUSE)
+      if (!upgrade_.has_sibling() || fault.code().value() != EADDRINUSE)
         throw;
       return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
         try {
@@ -277,70 +274,20 @@
       server_.inherit(config_.listen_fd);
     else
       server_.listen(config_.listen);
-    if (handover_)
-      handover_->listen();
+    upgrade_.on_serving();
     log::info(Subsystem::node, "listens",
               {{"name", config_.name}, {"address", server_.address().text()}});
   }
 
-  // Whoever starts while another process of this node serves asks it first. Until both are one they
-  // share all limits.
-  void take_over_from_elder() {
-    const char* folder = std::getenv("TMPDIR");
-    if (!folder || !*folder)
-      log::warning(Subsystem::node, "no-handover", {{"fault", "TMPDIR is not set"}});
-    else
-      handover_ = std::make_unique<Handover>(
-          loop_, folder, config_.name,
-          Handover::Callbacks{
-              .welcome = [this] { return welcome(); },
-              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
-              .partner = [this](bool here) { partner(here); },
-              .successor_ready = [this] { successor_ready(); },
-              .by_hand = [this](const std::string& host, bool out) { lay_over(host, out); },
-              .note =
-                  [this](const std::string& note) {
-                    engine_.on_peer_message(config_.settings.rank, note);
-                  },
-              .news =
-                  [this](const std::string& body) {
-                    auto news = decode_status_callback(body, config_.report_names);
-                    return news && outbound_.news(*news);
-                  }},
-          counters_);
-    succession_.emplace(clock_.unix_ms(loop_.now()), handover_ && handover_->ask());
-    loop_.at(clock_.at(succession_->latest()), [this] { serve_if_ready(); });
-  }
-
   void serve_if_ready() {
-    if (!serving_ && succession_ && not_ready().empty())
+    if (!serving_ && upgrade_.has_begun() && not_ready().empty())
       serve();
   }
 
-  nlohmann::json welcome() const {
-    nlohmann::json knowledge = nlohmann::json::array();
-    for (const scheduler::LearnedState& k : engine_.learned_state())
-      knowledge.push_back(to_json(k, config_.names));
-    return {{"out", admin_overrides_.hosts()}, {"knowledge", knowledge}};
-  }
-
-  void welcomed(const nlohmann::json& word) {
-    for (const auto& host : word.at("out"))
-      lay_over(host.get<std::string>(), true);
-    learned_.clear();
-    for (const auto& told : word.at("knowledge"))
-      learned_.push_back(from_json(told, config_.names));
-    engine_.restore(learned_);  // of the endpoints on the list that the platform keeps; of the
-                                // others when they are listed
-    succession_->answered();
-    log::info(Subsystem::node, "taken-over", {{"out", word.at("out").size()}});
-    serve_if_ready();
-  }
-
   void take_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
-    if (!serving_ && !learned_.empty())
-      engine_.restore(learned_);
+    if (!serving_)
+      upgrade_.on_list_before_serving();
   }
 
   void on_violation(invariants::Rule rule, const std::string& what) {
@@ -362,35 +309,9 @@
       outbound_.resume_withheld();
   }
 
-  // What discovery has to tell follows at once, in this turn of the loop or the next.
   void watching() {
-    if (!succession_ || serving_)
-      return;
-    loop_.at(loop_.now() + kListArrives, [this] {
-      succession_->listed();
-      serve_if_ready();
-    });
-  }
-
-  void partner(bool here) {
-    log::info(Subsystem::node, here ? "partner-here" : "partner-gone");
-    server_.limit(handover::part(budget_.inbound, here));
-    pool_.most_idle(handover::part(budget_.idle_outbound, here));
-    if (here) {
-      engine_.set_sibling([this](const std::string& note) { handover_->send_load_update(note); });
-    } else {
-      engine_.set_sibling(nullptr);
-      successor_ = false;
-      server_.accepting(true);
-      if (succession_)
-        succession_->gone();
-      serve_if_ready();
-    }
-  }
-
-  void successor_ready() {
-    successor_ = true;
-    shutdown_.on_successor_ready();
+    if (upgrade_.has_begun() && !serving_)
+      upgrade_.on_watch_established();
   }
 
   // While the process before us lives the address is its own.
@@ -398,7 +319,7 @@
     if (peers_.open(*config_.peer_listen))
       return membership_agent_.start(own_.members, config_.settings.dispatchers,
                                      config_.settings.rank);
-    if (handover_ && errno == EADDRINUSE)
+    if (upgrade_.is_enabled() && errno == EADDRINUSE)
       return void(loop_.at(loop_.now() + kRetryAddress, [this] { open_peers(); }));
     log::error(Subsystem::node, "peers-unheard",
                {{"address", config_.peer_listen->text()}, {"errno", errno}});
@@ -406,8 +327,7 @@
 
   std::string not_ready() const {
     if (!serving_) {
-      std::string why =
-          succession_ ? succession_->waits_for(clock_.unix_ms(loop_.now())) : "it starts";
+      std::string why = upgrade_.waits_for();
       if (!why.empty())
         return why;
     }
@@ -430,8 +350,7 @@
     if (!(known && known->host == host) && !admin_overrides_.is_disabled(endpoint))
       return "no executor '" + host + "' was ever listed";
     lay_over(host, out);
-    if (handover_)
-      handover_->send_admin_override(host, out);
+    upgrade_.send_admin_override(host, out);
     return "";
   }
 
@@ -444,13 +363,6 @@
     log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
   }
 
-  // A process between two others passes status callbacks from its successor to its predecessor;
-  // without a successor the predecessor accepts again.
-  bool is_upgrade_done() const {
-    bool passes = handover_ && successor_ && handover_->has_old_process();
-    return !passes && (!handover_ || handover_->flushed());
-  }
-
   NodeFiles files_;
   Config config_;
   config::Own own_;
@@ -476,9 +388,24 @@
   std::unique_ptr<Server> progress_server_;
   std::unique_ptr<AdminFront> admin_front_;
   std::unique_ptr<Server> admin_server_;
-  std::unique_ptr<Handover> handover_;
-  std::optional<handover::Succession> succession_;  // where the platform lends the listening socket
-  std::vector<scheduler::LearnedState> learned_;    // by the process before us
+  // Where the platform lends the listening socket.
+  ProcessUpgrade upgrade_{
+      {.loop = loop_,
+       .clock = clock_,
+       .config = config_,
+       .overrides = admin_overrides_,
+       .engine = engine_,
+       .outbound = outbound_,
+       .connections = pool_,
+       .server = server_,
+       .counters = counters_},
+      {budget_.inbound, budget_.idle_outbound},
+      {.apply_override = [this](const std::string& host, bool out) { lay_over(host, out); },
+       .serve_if_ready = [this] { serve_if_ready(); },
+       .on_successor_ready =
+           [this] {
+             shutdown_.on_successor_ready();
+           }}};
   invariants::Monitor monitor_;
   StatusReport status_report_{{.config = config_,
                                .own = own_,
@@ -509,12 +436,12 @@
                               .server = server_,
                               .counters = counters_},
                              {.progress_server = [this] { return progress_server_.get(); },
-                              .has_successor = [this] { return successor_; },
+                              .has_successor = [this] { return upgrade_.has_successor(); },
                               .is_upgrade_done =
                                   [this] {
-                                    return is_upgrade_done();
+                                    return upgrade_.is_done();
                                   }}};
-  bool serving_ = false, successor_ = false;
+  bool serving_ = false;
   bool was_ready_ = false;  // it had a list that could be sent by
   Signals signals_;
 };
