--- a/node/admin/status_report.cpp
+++ b/node/admin/status_report.cpp
@@ -28,6 +28,23 @@
   return all;
 }
 
+Gauges StatusReport::gauges() const {
+  std::size_t unavailable = from_.overrides.unavailable(
+      [this](EndpointId endpoint) { return from_.engine.is_ejected(endpoint); });
+  return {.pending = from_.engine.pending_requests(),
+          .members = from_.overrides.listed(),
+          .members_unavailable = unavailable};
+}
+
+void StatusReport::log_counters() const {
+  from_.counters.log_dropped = log::dropped();
+  std::vector<log::Field> fields;
+#define X(name) fields.emplace_back(#name, from_.counters.name);
+  KEELFLOW_COUNTERS(X)
+#undef X
+  log::info(log::Subsystem::node, "counters", fields);
+}
+
 // What the operation guard has forbidden, by operation and reason.
 json StatusReport::forbidden() const {
   using operation_guard::Operation;
@@ -70,15 +87,14 @@
     double granted = 0;
     for (const auto& [node, given] : lease.given)
       granted += given.until > now && !given.back ? given.work : 0;
-    endpoints.push_back(
-        {{"pool", pool},
-         {"executor", host_of(lease.entry.endpoint)},
-         {"age_s", (now - lease.entry.started_at) / 1000},
-         {"share", lease.told_share},
-         {"left_ms", budget.own},
-         {"held_ms", budget.granted},
-         {"held_of", budget.granted > 0 ? json(lease.owner) : json(nullptr)},
-         {"granted_ms", granted}});
+    endpoints.push_back({{"pool", pool},
+                         {"executor", host_of(lease.entry.endpoint)},
+                         {"age_s", (now - lease.entry.started_at) / 1000},
+                         {"share", lease.told_share},
+                         {"left_ms", budget.own},
+                         {"held_ms", budget.granted},
+                         {"held_of", budget.granted > 0 ? json(lease.owner) : json(nullptr)},
+                         {"granted_ms", granted}});
   });
   fleet::SlowStartLeases::Statistics statistics = from_.engine.lease_statistics();
   return {{"on", from_.own.turns && from_.config.settings.peers},
--- a/node/admin/status_report.h
+++ b/node/admin/status_report.h
@@ -4,6 +4,8 @@
 
 #include <nlohmann/json.hpp>
 
+#include "admin/operator_calls.h"
+#include "admin_overrides/admin_overrides.h"
 #include "config/config.h"
 #include "config/own_config.h"
 #include "core/counters.h"
@@ -26,6 +28,7 @@
     const net::EventLoop& loop;
     const UnixClock& clock;
     const Engine& engine;
+    const admin_overrides::AdminOverrides& overrides;
     const DestinationSet& destinations;
     const MembershipAgent& membership;
     const Server& server;
@@ -36,6 +39,10 @@
 
   nlohmann::json status() const;
   nlohmann::json fleet() const;
+  /// What operators may poll as the state of the moment.
+  Gauges gauges() const;
+  /// Writes all counters to the log.
+  void log_counters() const;
 
  private:
   nlohmann::json counters() const;
--- a/node/core/counters.h
+++ b/node/core/counters.h
@@ -1,4 +1,4 @@
-// What the node takes in, sends and answers; printed on request and at exit.
+/// What the node takes in, sends and answers; printed on request and at exit.
 #pragma once
 
 #include <cstdint>
@@ -89,10 +89,12 @@
   X(replays)
 // clang-format on
 
-struct ClassFigures {  // final answers that a client was there to hear
+/// Final answers of one class that a client was there to receive.
+struct ClassFigures {
   std::uint64_t completed = 0, rejected = 0, failed = 0;
 };
 
+/// All counters of the process. Their names are scraped.
 struct Counters {
   std::map<std::string, ClassFigures>
       classes;  // by name, as long as the process lives: a class may vanish and come back
--- a/node/core/time.h
+++ b/node/core/time.h
@@ -1,5 +1,5 @@
-// Spans and points in time. The decision module wants Unix time in milliseconds as a double; that
-// figure exists only at its edge, made by UnixClock.
+/// Spans and points in time. The scheduler takes Unix time in milliseconds as a double; that figure
+/// exists only at its border, made by UnixClock.
 #pragma once
 
 #include <chrono>
@@ -18,9 +18,9 @@
   return Milliseconds(span).count();
 }
 
-// Unix time, read from the system once and advanced by the steady clock from there, so that a step
-// of the system's clock never moves the module's time backwards. `born_ms` of discovery is on the
-// same scale.
+/// Unix time, read from the system once and advanced by the steady clock from there, so that a step
+/// of the system's clock never moves the scheduler's time backwards. `born_ms` of discovery is on
+/// the same scale.
 class UnixClock {
  public:
   UnixClock() : steady_(Clock::now()), unix_(std::chrono::system_clock::now().time_since_epoch()) {}
--- /dev/null
+++ b/node/lifecycle/descriptor_budget.cpp
@@ -0,0 +1,19 @@
+#include "lifecycle/descriptor_budget.h"
+
+#include <sys/resource.h>
+
+#include <algorithm>
+
+namespace keelflow {
+
+DescriptorBudget divide_descriptors(std::size_t sockets) {
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < sockets)
+    sockets = limit.rlim_cur;
+  std::size_t usable = sockets > 64 ? sockets - 48 : sockets / 2;
+  // Inbound grows by a sixth, and progress takes a third of that again. An outbound connection is
+  // busy only until its 202, so that few are needed beside the idle ones.
+  return {usable * 5 / 8, usable / 8, std::clamp(usable / 16, std::size_t{4}, std::size_t{24})};
+}
+
+}  // namespace keelflow
--- /dev/null
+++ b/node/lifecycle/extra_listeners.h
@@ -0,0 +1,82 @@
+/// What the node listens on beside the platform's address: progress, admin socket,
+/// operators, peers.
+#pragma once
+
+#include <functional>
+#include <memory>
+
+#include "admin/admin_front.h"
+#include "admin/line_server.h"
+#include "admin/operator_calls.h"
+#include "config/config.h"
+#include "config/own_config.h"
+#include "core/counters.h"
+#include "core/engine.h"
+#include "fleet/members.h"
+#include "inbound/platform_front.h"
+#include "inbound/server.h"
+#include "lifecycle/descriptor_budget.h"
+#include "net/event_loop.h"
+#include "peers/peers.h"
+#include "plugins/plugins.h"
+#include "progress/progress_front.h"
+#include "routes/traffic.h"
+
+namespace keelflow {
+
+/// Owns those servers and their fronts. Each is opened once, at the start.
+class ExtraListeners {
+ public:
+  /// All must outlive it.
+  struct Parts {
+    net::EventLoop& loop;
+    const Config& config;
+    const config::Own& own;
+    const DescriptorBudget& budget;
+    Engine& engine;
+    Traffic& traffic;
+    Plugins& plugins;
+    PlatformFront& front;
+    const Server& server;  ///< The platform's; its on_pressure is used here too.
+    Peers& peers;
+    MembershipAgent& membership;
+    const OperatorCalls& operators;
+    Counters& counters;
+  };
+  struct Callbacks {
+    std::function<bool()> has_sibling;    ///< The old process still runs, and may hold addresses.
+    std::function<bool()> is_upgradable;  ///< There may be an old process.
+  };
+  ExtraListeners(const Parts& parts, AdminFront::Pages pages, Callbacks callbacks)
+      : parts_(parts), pages_(std::move(pages)), callbacks_(std::move(callbacks)) {}
+
+  /// These throw std::system_error where an address can't be listened on, unless the old process
+  /// holds it: then they try again until it is free.
+  void open_progress();
+  void open_admin();
+  /// Throws ConfigError where the address can't be listened on.
+  void open_operators();
+
+  /// Logs an address that can't be listened on, and goes on without peers; one that the old process
+  /// may hold is tried again.
+  void open_peers();
+
+  /// Null where it is not open.
+  Server* progress_server() const { return progress_server_.get(); }
+
+ private:
+  template <typename Where>
+  void listen_when_free(Server& server, const Where& where, std::function<void()> then);
+
+  Parts parts_;
+  AdminFront::Pages pages_;
+  Callbacks callbacks_;
+  std::unique_ptr<LineServer> operator_server_;
+  std::unique_ptr<Store> store_;
+  std::unique_ptr<ProgressFront> progress_front_;
+  std::unique_ptr<Server> progress_server_;
+  std::unique_ptr<AdminFront> admin_front_;
+  std::unique_ptr<Server> admin_server_;
+};
+
+}  // namespace keelflow
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -1,18 +1,13 @@
 #include "node.h"
 
-#include <sys/resource.h>
-#include <sys/signalfd.h>
 #include <unistd.h>
 
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <exception>
-#include <nlohmann/json.hpp>
 
-#include "admin/admin_front.h"
-#include "admin/line_server.h"
 #include "admin/operator_calls.h"
+#include "admin/override_control.h"
 #include "admin/status_report.h"
 #include "admin_overrides/admin_overrides.h"
 #include "core/engine.h"
@@ -22,13 +17,15 @@
 #include "inbound/server.h"
 #include "lifecycle/config_reload.h"
 #include "lifecycle/derived_settings.h"
+#include "lifecycle/descriptor_budget.h"
+#include "lifecycle/extra_listeners.h"
 #include "lifecycle/graceful_shutdown.h"
 #include "lifecycle/process_upgrade.h"
+#include "lifecycle/signal_reader.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
 #include "peers/peers.h"
 #include "plugins/plugins.h"
-#include "progress/progress_front.h"
 #include "routes/traffic.h"
 
 namespace keelflow {
@@ -37,30 +34,8 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-constexpr Duration kRetryAddress = 50ms;
+// A process without an endpoint list leaves clients to others for so long.
 constexpr Duration kListBeforeReady = 4s;
-constexpr std::size_t kAdminConnections = 6;
-
-struct Budget {  // of descriptors, shared by all sockets of the process
-  std::size_t inbound, idle_outbound, operators;
-};
-Budget split(std::size_t sockets) {
-  rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < sockets)
-    sockets = limit.rlim_cur;
-  std::size_t usable = sockets > 64 ? sockets - 48 : sockets / 2;
-  // Inbound grows by a sixth, and progress takes a third of that again. An outbound connection is
-  // busy only until its 202, so that few are needed beside the idle ones.
-  return {usable * 5 / 8, usable / 8, std::clamp(usable / 16, std::size_t{4}, std::size_t{24})};
-}
-
-sigset_t signals() {
-  sigset_t set;
-  sigemptyset(&set);
-  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1})
-    sigaddset(&set, number);
-  return set;
-}
 
 class Node {
  public:
@@ -68,13 +43,13 @@
       : files_(std::move(files)),
         config_(std::move(config)),
         own_(std::move(own)),
-        budget_(split(config_.sockets)),
+        budget_(divide_descriptors(config_.sockets)),
         engine_(scheduler_settings(config_.settings), config_.seed,
                 {config_.most_held, config_.tick}, loop_, clock_, counters_),
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
         destinations_(
             loop_, config_.discovery, config_.names,
-            [this](scheduler::EndpointList list) { take_list(std::move(list)); }, counters_,
+            [this](scheduler::EndpointList list) { on_endpoint_list(std::move(list)); }, counters_,
             config_.seed),
         pool_(loop_, config_.idle_limit * 6 / 10, budget_.idle_outbound, counters_),
         outbound_(loop_, engine_, destinations_, pool_,
@@ -96,18 +71,26 @@
         front_(loop_, engine_, outbound_, config_, counters_),
         server_(loop_, front_, budget_.inbound, counters_),
         operators_({.not_ready = [this] { return not_ready(); },
-                    .gauges = [this] { return gauges(); },
+                    .gauges = [this] { return status_report_.gauges(); },
                     .by_hand =
                         [this](const std::string& host, bool out) {
-                          return by_hand(host, out);
+                          return override_endpoint(host, out);
                         }},
                    counters_),
         monitor_(
             monitor_terms(config_.settings),
-            [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }),
-        signals_(*this) {}
+            [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }) {}
 
   int run() {
+    connect_parts();
+    start();
+    loop_.run();
+    status_report_.log_counters();
+    return 0;
+  }
+
+ private:
+  void connect_parts() {
     engine_.name_classes(config_.names.classes);
     engine_.set_endpoints(outbound_);
     engine_.set_monitor(&monitor_);
@@ -125,7 +108,7 @@
       return pool_.free_one();
     };
     destinations_.on_watch_established = [this] {
-      watching();
+      on_watch_established();
     };
     destinations_.known(config_.known);
     destinations_.on_lease = [this](bool may_send) {
@@ -134,14 +117,17 @@
     destinations_.on_pressure = server_.on_pressure;
     if (config_.peer_listen && config_.settings.peers)
       destinations_.survey().connect(&peers_, config_.settings.dispatchers, config_.settings.rank);
+  }
+
+  void start() {
     destinations_.start(call_policy(config_.settings), lease_terms(config_.settings));
     signals_.open();
     if (config_.admin)
-      open_operators();
+      listeners_.open_operators();
     // A process that may send nothing yet leaves clients to those that may, for a while: discovery
     // may be away.
     front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
-      return was_ready_ || loop_.now() >= latest;
+      return was_list_usable_ || loop_.now() >= latest;
     };
     front_.forward_status_callback = [this](const std::string& body) {
       return upgrade_.forward_status_callback(body);
@@ -152,120 +138,11 @@
       serve();
     engine_.enable_leases(own_.turns);
     if (config_.peer_listen)
-      open_peers();
+      listeners_.open_peers();
     if (own_.progress.listen)
-      open_progress();
+      listeners_.open_progress();
     if (!own_.admin.socket.empty())
-      open_admin();
-    loop_.run();
-    tell_counters();
-    return 0;
-  }
-
- private:
-  class Signals final : public net::EventLoop::Handler {
-   public:
-    explicit Signals(Node& node) : node_(node) {}
-    ~Signals() override {
-      if (fd_ >= 0)
-        ::close(fd_);
-    }
-    void open() {
-      sigset_t set = signals();
-      fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-      if (fd_ < 0 || node_.loop_.watch(fd_, *this) == 0)
-        throw std::runtime_error("signalfd failed");
-    }
-    void on_ready(std::uint32_t) override {
-      for (signalfd_siginfo info; ::read(fd_, &info, sizeof info) == sizeof info;) {
-        if (info.ssi_signo == SIGUSR1)
-          node_.tell_counters();
-        else if (info.ssi_signo == SIGHUP)
-          node_.reload_.run();
-        else
-          node_.shutdown_.begin();
-      }
-    }
-
-   private:
-    Node& node_;
-    int fd_ = -1;
-  };
-
-  void tell_counters() {
-    counters_.log_dropped = log::dropped();
-    std::vector<log::Field> fields;
-#define X(name) fields.emplace_back(#name, counters_.name);
-    KEELFLOW_COUNTERS(X)
-#undef X
-    log::info(Subsystem::node, "counters", fields);
-  }
-
-  void open_progress() {
-    const config::Progress& p = own_.progress;
-    if (p.store) {
-      store_ = std::make_unique<Store>(
-          loop_, Store::Settings{.address = *p.store, .expiry = p.expiry}, counters_);
-      store_->open();
-    }
-    progress_front_ = std::make_unique<ProgressFront>(
-        loop_, engine_, front_, config_.names, plugins_, store_.get(),
-        ProgressFront::Settings{.heartbeat = p.heartbeat}, counters_);
-    progress_server_ =
-        std::make_unique<Server>(loop_, *progress_front_, budget_.inbound / 3, counters_);
-    progress_server_->on_pressure = server_.on_pressure;
-    listen_when_free(*progress_server_, *p.listen, [this] {
-      log::info(Subsystem::progress, "listens",
-                {{"name", config_.name}, {"address", progress_server_->address().text()}});
-    });
-  }
-
-  // While the process before us lives, what our own settings name is in its hands.
-  template <typename Where>
-  void listen_when_free(Server& server, const Where& where, std::function<void()> then) {
-    try {
-      server.listen(where);
-    } catch (const std::system_error& fault) {
-      if (!upgrade_.has_sibling() || fault.code().value() != EADDRINUSE)
-        throw;
-      return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
-        try {
-          listen_when_free(server, where, then);
-        } catch (const std::system_error& later) {
-          log::error(Subsystem::node, "not-listening", {{"fault", later.what()}});
-        }
-      }));
-    }
-    then();
-  }
-
-  void open_admin() {
-    admin_front_ =
-        std::make_unique<AdminFront>(traffic_, plugins_,
-                                     AdminFront::Pages{[this] { return status_report_.status(); },
-                                                       [this] {
-                                                         return status_report_.fleet();
-                                                       }},
-                                     counters_);
-    admin_server_ = std::make_unique<Server>(loop_, *admin_front_, kAdminConnections, counters_);
-    listen_when_free(*admin_server_, own_.admin.socket, [this] {
-      log::info(Subsystem::admin, "listens",
-                {{"name", config_.name}, {"socket", own_.admin.socket}});
-    });
-  }
-
-  void open_operators() {
-    operator_server_ = std::make_unique<LineServer>(
-        loop_, [this](std::string_view line) { return operators_.answer(line); }, budget_.operators,
-        counters_);
-    try {
-      operator_server_->listen(*config_.admin);
-    } catch (const std::system_error& fault) {
-      throw ConfigError("config: 'admin' " + config_.admin->text() +
-                        " cannot be listened on: " + fault.code().message());
-    }
-    log::info(Subsystem::admin, "operators-listen",
-              {{"name", config_.name}, {"address", operator_server_->address().text()}});
+      listeners_.open_admin();
   }
 
   void serve() {
@@ -284,7 +161,7 @@
       serve();
   }
 
-  void take_list(scheduler::EndpointList list) {
+  void on_endpoint_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
     if (!serving_)
       upgrade_.on_list_before_serving();
@@ -303,70 +180,37 @@
   }
 
   void on_list_lease(bool may_send) {
-    was_ready_ = was_ready_ || may_send;
+    was_list_usable_ = was_list_usable_ || may_send;
     engine_.allow_sends(may_send);
     if (may_send)
       outbound_.resume_withheld();
   }
 
-  void watching() {
+  void on_watch_established() {
     if (upgrade_.has_begun() && !serving_)
       upgrade_.on_watch_established();
   }
 
-  // While the process before us lives the address is its own.
-  void open_peers() {
-    if (peers_.open(*config_.peer_listen))
-      return membership_agent_.start(own_.members, config_.settings.dispatchers,
-                                     config_.settings.rank);
-    if (upgrade_.is_enabled() && errno == EADDRINUSE)
-      return void(loop_.at(loop_.now() + kRetryAddress, [this] { open_peers(); }));
-    log::error(Subsystem::node, "peers-unheard",
-               {{"address", config_.peer_listen->text()}, {"errno", errno}});
-  }
-
   std::string not_ready() const {
-    if (!serving_) {
-      std::string why = upgrade_.waits_for();
-      if (!why.empty())
-        return why;
-    }
-    if (shutdown_.has_begun())
+    std::string why = serving_ ? "" : upgrade_.waits_for();
+    if (why.empty() && shutdown_.has_begun())
       return "it was told to end";
-    return "";
+    return why;
   }
 
-  Gauges gauges() const {
-    std::size_t away = admin_overrides_.unavailable(
-        [this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
-    return {.pending = engine_.pending_requests(),
-            .members = admin_overrides_.listed(),
-            .members_unavailable = away};
-  }
-
-  std::string by_hand(const std::string& host, bool out) {
-    EndpointId endpoint = endpoint_id(host);
-    const Destination* known = destinations_.find(endpoint);
-    if (!(known && known->host == host) && !admin_overrides_.is_disabled(endpoint))
+  // Empty: done; else why not.
+  std::string override_endpoint(const std::string& host, bool out) {
+    if (!override_control_.is_known(host))
       return "no executor '" + host + "' was ever listed";
-    lay_over(host, out);
+    override_control_.apply(host, out);
     upgrade_.send_admin_override(host, out);
     return "";
   }
 
-  void lay_over(const std::string& host, bool out) {
-    EndpointId endpoint = endpoint_id(host);
-    destinations_.disable(endpoint, out);
-    auto told = out ? admin_overrides_.out(endpoint, host) : admin_overrides_.back(endpoint);
-    if (told)
-      traffic_.list(std::move(*told));
-    log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
-  }
-
   NodeFiles files_;
   Config config_;
   config::Own own_;
-  Budget budget_;
+  DescriptorBudget budget_;
   Counters counters_;
   UnixClock clock_;
   net::EventLoop loop_;
@@ -374,6 +218,7 @@
   Engine engine_;
   Traffic traffic_;
   DestinationSet destinations_;
+  OverrideControl override_control_{admin_overrides_, destinations_, traffic_};
   Pool pool_;
   Outbound outbound_;
   Peers peers_;
@@ -382,12 +227,29 @@
   PlatformFront front_;
   Server server_;
   OperatorCalls operators_;
-  std::unique_ptr<LineServer> operator_server_;
-  std::unique_ptr<Store> store_;
-  std::unique_ptr<ProgressFront> progress_front_;
-  std::unique_ptr<Server> progress_server_;
-  std::unique_ptr<AdminFront> admin_front_;
-  std::unique_ptr<Server> admin_server_;
+  ExtraListeners listeners_{{.loop = loop_,
+                             .config = config_,
+                             .own = own_,
+                             .budget = budget_,
+                             .engine = engine_,
+                             .traffic = traffic_,
+                             .plugins = plugins_,
+                             .front = front_,
+                             .server = server_,
+                             .peers = peers_,
+                             .membership = membership_agent_,
+                             .operators = operators_,
+                             .counters = counters_},
+                            {.status = [this] { return status_report_.status(); },
+                             .fleet =
+                                 [this] {
+                                   return status_report_.fleet();
+                                 }},
+                            {.has_sibling = [this] { return upgrade_.has_sibling(); },
+                             .is_upgradable =
+                                 [this] {
+                                   return upgrade_.is_enabled();
+                                 }}};
   // Where the platform lends the listening socket.
   ProcessUpgrade upgrade_{
       {.loop = loop_,
@@ -400,7 +262,8 @@
        .server = server_,
        .counters = counters_},
       {budget_.inbound, budget_.idle_outbound},
-      {.apply_override = [this](const std::string& host, bool out) { lay_over(host, out); },
+      {.apply_override = [this](const std::string& host,
+                                bool out) { override_control_.apply(host, out); },
        .serve_if_ready = [this] { serve_if_ready(); },
        .on_successor_ready =
            [this] {
@@ -412,6 +275,7 @@
                                .loop = loop_,
                                .clock = clock_,
                                .engine = engine_,
+                               .overrides = admin_overrides_,
                                .destinations = destinations_,
                                .membership = membership_agent_,
                                .server = server_,
@@ -435,21 +299,27 @@
                               .membership = membership_agent_,
                               .server = server_,
                               .counters = counters_},
-                             {.progress_server = [this] { return progress_server_.get(); },
+                             {.progress_server = [this] { return listeners_.progress_server(); },
                               .has_successor = [this] { return upgrade_.has_successor(); },
                               .is_upgrade_done =
                                   [this] {
                                     return upgrade_.is_done();
                                   }}};
   bool serving_ = false;
-  bool was_ready_ = false;  // it had a list that could be sent by
-  Signals signals_;
+  bool was_list_usable_ = false;  // it had a list that could be sent by
+  SignalReader signals_{loop_,
+                        {.on_terminate = [this] { shutdown_.begin(); },
+                         .on_reload = [this] { reload_.run(); },
+                         .on_report =
+                             [this] {
+                               status_report_.log_counters();
+                             }}};
 };
 
 }  // namespace
 
 void block_signals() {
-  sigset_t set = signals();
+  sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
--- a/node/node.h
+++ b/node/node.h
@@ -1,4 +1,4 @@
-// The node: joins the parts, serves until SIGTERM and until what it had taken is done.
+/// The node: joins the parts, serves until SIGTERM and until what it had taken is done.
 #pragma once
 
 #include <memory>
@@ -13,14 +13,15 @@
 // early must not.
 void block_signals();
 
+/// The files that the node reads.
 struct NodeFiles {
   std::string platform;                      // EDGE_CONFIG
   std::string own = "deploy/keelflow.sexp";  // keelflow's own settings
   bool own_given = false;                    // it was named, so that it must be there
 };
 
-// Serves; returns the program's exit code. Throws ConfigError and std::system_error while it
-// starts.
+/// Serves; returns the program's exit code. Throws ConfigError and std::system_error while it
+/// starts.
 int run_node(const NodeFiles& files);
 
 }  // namespace keelflow
