--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -8,7 +8,8 @@
 #include <random>
 #include <string_view>
 
-#include "core/ports.h"
+#include "core/peer_sender.h"
+#include "core/timer_port.h"
 #include "discovery/outage_presumption.h"
 #include "net/event_loop.h"
 
--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -125,7 +125,7 @@
   std::vector<bool> is_alive;
   for (int member = 0; member < membership_->members(); ++member)
     is_alive.push_back(membership_->is_alive(member));
-  engine_.members(is_alive);
+  engine_.on_membership_changed(is_alive);
 }
 
 json MembershipAgent::status_of(int member, double now) const {
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -1,33 +1,31 @@
 #include "node.h"
 
-#include <sys/resource.h>
-#include <sys/signalfd.h>
 #include <unistd.h>
 
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <exception>
-#include <nlohmann/json.hpp>
 
-#include "admin/admin_front.h"
-#include "admin/line_server.h"
 #include "admin/operator_calls.h"
+#include "admin/override_control.h"
+#include "admin/status_report.h"
 #include "admin_overrides/admin_overrides.h"
-#include "config/retune.h"
 #include "core/engine.h"
 #include "discovery/destination_set.h"
 #include "fleet/membership_agent.h"
-#include "handover/handover.h"
-#include "handover/learned_state_codec.h"
-#include "handover/succession.h"
 #include "inbound/platform_front.h"
 #include "inbound/server.h"
+#include "lifecycle/config_reload.h"
+#include "lifecycle/derived_settings.h"
+#include "lifecycle/descriptor_budget.h"
+#include "lifecycle/extra_listeners.h"
+#include "lifecycle/graceful_shutdown.h"
+#include "lifecycle/process_upgrade.h"
+#include "lifecycle/signal_reader.h"
 #include "log/log.h"
 #include "outbound/outbound.h"
 #include "peers/peers.h"
 #include "plugins/plugins.h"
-#include "progress/progress_front.h"
 #include "routes/traffic.h"
 
 namespace keelflow {
@@ -36,62 +34,8 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they
-// have for as long as these stay open. While the next node is still starting they have no other
-// place to go to.
-constexpr Duration kStillServing = 1600ms;
-// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7
-// s. What came in more than 0.7 s after SIGTERM must be answered by then; a little before that all
-// answers are out.
-constexpr Duration kMostDeadline = 3s, kAfterDeadline = 700ms, kForgiven = 600ms,
-                   kAnswersTravel = 300ms;
-constexpr Duration kDrainCheck = 20ms;
-constexpr Duration kRetryAddress = 50ms;
-constexpr Duration kListArrives = 30ms;
+// A process without an endpoint list leaves clients to others for so long.
 constexpr Duration kListBeforeReady = 4s;
-constexpr std::size_t kAdminConnections = 6;
-
-struct Budget {  // of descriptors, shared by all sockets of the process
-  std::size_t inbound, idle_outbound, operators;
-};
-Budget split(std::size_t sockets) {
-  rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < sockets)
-    sockets = limit.rlim_cur;
-  std::size_t usable = sockets > 64 ? sockets - 48 : sockets / 2;
-  // Inbound grows by a sixth, and progress takes a third of that again. An outbound connection is
-  // busy only until its 202, so that few are needed beside the idle ones.
-  return {usable * 5 / 8, usable / 8, std::clamp(usable / 16, std::size_t{4}, std::size_t{24})};
-}
-
-// The list is this side's to keep fresh (DestinationSet): the module is told of it and never asks.
-scheduler::Settings for_module(scheduler::Settings settings) {
-  settings.polls_list = false;
-  return settings;
-}
-
-discovery::CallPolicy call_policy(const scheduler::Settings& settings) {
-  return {.pushed = !settings.polls_list, .processes = settings.dispatchers};
-}
-
-discovery::LeaseTerms lease_terms(const scheduler::Settings& settings) {
-  return {.pushed = !settings.polls_list,
-          .drain_grace = from_ms(settings.drain_grace_ms),
-          .ask_within = from_ms(settings.poll_within_ms)};
-}
-
-invariants::Terms monitor_terms(const scheduler::Settings& settings) {
-  return {.drain_grace = from_ms(settings.drain_grace_ms),
-          .parallel_attempts = settings.concurrent_attempts};
-}
-
-sigset_t signals() {
-  sigset_t set;
-  sigemptyset(&set);
-  for (int number : {SIGTERM, SIGINT, SIGHUP, SIGUSR1})
-    sigaddset(&set, number);
-  return set;
-}
 
 class Node {
  public:
@@ -99,13 +43,13 @@
       : files_(std::move(files)),
         config_(std::move(config)),
         own_(std::move(own)),
-        budget_(split(config_.sockets)),
-        engine_(for_module(config_.settings), config_.seed, {config_.most_held, config_.tick},
-                loop_, clock_, counters_),
+        budget_(divide_descriptors(config_.sockets)),
+        engine_(scheduler_settings(config_.settings), config_.seed,
+                {config_.most_held, config_.tick}, loop_, clock_, counters_),
         traffic_(loop_, clock_, engine_, {config_.names, config_.settings}, counters_),
         destinations_(
             loop_, config_.discovery, config_.names,
-            [this](scheduler::EndpointList list) { take_list(std::move(list)); }, counters_,
+            [this](scheduler::EndpointList list) { on_endpoint_list(std::move(list)); }, counters_,
             config_.seed),
         pool_(loop_, config_.idle_limit * 6 / 10, budget_.idle_outbound, counters_),
         outbound_(loop_, engine_, destinations_, pool_,
@@ -127,28 +71,36 @@
         front_(loop_, engine_, outbound_, config_, counters_),
         server_(loop_, front_, budget_.inbound, counters_),
         operators_({.not_ready = [this] { return not_ready(); },
-                    .gauges = [this] { return gauges(); },
+                    .gauges = [this] { return status_report_.gauges(); },
                     .by_hand =
                         [this](const std::string& host, bool out) {
-                          return by_hand(host, out);
+                          return override_endpoint(host, out);
                         }},
                    counters_),
         monitor_(
             monitor_terms(config_.settings),
-            [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }),
-        signals_(*this) {}
+            [this](invariants::Rule rule, const std::string& what) { on_violation(rule, what); }) {}
 
   int run() {
+    connect_parts();
+    start();
+    loop_.run();
+    status_report_.log_counters();
+    return 0;
+  }
+
+ private:
+  void connect_parts() {
     engine_.name_classes(config_.names.classes);
-    engine_.connect(outbound_);
-    engine_.observe(&monitor_);
+    engine_.set_endpoints(outbound_);
+    engine_.set_monitor(&monitor_);
     outbound_.observe(&monitor_);
     destinations_.observe(&monitor_);
     server_.observe(&monitor_);
     server_.on_close_forbidden = [this](operation_guard::Reason reason) {
       engine_.count_refusal(operation_guard::Operation::close, reason);
     };
-    engine_.peers(&peers_);
+    engine_.set_peers(&peers_);
     traffic_.connect(destinations_);
     traffic_.configure(own_.routes, own_.moves);
     plugins_.configure(own_.plugins, plugins::load_all(own_.plugins, files_.own, config_.names));
@@ -156,7 +108,7 @@
       return pool_.free_one();
     };
     destinations_.on_watch_established = [this] {
-      watching();
+      on_watch_established();
     };
     destinations_.known(config_.known);
     destinations_.on_lease = [this](bool may_send) {
@@ -165,137 +117,32 @@
     destinations_.on_pressure = server_.on_pressure;
     if (config_.peer_listen && config_.settings.peers)
       destinations_.survey().connect(&peers_, config_.settings.dispatchers, config_.settings.rank);
+  }
+
+  void start() {
     destinations_.start(call_policy(config_.settings), lease_terms(config_.settings));
     signals_.open();
     if (config_.admin)
-      open_operators();
+      listeners_.open_operators();
     // A process that may send nothing yet leaves clients to those that may, for a while: discovery
     // may be away.
     front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
-      return was_ready_ || loop_.now() >= latest;
+      return was_list_usable_ || loop_.now() >= latest;
     };
     front_.forward_status_callback = [this](const std::string& body) {
-      return !handover_ || handover_->forward_status_callback(body);
+      return upgrade_.forward_status_callback(body);
     };
     if (config_.listen_fd >= 0)
-      take_over_from_elder();
+      upgrade_.begin();
     else
       serve();
-    engine_.grants(own_.turns);
+    engine_.enable_leases(own_.turns);
     if (config_.peer_listen)
-      open_peers();
+      listeners_.open_peers();
     if (own_.progress.listen)
-      open_progress();
+      listeners_.open_progress();
     if (!own_.admin.socket.empty())
-      open_admin();
-    loop_.run();
-    tell_counters();
-    return 0;
-  }
-
- private:
-  class Signals final : public net::EventLoop::Handler {
-   public:
-    explicit Signals(Node& node) : node_(node) {}
-    ~Signals() override {
-      if (fd_ >= 0)
-        ::close(fd_);
-    }
-    void open() {
-      sigset_t set = signals();
-      fd_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-      if (fd_ < 0 || node_.loop_.watch(fd_, *this) == 0)
-        throw std::runtime_error("signalfd failed");
-    }
-    void on_ready(std::uint32_t) override {
-      for (signalfd_siginfo info; ::read(fd_, &info, sizeof info) == sizeof info;) {
-        if (info.ssi_signo == SIGUSR1)
-          node_.tell_counters();
-        else if (info.ssi_signo == SIGHUP)
-          node_.reload();
-        else
-          node_.drain();
-      }
-    }
-
-   private:
-    Node& node_;
-    int fd_ = -1;
-  };
-
-  void tell_counters() {
-    counters_.log_dropped = log::dropped();
-    std::vector<log::Field> fields;
-#define X(name) fields.emplace_back(#name, counters_.name);
-    KEELFLOW_COUNTERS(X)
-#undef X
-    log::info(Subsystem::node, "counters", fields);
-  }
-
-  void open_progress() {
-    const config::Progress& p = own_.progress;
-    if (p.store) {
-      store_ = std::make_unique<Store>(
-          loop_, Store::Settings{.address = *p.store, .expiry = p.expiry}, counters_);
-      store_->open();
-    }
-    progress_front_ = std::make_unique<ProgressFront>(
-        loop_, engine_, front_, config_.names, plugins_, store_.get(),
-        ProgressFront::Settings{.heartbeat = p.heartbeat}, counters_);
-    progress_server_ =
-        std::make_unique<Server>(loop_, *progress_front_, budget_.inbound / 3, counters_);
-    progress_server_->on_pressure = server_.on_pressure;
-    listen_when_free(*progress_server_, *p.listen, [this] {
-      log::info(Subsystem::progress, "listens",
-                {{"name", config_.name}, {"address", progress_server_->address().text()}});
-    });
-  }
-
-  // While the process before us lives, what our own settings name is in its hands.
-  template <typename Where>
-  void listen_when_free(Server& server, const Where& where, std::function<void()> then) {
-    try {
-      server.listen(where);
-    } catch (const std::system_error& fault) {
-      if (!handover_ || !handover_->has_sibling_process() || fault.code().value() != EADDRINUSE)
-        throw;
-      return void(loop_.at(loop_.now() + kRetryAddress, [this, &server, where, then] {
-        try {
-          listen_when_free(server, where, then);
-        } catch (const std::system_error& later) {
-          log::error(Subsystem::node, "not-listening", {{"fault", later.what()}});
-        }
-      }));
-    }
-    then();
-  }
-
-  void open_admin() {
-    admin_front_ = std::make_unique<AdminFront>(traffic_, plugins_,
-                                                AdminFront::Pages{[this] { return status(); },
-                                                                  [this] {
-                                                                    return fleet();
-                                                                  }},
-                                                counters_);
-    admin_server_ = std::make_unique<Server>(loop_, *admin_front_, kAdminConnections, counters_);
-    listen_when_free(*admin_server_, own_.admin.socket, [this] {
-      log::info(Subsystem::admin, "listens",
-                {{"name", config_.name}, {"socket", own_.admin.socket}});
-    });
-  }
-
-  void open_operators() {
-    operator_server_ = std::make_unique<LineServer>(
-        loop_, [this](std::string_view line) { return operators_.answer(line); }, budget_.operators,
-        counters_);
-    try {
-      operator_server_->listen(*config_.admin);
-    } catch (const std::system_error& fault) {
-      throw ConfigError("config: 'admin' " + config_.admin->text() +
-                        " cannot be listened on: " + fault.code().message());
-    }
-    log::info(Subsystem::admin, "operators-listen",
-              {{"name", config_.name}, {"address", operator_server_->address().text()}});
+      listeners_.open_admin();
   }
 
   void serve() {
@@ -304,70 +151,20 @@
       server_.inherit(config_.listen_fd);
     else
       server_.listen(config_.listen);
-    if (handover_)
-      handover_->listen();
+    upgrade_.on_serving();
     log::info(Subsystem::node, "listens",
               {{"name", config_.name}, {"address", server_.address().text()}});
   }
 
-  // Whoever starts while another process of this node serves asks it first. Until both are one they
-  // share all limits.
-  void take_over_from_elder() {
-    const char* folder = std::getenv("TMPDIR");
-    if (!folder || !*folder)
-      log::warning(Subsystem::node, "no-handover", {{"fault", "TMPDIR is not set"}});
-    else
-      handover_ = std::make_unique<Handover>(
-          loop_, folder, config_.name,
-          Handover::Callbacks{.welcome = [this] { return welcome(); },
-                              .welcomed = [this](const nlohmann::json& word) { welcomed(word); },
-                              .on_sibling_process = [this](bool here) { partner(here); },
-                              .successor_ready = [this] { successor_ready(); },
-                              .on_admin_override = [this](const std::string& host,
-                                                          bool out) { lay_over(host, out); },
-                              .on_load_update =
-                                  [this](const std::string& note) {
-                                    engine_.on_peer_message(config_.settings.rank, note);
-                                  },
-                              .on_status_callback =
-                                  [this](const std::string& body) {
-                                    auto news = decode_status_callback(body, config_.report_names);
-                                    return news && outbound_.news(*news);
-                                  }},
-          counters_);
-    succession_.emplace(clock_.unix_ms(loop_.now()), handover_ && handover_->ask());
-    loop_.at(clock_.at(succession_->latest()), [this] { serve_if_ready(); });
-  }
-
   void serve_if_ready() {
-    if (!serving_ && succession_ && not_ready().empty())
+    if (!serving_ && upgrade_.has_begun() && not_ready().empty())
       serve();
   }
 
-  nlohmann::json welcome() const {
-    nlohmann::json knowledge = nlohmann::json::array();
-    for (const scheduler::LearnedState& k : engine_.knowledge())
-      knowledge.push_back(to_json(k, config_.names));
-    return {{"out", admin_overrides_.disabled_hosts()}, {"knowledge", knowledge}};
-  }
-
-  void welcomed(const nlohmann::json& word) {
-    for (const auto& host : word.at("out"))
-      lay_over(host.get<std::string>(), true);
-    learned_.clear();
-    for (const auto& told : word.at("knowledge"))
-      learned_.push_back(from_json(told, config_.names));
-    engine_.learn(learned_);  // of the endpoints on the list that the platform keeps; of the others
-                              // when they are listed
-    succession_->answered();
-    log::info(Subsystem::node, "taken-over", {{"out", word.at("out").size()}});
-    serve_if_ready();
-  }
-
-  void take_list(scheduler::EndpointList list) {
+  void on_endpoint_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
-    if (!serving_ && !learned_.empty())
-      engine_.learn(learned_);
+    if (!serving_)
+      upgrade_.on_list_before_serving();
   }
 
   void on_violation(invariants::Rule rule, const std::string& what) {
@@ -383,290 +180,37 @@
   }
 
   void on_list_lease(bool may_send) {
-    was_ready_ = was_ready_ || may_send;
+    was_list_usable_ = was_list_usable_ || may_send;
     engine_.allow_sends(may_send);
     if (may_send)
       outbound_.resume_withheld();
   }
 
-  // What discovery has to tell follows at once, in this turn of the loop or the next.
-  void watching() {
-    if (!succession_ || serving_)
-      return;
-    loop_.at(loop_.now() + kListArrives, [this] {
-      succession_->listed();
-      serve_if_ready();
-    });
-  }
-
-  void partner(bool here) {
-    log::info(Subsystem::node, here ? "partner-here" : "partner-gone");
-    server_.limit(handover::part(budget_.inbound, here));
-    pool_.most_idle(handover::part(budget_.idle_outbound, here));
-    if (here) {
-      engine_.twin([this](const std::string& note) { handover_->send_load_update(note); });
-    } else {
-      engine_.twin(nullptr);
-      successor_ = false;
-      server_.accepting(true);
-      if (succession_)
-        succession_->gone();
-      serve_if_ready();
-    }
-  }
-
-  void successor_ready() {
-    successor_ = true;
-    if (counters_.drain_stage > 0)
-      leave();
-  }
-
-  // While the process before us lives the address is its own.
-  void open_peers() {
-    if (peers_.open(*config_.peer_listen))
-      return membership_agent_.start(own_.members, config_.settings.dispatchers,
-                                     config_.settings.rank);
-    if (handover_ && errno == EADDRINUSE)
-      return void(loop_.at(loop_.now() + kRetryAddress, [this] { open_peers(); }));
-    log::error(Subsystem::node, "peers-unheard",
-               {{"address", config_.peer_listen->text()}, {"errno", errno}});
+  void on_watch_established() {
+    if (upgrade_.has_begun() && !serving_)
+      upgrade_.on_watch_established();
   }
 
   std::string not_ready() const {
-    if (!serving_) {
-      std::string why =
-          succession_ ? succession_->waits_for(clock_.unix_ms(loop_.now())) : "it starts";
-      if (!why.empty())
-        return why;
-    }
-    if (counters_.drain_stage > 0)
+    std::string why = serving_ ? "" : upgrade_.waits_for();
+    if (why.empty() && shutdown_.has_begun())
       return "it was told to end";
-    return "";
+    return why;
   }
 
-  Gauges gauges() const {
-    std::size_t away = admin_overrides_.unavailable(
-        [this](EndpointId endpoint) { return engine_.is_ejected(endpoint); });
-    return {.pending = engine_.pending(),
-            .members = admin_overrides_.listed(),
-            .members_unavailable = away};
-  }
-
-  std::string by_hand(const std::string& host, bool out) {
-    EndpointId endpoint = endpoint_id(host);
-    const Destination* known = destinations_.find(endpoint);
-    if (!(known && known->host == host) && !admin_overrides_.is_disabled(endpoint))
+  // Empty: done; else why not.
+  std::string override_endpoint(const std::string& host, bool out) {
+    if (!override_control_.is_known(host))
       return "no executor '" + host + "' was ever listed";
-    lay_over(host, out);
-    if (handover_)
-      handover_->send_admin_override(host, out);
+    override_control_.apply(host, out);
+    upgrade_.send_admin_override(host, out);
     return "";
   }
 
-  void lay_over(const std::string& host, bool out) {
-    EndpointId endpoint = endpoint_id(host);
-    destinations_.disable(endpoint, out);
-    auto told = out ? admin_overrides_.disable(endpoint, host) : admin_overrides_.enable(endpoint);
-    if (told)
-      traffic_.list(std::move(*told));
-    log::info(Subsystem::admin, out ? "taken-out" : "called-back", {{"executor", host}});
-  }
-
-  nlohmann::json status() {
-    counters_.log_dropped = log::dropped();
-    nlohmann::json counters = nlohmann::json::object();
-#define X(name) counters[#name] = counters_.name;
-    KEELFLOW_COUNTERS(X)
-#undef X
-    return {{"name", config_.name},
-            {"address", server_.address().text()},
-            {"version", KEELFLOW_VERSION},
-            {"forbidden", forbidden()},
-            {"violations", violations()},
-            {"draining", counters_.drain_stage > 0},
-            {"open_requests", engine_.open_requests()},
-            {"open_attempts", engine_.open_attempts()},
-            {"counters", counters}};
-  }
-
-  // What the operation guard has forbidden, by operation and reason.
-  nlohmann::json forbidden() const {
-    using namespace operation_guard;
-    nlohmann::json all = nlohmann::json::object();
-    for (Operation operation :
-         {Operation::send, Operation::repeat, Operation::close, Operation::start})
-      for (std::size_t i = 1; i < kReasons; ++i)
-        if (auto count = engine_.refusals().of(operation, static_cast<Reason>(i)); count > 0)
-          all[std::string(to_string(operation))][std::string(to_string(static_cast<Reason>(i)))] =
-              count;
-    return all;
-  }
-
-  nlohmann::json violations() const {
-    nlohmann::json all = nlohmann::json::object();
-    for (std::size_t i = 0; i < invariants::kRules; ++i)
-      if (auto count = monitor_.violations(static_cast<invariants::Rule>(i)); count > 0)
-        all[std::string(invariants::to_string(static_cast<invariants::Rule>(i)))] = count;
-    return all;
-  }
-
-  nlohmann::json turns() {
-    nlohmann::json at = nlohmann::json::array();
-    double now = clock_.unix_ms(loop_.now());
-    engine_.for_each_lease([&](int pool, const fleet::SlowStartLeases::EndpointLease& turn,
-                               const scheduler::SlowStartBudget& room) {
-      const Destination* known = destinations_.find(turn.entry.endpoint);
-      double granted = 0;
-      for (const auto& [node, given] : turn.granted)
-        granted += given.until > now && !given.is_returned ? given.work_ms : 0;
-      at.push_back({{"pool", pool},
-                    {"executor", known ? known->host : ""},
-                    {"age_s", (now - turn.entry.started_at) / 1000},
-                    {"share", turn.last_notified_fraction},
-                    {"left_ms", room.own},
-                    {"held_ms", room.granted},
-                    {"held_of", room.granted > 0 ? nlohmann::json(turn.borrowed.owner)
-                                                 : nlohmann::json(nullptr)},
-                    {"granted_ms", granted}});
-    });
-    fleet::SlowStartLeases::Statistics f = engine_.lease_statistics();
-    return {{"on", own_.turns && config_.settings.peers},
-            {"executors", at},
-            {"asked", f.requested},
-            {"got", f.obtained},
-            {"granted", f.granted},
-            {"denied", f.denied},
-            {"came_back", f.returned},
-            {"late", f.late}};
-  }
-
-  nlohmann::json fleet() {
-    nlohmann::json homes = nlohmann::json::array();
-    engine_.for_each_subset_entry([&](int pool, const scheduler::SubsetEntry& at) {
-      const Destination* known = destinations_.find(at.endpoint);
-      homes.push_back({{"pool", pool},
-                       {"executor", known ? known->host : ""},
-                       {"own", at.is_own},
-                       {"others", at.peers}});
-    });
-    return {{"self", config_.settings.rank},
-            {"nodes", config_.settings.dispatchers},
-            {"membership", membership_agent_.status()},
-            {"homes", homes},
-            {"turns", turns()}};
-  }
-
-  // SIGHUP: of the platform's file the settings and the discovery are taken over; the addresses to
-  // listen on, the limits of the process and the peers hold until a restart. Of our own file pools,
-  // routes, moves, plug-ins and the log are taken over, and what listens holds until a restart. All
-  // is read before anything changes: a bad file changes nothing.
-  void reload() {
-    log::reopen();
-    try {
-      Retuned next = retune(config_, read_config(files_.platform),
-                            [this](int class_index) { return engine_.class_in_use(class_index); });
-      const Names& names = next.config.names;
-      config::Own own = config::read_own(files_.own, !files_.own_given);
-      Traffic::check(own.routes, names);
-      traffic_.check_numbers(own.routes);
-      auto packages = plugins::load_all(own.plugins, files_.own, names);
-      if (own.log.json != own_.log.json || own.log.file != own_.log.file ||
-          own.log.level != own_.log.level || own.log.levels != own_.log.levels)
-        log::open(own.log);  // the last that may throw
-      traffic_.retune({names, next.config.settings});
-      traffic_.configure(own.routes, own.moves);
-      plugins_.retune(names, next.config.settings.classes);
-      plugins_.configure(own.plugins, std::move(packages));
-      own_ = std::move(own);
-      take_over(std::move(next));
-      engine_.grants(own_.turns);
-      ++counters_.reloads;
-      log::info(Subsystem::node, "reloaded");
-    } catch (const std::exception& fault) {
-      ++counters_.reloads_failed;
-      log::error(Subsystem::node, "reload-refused",
-                 {{"file", files_.platform}, {"fault", fault.what()}});
-    }
-  }
-
-  void take_over(Retuned next) {
-    config_ = std::move(next.config);
-    engine_.name_classes(config_.names.classes);
-    engine_.retune(for_module(config_.settings), std::move(next.from),
-                   {config_.most_held, config_.tick});
-    outbound_.retune({config_.connect_timeout, config_.report_names});
-    pool_.keep(config_.idle_limit * 6 / 10);
-    destinations_.names(config_.names);
-    monitor_.change(monitor_terms(config_.settings));
-    destinations_.change(call_policy(config_.settings), lease_terms(config_.settings));
-    destinations_.move(config_.discovery);
-  }
-
-  // Nothing is turned away. At first all goes on as before; what comes later has only until the
-  // last answer. Then answers end their connections, and when nothing is open any more the program
-  // ends.
-  void drain() {
-    if (counters_.drain_stage > 0)
-      return;
-    counters_.drain_stage = 1;
-    log::info(Subsystem::node, "told-to-end");
-    plugins_.drain();
-    TimePoint told = loop_.now();
-    loop_.at(told + kForgiven, [this, told] {
-      if (counters_.drain_stage < 2)
-        counters_.drain_stage = 2;
-      engine_.answer_all_by(told + last_answer());
-    });
-    loop_.at(told + std::min(kStillServing, last_answer()), [this] { leave(); });
-    if (handover::leaves_accepting(true, successor_))
-      leave();
-  }
-
-  Duration last_answer() const {
-    return std::min(config_.longest_deadline, kMostDeadline) + kAfterDeadline - kAnswersTravel;
-  }
-
-  // With a successor at once: it accepts from the same socket, and clients lose nothing by coming
-  // back to it.
-  void leave() {
-    if (counters_.drain_stage == 3)
-      return;
-    counters_.drain_stage = 3;
-    if (successor_)
-      server_.accepting(false);
-    else
-      membership_agent_.leave();
-    server_.drain();
-    if (progress_server_)
-      progress_server_->drain();
-    check_drained();
-  }
-
-  void check_drained() {
-    server_.close_idle();
-    if (progress_server_)
-      progress_server_->close_idle();
-    bool over = engine_.open_requests() == 0 && engine_.open_attempts() == 0 &&
-                server_.busy() == 0 && (!progress_server_ || progress_server_->busy() == 0);
-    // One in the middle passes call-backs from its successor to its elder; without a successor the
-    // elder accepts again.
-    bool passes = handover_ && successor_ && handover_->has_old_process();
-    if (over && !passes && (!handover_ || handover_->flushed())) {
-      // What the kernel has accepted is taken: it is served before the end, and nothing comes after
-      // it.
-      server_.take_the_last();
-      if (progress_server_)
-        progress_server_->take_the_last();
-      if (server_.connections() == 0 && (!progress_server_ || progress_server_->connections() == 0))
-        return loop_.stop();
-    }
-    loop_.at(loop_.now() + kDrainCheck, [this] { check_drained(); });
-  }
-
   NodeFiles files_;
   Config config_;
   config::Own own_;
-  Budget budget_;
+  DescriptorBudget budget_;
   Counters counters_;
   UnixClock clock_;
   net::EventLoop loop_;
@@ -674,6 +218,7 @@
   Engine engine_;
   Traffic traffic_;
   DestinationSet destinations_;
+  OverrideControl override_control_{admin_overrides_, destinations_, traffic_};
   Pool pool_;
   Outbound outbound_;
   Peers peers_;
@@ -682,25 +227,99 @@
   PlatformFront front_;
   Server server_;
   OperatorCalls operators_;
-  std::unique_ptr<LineServer> operator_server_;
-  std::unique_ptr<Store> store_;
-  std::unique_ptr<ProgressFront> progress_front_;
-  std::unique_ptr<Server> progress_server_;
-  std::unique_ptr<AdminFront> admin_front_;
-  std::unique_ptr<Server> admin_server_;
-  std::unique_ptr<Handover> handover_;
-  std::optional<handover::Succession> succession_;  // where the platform lends the listening socket
-  std::vector<scheduler::LearnedState> learned_;    // by the process before us
+  ExtraListeners listeners_{{.loop = loop_,
+                             .config = config_,
+                             .own = own_,
+                             .budget = budget_,
+                             .engine = engine_,
+                             .traffic = traffic_,
+                             .plugins = plugins_,
+                             .front = front_,
+                             .server = server_,
+                             .peers = peers_,
+                             .membership = membership_agent_,
+                             .operators = operators_,
+                             .counters = counters_},
+                            {.status = [this] { return status_report_.status(); },
+                             .fleet =
+                                 [this] {
+                                   return status_report_.fleet();
+                                 }},
+                            {.has_sibling = [this] { return upgrade_.has_sibling(); },
+                             .is_upgradable =
+                                 [this] {
+                                   return upgrade_.is_enabled();
+                                 }}};
+  // Where the platform lends the listening socket.
+  ProcessUpgrade upgrade_{
+      {.loop = loop_,
+       .clock = clock_,
+       .config = config_,
+       .overrides = admin_overrides_,
+       .engine = engine_,
+       .outbound = outbound_,
+       .connections = pool_,
+       .server = server_,
+       .counters = counters_},
+      {budget_.inbound, budget_.idle_outbound},
+      {.apply_override = [this](const std::string& host,
+                                bool out) { override_control_.apply(host, out); },
+       .serve_if_ready = [this] { serve_if_ready(); },
+       .on_successor_ready =
+           [this] {
+             shutdown_.on_successor_ready();
+           }}};
   invariants::Monitor monitor_;
-  bool serving_ = false, successor_ = false;
-  bool was_ready_ = false;  // it had a list that could be sent by
-  Signals signals_;
+  StatusReport status_report_{{.config = config_,
+                               .own = own_,
+                               .loop = loop_,
+                               .clock = clock_,
+                               .engine = engine_,
+                               .overrides = admin_overrides_,
+                               .destinations = destinations_,
+                               .membership = membership_agent_,
+                               .server = server_,
+                               .monitor = monitor_,
+                               .counters = counters_}};
+  ConfigReload reload_{{.files = files_,
+                        .config = config_,
+                        .own = own_,
+                        .engine = engine_,
+                        .traffic = traffic_,
+                        .destinations = destinations_,
+                        .connections = pool_,
+                        .outbound = outbound_,
+                        .plugins = plugins_,
+                        .monitor = monitor_,
+                        .counters = counters_}};
+  GracefulShutdown shutdown_{{.loop = loop_,
+                              .config = config_,
+                              .engine = engine_,
+                              .plugins = plugins_,
+                              .membership = membership_agent_,
+                              .server = server_,
+                              .counters = counters_},
+                             {.progress_server = [this] { return listeners_.progress_server(); },
+                              .has_successor = [this] { return upgrade_.has_successor(); },
+                              .is_upgrade_done =
+                                  [this] {
+                                    return upgrade_.is_done();
+                                  }}};
+  bool serving_ = false;
+  bool was_list_usable_ = false;  // it had a list that could be sent by
+  SignalReader signals_{loop_,
+                        {.on_terminate = [this] { shutdown_.begin(); },
+                         .on_reload = [this] { reload_.run(); },
+                         .on_report =
+                             [this] {
+                               status_report_.log_counters();
+                             }}};
 };
 
 }  // namespace
 
 void block_signals() {
-  sigset_t set = signals();
+  sigset_t set = handled_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
