--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -55,6 +55,7 @@
 
   /// `incarnation`: greater than that of this node's former incarnations, as Unix seconds are.
   Membership(const Settings& settings, Time now, std::uint32_t incarnation);
+  ~Membership() = default;
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
--- a/logic/fleet/slow_start_order.cpp
+++ b/logic/fleet/slow_start_order.cpp
@@ -15,7 +15,7 @@
 struct Scored {
   std::uint64_t score;
   int dispatcher;
-  auto operator<=>(const Scored&) const = default;
+  auto operator<=>(const Scored&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm
 };
 
 std::uint64_t seed_of(const scheduler::EndpointEntry& endpoint) {
@@ -32,10 +32,12 @@
 std::vector<int> order_at(const scheduler::EndpointEntry& endpoint, int dispatchers) {
   std::uint64_t seed = seed_of(endpoint);
   std::vector<Scored> scored;
+  scored.reserve(static_cast<std::size_t>(dispatchers));
   for (int dispatcher = 0; dispatcher < dispatchers; ++dispatcher)
     scored.push_back({mix(seed + static_cast<std::uint64_t>(dispatcher)), dispatcher});
   std::sort(scored.begin(), scored.end());
   std::vector<int> order;
+  order.reserve(scored.size());
   for (const Scored& one : scored)
     order.push_back(one.dispatcher);
   return order;
--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -5,25 +5,25 @@
 namespace keelflow::operation_guard {
 
 std::string_view to_string(Operation operation) {
-  constexpr std::array<std::string_view, kOperations> names = {"send", "repeat", "close", "start"};
-  return names[static_cast<std::size_t>(operation)];
+  constexpr std::array<std::string_view, kOperations> kNames = {"send", "repeat", "close", "start"};
+  return kNames[static_cast<std::size_t>(operation)];
 }
 
 std::string_view to_string(Reason reason) {
-  constexpr std::array<std::string_view, kReasons> names = {"none",
-                                                            "list-lease-expired",
-                                                            "endpoint-not-ready",
-                                                            "endpoint-moved",
-                                                            "deadline-passed",
-                                                            "window-over",
-                                                            "client-gone",
-                                                            "may-have-run",
-                                                            "attempt-out",
-                                                            "request-in-hand",
-                                                            "answer-unsent",
-                                                            "bytes-unread",
-                                                            "process-ended"};
-  return names[static_cast<std::size_t>(reason)];
+  constexpr std::array<std::string_view, kReasons> kNames = {"none",
+                                                             "list-lease-expired",
+                                                             "endpoint-not-ready",
+                                                             "endpoint-moved",
+                                                             "deadline-passed",
+                                                             "window-over",
+                                                             "client-gone",
+                                                             "may-have-run",
+                                                             "attempt-out",
+                                                             "request-in-hand",
+                                                             "answer-unsent",
+                                                             "bytes-unread",
+                                                             "process-ended"};
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 SendPermit SendVerdict::permit() const {
--- a/simulator_adapter/reply_writer.cpp
+++ b/simulator_adapter/reply_writer.cpp
@@ -14,19 +14,17 @@
 using scheduler::SendPeerMessage;
 using scheduler::SetTimer;
 
-/// The code of a record stands in its first byte.
-enum RecordCode : std::uint8_t {
-  kSendAttempt = 10,
-  kRejectRequest = 20,
-  kFailRequest = 30,
-  kCancelAttempt = 40,
-  kSetTimer = 50,
-  kHealthCheck = 60,
-  kPeerMessage = 80,
-  kGiveIn = 100,
-  kPollList = 110,
-  kInstance = 130,
-};
+// The code of a record stands in its first byte.
+constexpr std::uint8_t kSendAttempt = 10;
+constexpr std::uint8_t kRejectRequest = 20;
+constexpr std::uint8_t kFailRequest = 30;
+constexpr std::uint8_t kCancelAttempt = 40;
+constexpr std::uint8_t kSetTimer = 50;
+constexpr std::uint8_t kHealthCheck = 60;
+constexpr std::uint8_t kPeerMessage = 80;
+constexpr std::uint8_t kGiveIn = 100;
+constexpr std::uint8_t kPollList = 110;
+constexpr std::uint8_t kInstance = 130;
 
 }  // namespace
 
