--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -24,9 +24,9 @@
   ~Call() override { owner_.world_.loop.cancel(timer_); }
 
   void begin() {
-    const ClassPlan& class_index = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
+    const ClassPlan& class_plan = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
     began_ = owner_.world_.loop.now();
-    deadline_ = began_ + class_index.patience;
+    deadline_ = began_ + class_plan.patience;
     bool leaves = job_.leaves_after > Duration::zero();
     timer_ = leaves ? owner_.world_.loop.at(began_ + job_.leaves_after, [this] { leave(); })
                     : owner_.world_.loop.at(deadline_ + kSlack, [this] { silent(); });
@@ -42,13 +42,12 @@
 
  private:
   void on_connected() override {
-    const ClassPlan& class_index = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
+    const ClassPlan& class_plan = owner_.plan_.classes[static_cast<std::size_t>(job_.class_index)];
     std::string request =
-        "POST /" + class_index.name + "/x HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id_ +
+        "POST /" + class_plan.name + "/x HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id_ +
         "\r\nX-Customer: t" + std::to_string(job_.tenant) + "\r\nX-Object: " + job_.object +
         "\r\nX-Expires-In-Ms: " +
-        std::to_string(
-            std::chrono::floor<std::chrono::milliseconds>(class_index.patience).count()) +
+        std::to_string(std::chrono::floor<std::chrono::milliseconds>(class_plan.patience).count()) +
         "\r\nX-Size-Hint: " + std::to_string(static_cast<std::int64_t>(1000 * job_.hint_ms)) +
         "\r\nIdempotency-Key: " + job_.key + (job_.tries > 0 ? "\r\nX-Second-Try: 1" : "") +
         "\r\nContent-Length: 2\r\n\r\nhi";
@@ -131,11 +130,11 @@
     zone_loads_.push_back(z.load);
 }
 
-void Crowd::load(double factor, const std::string& class_index) {
-  if (class_index.empty())
+void Crowd::load(double factor, const std::string& class_name) {
+  if (class_name.empty())
     factor_ = factor;
   for (std::size_t i = 0; i < shares_.size(); ++i)
-    if (plan_.classes[i].name == class_index)
+    if (plan_.classes[i].name == class_name)
       shares_[i] = factor * plan_.classes[i].share;
 }
 
@@ -204,31 +203,31 @@
     while (at >= shares_[static_cast<std::size_t>(job.class_index)] &&
            job.class_index + 1 < static_cast<int>(plan_.classes.size()))
       at -= shares_[static_cast<std::size_t>(job.class_index++)];
-    const ClassPlan& class_index = plan_.classes[static_cast<std::size_t>(job.class_index)];
+    const ClassPlan& class_plan = plan_.classes[static_cast<std::size_t>(job.class_index)];
     job.key = "k" + std::to_string(++last_);
     char object[20];
     std::snprintf(object, sizeof object, "%x",
                   1 + random_(static_cast<std::uint32_t>(plan_.objects)));
     job.object = object;
     job.tenant = static_cast<int>(random_(static_cast<std::uint32_t>(plan_.tenants)));
-    double usual = to_ms(class_index.run);
+    double usual = to_ms(class_plan.run);
     job.core_ms =
-        usual * std::lognormal_distribution<double>(-class_index.spread * class_index.spread / 2,
-                                                    class_index.spread)(random_);
+        usual * std::lognormal_distribution<double>(-class_plan.spread * class_plan.spread / 2,
+                                                    class_plan.spread)(random_);
     job.hint_ms = job.core_ms * std::lognormal_distribution<double>(0, 0.2)(random_);
     job.rude = std::bernoulli_distribution(plan_.rude)(random_);
     if (plan_.quitters > 0 && std::bernoulli_distribution(plan_.quitters)(random_))
       job.leaves_after = std::chrono::duration_cast<Duration>(
-          std::uniform_real_distribution<double>(0.01, 0.9)(random_) * class_index.patience);
+          std::uniform_real_distribution<double>(0.01, 0.9)(random_) * class_plan.patience);
     job.first = world_.loop.now();
     ClassFigures& f = figures_[static_cast<std::size_t>(job.class_index)];
     ++f.jobs;
-    f.worth_asked += class_index.value;
+    f.worth_asked += class_plan.value;
     auto second = static_cast<std::size_t>(
         std::chrono::floor<std::chrono::seconds>(job.first - began_).count());
     if (seconds_.size() <= second)
       seconds_.resize(second + 1);
-    seconds_[second].first += class_index.value;
+    seconds_[second].first += class_plan.value;
     ask(std::move(job));
     if (!stopped_)
       next();
@@ -236,13 +235,13 @@
 }
 
 void Crowd::ask(Job job) {
-  const ClassPlan& class_index = plan_.classes[static_cast<std::size_t>(job.class_index)];
+  const ClassPlan& class_plan = plan_.classes[static_cast<std::size_t>(job.class_index)];
   std::string id = job.key + "." + std::to_string(job.tries);
   std::size_t node = choose_node();
   ++figures_[static_cast<std::size_t>(job.class_index)].tries;
-  world_.works[id] = {job.key, class_index.idempotency, class_index.window, job.core_ms,
-                      class_index.checkpoint};
-  world_.rules.asked(id, job.key, class_index.idempotency, class_index.window);
+  world_.works[id] = {job.key, class_plan.idempotency, class_plan.window, job.core_ms,
+                      class_plan.checkpoint};
+  world_.rules.asked(id, job.key, class_plan.idempotency, class_plan.window);
   auto call = std::make_unique<Call>(*this, std::move(job), std::move(id), node);
   Call* raw = call.get();
   calls_.emplace(raw, std::move(call));
@@ -251,20 +250,20 @@
 
 void Crowd::over(Call& call, int status, const std::string&, Duration retry_after) {
   Job job = call.job();
-  const ClassPlan& class_index = plan_.classes[static_cast<std::size_t>(job.class_index)];
+  const ClassPlan& class_plan = plan_.classes[static_cast<std::size_t>(job.class_index)];
   ClassFigures& f = figures_[static_cast<std::size_t>(job.class_index)];
   retire(call);
   double elapsed = to_ms(world_.loop.now() - job.first);
   if (status == 200) {
     ++f.served;
     latencies_(elapsed);
-    if (elapsed > to_ms(class_index.target) + class_index.objective_runtime_factor * job.core_ms)
+    if (elapsed > to_ms(class_plan.target) + class_plan.objective_runtime_factor * job.core_ms)
       return;
     ++f.in_time;
-    f.worth_in_time += class_index.value;
+    f.worth_in_time += class_plan.value;
     seconds_[static_cast<std::size_t>(
                  std::chrono::floor<std::chrono::seconds>(job.first - began_).count())]
-        .second += class_index.value;
+        .second += class_plan.value;
     return;
   }
   if (status == kLeft)
@@ -274,9 +273,8 @@
   // A keyed try that failed may have run in its group; the next could come to a node that knows
   // nothing of it.
   bool may =
-      refused || (status != 0 && class_index.idempotency == scheduler::Idempotency::idempotent);
-  if (!may || job.tries >= class_index.retries ||
-      (stopped_ && elapsed > to_ms(class_index.patience)))
+      refused || (status != 0 && class_plan.idempotency == scheduler::Idempotency::idempotent);
+  if (!may || job.tries >= class_plan.retries || (stopped_ && elapsed > to_ms(class_plan.patience)))
     return;
   ++job.tries;
   ++retries_;
--- a/lab/crowd.h
+++ b/lab/crowd.h
@@ -26,7 +26,7 @@
 
   void begin();
   void load(double factor,
-            const std::string& class_index);  // of one class, or of all where it is empty
+            const std::string& class_name);  // of one class, or of all where it is empty
   void zone_load(const std::string& zone, double factor);
   void stop();  // nothing new; what is asked goes on
   bool waiting() const { return !calls_.empty() || retries_ > 0; }
