--- a/scheduler/request.h
+++ b/scheduler/request.h
@@ -14,10 +14,10 @@
 
 /// One attempt, from its send until the request is forgotten.
 struct Attempt {
-  EndpointId endpoint;
-  int zone;
-  int cell;
-  Time sent;
+  EndpointId endpoint = 0;
+  int zone = 0;
+  int cell = 0;
+  Time sent = 0;
   Time started = -1;  ///< below 0: not yet
   DeliveryState delivery = DeliveryState::in_flight;
   bool is_cancelled = false;
