--- a/tests/replay/recording.h
+++ b/tests/replay/recording.h
@@ -1,5 +1,5 @@
-// A recording of one drawn day: a line of text for each input and each output, in a fixed form that does not depend on
-// how the code names things. Two builds that decide alike write the same lines.
+// A recording of one drawn day: a line of text for each input and each output, in a fixed form that
+// does not depend on how the code names things. Two builds that decide alike write the same lines.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace keelflow::replay {
 
-/// Collects lines and their hash (FNV-1a, 64 bits). The text itself is kept only where a trace was asked for.
+/// Collects lines and their hash (FNV-1a, 64 bits). The text itself is kept only where a trace was
+/// asked for.
 class Recording {
  public:
   explicit Recording(std::string name);
@@ -39,21 +40,23 @@
 std::string text_of(const reedlb::Action& action);
 std::string text_of(const reedlb::WorkerList& list);
 
-/// A generator of its own, so that the drawn days depend on no library and on no generator of the code under test.
+/// A generator of its own, so that the drawn days depend on no library and on no generator of the
+/// code under test.
 class Draw {
  public:
   explicit Draw(std::uint64_t seed) : state_(seed) {}
   std::uint64_t bits();
-  double unit();                             // in [0, 1)
-  double between(double low, double high);   // in [low, high)
-  int below(int bound);                      // 0 to bound - 1
+  double unit();                            // in [0, 1)
+  double between(double low, double high);  // in [low, high)
+  int below(int bound);                     // 0 to bound - 1
   bool chance(double probability) { return unit() < probability; }
 
  private:
   std::uint64_t state_;
 };
 
-/// Compares with the line `NAME LINES HASH` of tests/replay/recordings/decisions.txt; a difference fails the test.
+/// Compares with the line `NAME LINES HASH` of tests/replay/recordings/decisions.txt; a difference
+/// fails the test.
 void expect_recorded(const Recording& recording);
 
 }  // namespace keelflow::replay
