--- a/scheduler/attempt_tracker.cpp
+++ b/scheduler/attempt_tracker.cpp
@@ -6,11 +6,12 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kSilentRuns =
+constexpr double kMinUnstartedMeanRuns =
     4;  // after so many mean runs without a start a request is not queueing there
-constexpr double kFaultRuns = 2;        // after so many the endpoint looks faulty
-constexpr double kRecheckTimeouts = 4;  // a late start is looked at again after so many timeouts
-constexpr double kRecheckRuns = 0.5;    // or so many mean runs
+constexpr double kFaultMeanRuns = 2;  // after so many the endpoint looks faulty
+constexpr double kRecheckStartTimeouts =
+    4;                                    // a late start is looked at again after so many timeouts
+constexpr double kRecheckMeanRuns = 0.5;  // or so many mean runs
 
 bool has_never_run(AttemptResult result) {
   return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
@@ -53,7 +54,7 @@
   if (!is_warming_up || feedback_.has_sibling())
     feedback_.notify(slot, LoadSignal::sent, 1, work);
   request.attempts.push_back({entry.endpoint, entry.zone, entry.cell, environment_.now});
-  environment_.act(SendAttempt{id, entry.endpoint, 0});
+  environment_.emit_action(SendAttempt{id, entry.endpoint, 0});
   if (!environment_.settings.reports_start)
     return;
   double timeout = statistics_.start_timeout(entry.zone, environment_.settings.tick_ms);
@@ -109,13 +110,14 @@
   bool is_served = signal == LoadSignal::served;
   if (signal != LoadSignal::none && !is_served)
     congestion_.record_congested();
-  feedback_.notify(slot, signal, is_served ? learn(slot, request, attempt) : 1);
+  feedback_.notify(slot, signal, is_served ? record_service_time(slot, request, attempt) : 1);
   feedback_.apply(slot, signal);
   availability_.refresh(slot);
   endpoints_.forget_if_gone(slot);
 }
 
-double AttemptTracker::learn(EndpointSlot slot, const Request& request, const Attempt& attempt) {
+double AttemptTracker::record_service_time(EndpointSlot slot, const Request& request,
+                                           const Attempt& attempt) {
   double run = environment_.now - (attempt.has_started() ? attempt.started : attempt.sent);
   double ratio = run / calibration_.calibrated_cost(request) * slow_start_.weight(slot);
   statistics_.record_ratio(slot, endpoints_.at(slot).entry.kind, ratio,
@@ -127,14 +129,14 @@
 
 // With a key the attempt may be fetching. Where one attempt at a time is allowed it first loses its
 // place, so only after a long silence.
-bool AttemptTracker::may_cancel_silent(const Request& request, double waited) const {
+bool AttemptTracker::may_cancel_unstarted(const Request& request, double waited) const {
   const Settings& settings = environment_.settings;
   bool may_be_followed = request.attempts.size() + 1 < to_index(settings.max_attempts);
   if (!settings.cancel || request.arrival.key != 0 || !may_be_followed)
     return false;
   if (settings.concurrent_attempts)
     return true;
-  return !congestion_.is_high() && waited > kSilentRuns * statistics_.mean_run();
+  return !congestion_.is_high() && waited > kMinUnstartedMeanRuns * statistics_.mean_run();
 }
 
 // Cancelled it counts as one that may have run; what may follow then is asked now, while it is in
@@ -154,12 +156,13 @@
   double waited = environment_.now - attempt->sent;
   if (auto slot = endpoints_.find(attempt->endpoint)) {
     congestion_.record_congested();
-    feedback_.on_late_start(*slot, waited > kFaultRuns * statistics_.mean_run());
+    feedback_.on_late_start(*slot, waited > kFaultMeanRuns * statistics_.mean_run());
   }
   double timeout = statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms);
-  double recheck = std::max(kRecheckTimeouts * timeout, kRecheckRuns * statistics_.mean_run());
+  double recheck =
+      std::max(kRecheckStartTimeouts * timeout, kRecheckMeanRuns * statistics_.mean_run());
   environment_.timers.add(environment_.now + recheck, TimerPurpose::late_start, id, number);
-  if (may_cancel_silent(request, waited) && has_alternative(request, *attempt))
+  if (may_cancel_unstarted(request, waited) && has_alternative(request, *attempt))
     lifecycle_.cancel_attempt(request, number);
 }
 
--- a/scheduler/attempt_tracker.h
+++ b/scheduler/attempt_tracker.h
@@ -47,8 +47,8 @@
   void release_endpoint(EndpointSlot slot, const Request& request, const Attempt& attempt,
                         AttemptResult result);
   /// Returns the service time ratio of an attempt that was served.
-  double learn(EndpointSlot slot, const Request& request, const Attempt& attempt);
-  bool may_cancel_silent(const Request& request, double waited) const;
+  double record_service_time(EndpointSlot slot, const Request& request, const Attempt& attempt);
+  bool may_cancel_unstarted(const Request& request, double waited) const;
   bool has_alternative(const Request& request, Attempt& attempt);
 
   Environment& environment_;
--- a/scheduler/congestion.h
+++ b/scheduler/congestion.h
@@ -7,17 +7,17 @@
 namespace keelflow::scheduler {
 
 /// Above this the overdue wait, and silent attempts are left where they are.
-constexpr double kCongested = 0.5;
+constexpr double kCongestionThreshold = 0.5;
 
 /// A level between 0, no late start or rejection of late, and 1, nothing else.
 class Congestion {
  public:
   double level() const { return level_; }
-  bool is_high() const { return level_ > kCongested; }
-  void record_congested() { level_ += kAverageStep * (1 - level_); }
-  void record_timely_start() { level_ -= kAverageStep * level_; }
+  bool is_high() const { return level_ > kCongestionThreshold; }
+  void record_congested() { level_ += kEmaStep * (1 - level_); }
+  void record_timely_start() { level_ -= kEmaStep * level_; }
   /// With nothing sent it fades.
-  void fade() { level_ *= 1 - kAverageStep / 10; }
+  void fade() { level_ *= 1 - kEmaStep / 10; }
   void restore(double level) { level_ = level; }
 
  private:
--- a/scheduler/cost_calibration.cpp
+++ b/scheduler/cost_calibration.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // One sample counts at most this much, or its inverse: running times have heavy tails.
-constexpr double kSampleLimit = 8;
+constexpr double kMaxSampleRatio = 8;
 
 }  // namespace
 
@@ -35,8 +35,8 @@
 
 void CostCalibration::record_run(const Request& request, double run_ms) {
   double& factor = classes_[to_index(request.arrival.class_index)].factor;
-  double sample = std::clamp(run_ms / request.arrival.hint, 1 / kSampleLimit, kSampleLimit);
-  factor += kAverageStep * (sample - factor);
+  double sample = std::clamp(run_ms / request.arrival.hint, 1 / kMaxSampleRatio, kMaxSampleRatio);
+  factor += kEmaStep * (sample - factor);
 }
 
 void CostCalibration::restore(const std::vector<LearnedState::Calibration>& learned) {
--- a/scheduler/cost_calibration.h
+++ b/scheduler/cost_calibration.h
@@ -11,7 +11,7 @@
 namespace keelflow::scheduler {
 
 /// EMA step of the calibration factors and of the other averages.
-constexpr double kAverageStep = 0.1;
+constexpr double kEmaStep = 0.1;
 
 /// Owns what each class of requests has learned of its hints.
 class CostCalibration {
--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -13,8 +13,8 @@
 
 // Of a class so many requests at the head of its queue are tried; the others wait until something
 // changes.
-constexpr int kTriedOfClass = 3;
-constexpr double kReleaseTicks =
+constexpr int kMaxTriedPerClass = 3;
+constexpr double kReleaseIntervalTicks =
     10;  // ticks after which a sample that found no endpoint is drawn again
 
 Settings validated(const Settings& settings) {
@@ -40,7 +40,7 @@
     if (!environment.timers.needs_arming())
       return;
     Time when = environment.timers.arm();
-    environment.act(SetTimer{environment.timers.id(), when});
+    environment.emit_action(SetTimer{environment.timers.id(), when});
   }
 
   void on(const EndpointList& e) { list_tracker.on_list(e); }
@@ -101,7 +101,7 @@
       release(QueueTier::overdue);
     if (queue.size() == 0 || next_release > environment.now)
       return;
-    next_release = environment.now + kReleaseTicks * environment.settings.tick_ms;
+    next_release = environment.now + kReleaseIntervalTicks * environment.settings.tick_ms;
     congestion.fade();
     environment.timers.add(next_release, TimerPurpose::release);
   }
@@ -118,7 +118,8 @@
 
   bool release_one(const RequestQueue::ClassQueue& of_class) {
     int tried = 0;
-    for (auto it = of_class.begin(); it != of_class.end() && tried < kTriedOfClass; ++it, ++tried) {
+    for (auto it = of_class.begin(); it != of_class.end() && tried < kMaxTriedPerClass;
+         ++it, ++tried) {
       Request& request = requests.at(it->request);
       auto slot = selector.select(request);
       if (!slot)
--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Within so long a slot that a peer has given back may be filled again, in ms.
-constexpr double kYieldMs = 40;
+constexpr double kMaxYieldMs = 40;
 
 }  // namespace
 
@@ -59,11 +59,11 @@
   std::string message = encode({record.entry.endpoint, incarnation_tag(record.entry),
                                 record.in_flight, signal, service_time_ratio, work_ms});
   if (has_sibling_)
-    environment_.act(SendPeerMessage{environment_.settings.rank, message});
+    environment_.emit_action(SendPeerMessage{environment_.settings.rank, message});
   if (!subset_.shares_load())
     return;
   for (int peer : subset_.entry(slot, slow_start_.is_warming_up(slot)).peers)
-    environment_.act(SendPeerMessage{peer, message});
+    environment_.emit_action(SendPeerMessage{peer, message});
 }
 
 void EndpointFeedback::apply_details(EndpointSlot slot, const LoadUpdate& update, int peer) {
@@ -88,7 +88,7 @@
   // All who wait for a slot are notified of it at once: each gives the others a moment to fill it
   // first.
   if (was_full)
-    health_.eject_until(*slot, environment_.now + kYieldMs * environment_.random());
+    health_.eject_until(*slot, environment_.now + kMaxYieldMs * environment_.random());
   environment_.timers.add(was_full ? health_.ejected_until(*slot) : report_until,
                           TimerPurpose::reindex, update->endpoint);
   availability_.refresh(*slot);
--- a/scheduler/endpoint_health.cpp
+++ b/scheduler/endpoint_health.cpp
@@ -8,14 +8,15 @@
 namespace {
 
 constexpr double kLimitDecrease = 0.7;  // multiplicative decrease of the concurrency limit
-constexpr double kEjectionRuns = 0.1;   // how long an overloaded endpoint is ejected, in mean runs
-constexpr double kLeastEjectionTicks = 4;
-constexpr int kMostOutlierSigns = 3;  // doublings of that while it looks faulty
-constexpr int kMostFailures = 6;      // and while its attempts fail, one after another
+constexpr double kEjectionMeanRuns =
+    0.1;  // how long an overloaded endpoint is ejected, in mean runs
+constexpr double kMinEjectionTicks = 4;
+constexpr int kMaxOutlierSigns = 3;         // doublings of that while it looks faulty
+constexpr int kMaxConsecutiveFailures = 6;  // and while its attempts fail, one after another
 // The time is drawn from this fraction of it on, over this span: those who left it together come
 // back apart.
-constexpr double kLeastDrawn = 0.75;
-constexpr double kDrawnSpan = 0.5;
+constexpr double kMinEjectionJitter = 0.75;
+constexpr double kEjectionJitterSpan = 0.5;
 
 }  // namespace
 
@@ -34,11 +35,11 @@
 
 void EndpointHealth::record_failure(EndpointSlot slot) {
   int& failures = health_[slot].consecutive_failures;
-  failures = std::min(failures + 1, kMostFailures);
+  failures = std::min(failures + 1, kMaxConsecutiveFailures);
 }
 
 double EndpointHealth::base_ejection(double mean_run) const {
-  return std::max(kLeastEjectionTicks * environment_.settings.tick_ms, kEjectionRuns * mean_run);
+  return std::max(kMinEjectionTicks * environment_.settings.tick_ms, kEjectionMeanRuns * mean_run);
 }
 
 void EndpointHealth::eject_as_overloaded(EndpointSlot slot, double mean_run) {
@@ -50,13 +51,13 @@
 void EndpointHealth::eject_as_outlier(EndpointSlot slot, double mean_run) {
   LearnedState::Health& health = health_[slot];
   health.concurrency_limit = 1;
-  health.outlier_signs = std::min(health.outlier_signs + 1, kMostOutlierSigns);
+  health.outlier_signs = std::min(health.outlier_signs + 1, kMaxOutlierSigns);
   int doublings = std::max(health.outlier_signs, health.consecutive_failures);
   eject(slot, base_ejection(mean_run) * std::exp2(doublings));
 }
 
 void EndpointHealth::eject(EndpointSlot slot, double duration) {
-  double drawn = duration * (kLeastDrawn + kDrawnSpan * environment_.random());
+  double drawn = duration * (kMinEjectionJitter + kEjectionJitterSpan * environment_.random());
   eject_until(slot, environment_.now + drawn);
 }
 
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -9,9 +9,9 @@
 
 // Polls are spread by the number of dispatchers and by failures, but never wider than this fraction
 // of what `poll_within_ms` requires.
-constexpr double kMostSpread = 0.2;
+constexpr double kMaxPollSpreadFraction = 0.2;
 constexpr double kSpreadPerDispatcherMs = 40;
-constexpr double kFirstBackoffMs = 200;
+constexpr double kInitialPollBackoffMs = 200;
 
 }  // namespace
 
@@ -87,7 +87,7 @@
     availability_.refresh(*slot);
   }
   double all = static_cast<double>(event.endpoints.size());
-  subset_.set_extent(own / std::max(1.0, all), event.shares_load);
+  subset_.set_fraction_and_sharing(own / std::max(1.0, all), event.shares_load);
 }
 
 void EndpointListTracker::on_slow_start_shares(const SlowStartShares& event) {
@@ -112,10 +112,10 @@
   const Settings& settings = environment_.settings;
   if (!settings.polls_list)
     return;
-  double most = kMostSpread * settings.poll_within_ms;
+  double most = kMaxPollSpreadFraction * settings.poll_within_ms;
   double spread =
       std::min(most, kSpreadPerDispatcherMs * (settings.dispatchers - 1) + poll_backoff_ms_);
-  poll_backoff_ms_ = std::min(most, 2 * poll_backoff_ms_ + kFirstBackoffMs);
+  poll_backoff_ms_ = std::min(most, 2 * poll_backoff_ms_ + kInitialPollBackoffMs);
   environment_.timers.add(environment_.now + spread * environment_.random(),
                           TimerPurpose::poll_list);
 }
@@ -124,7 +124,7 @@
   if (is_subscribed_ || is_polling_)
     return;
   is_polling_ = true;
-  environment_.act(PollEndpointList{});
+  environment_.emit_action(PollEndpointList{});
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -8,16 +8,16 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr int kCandidates = 4;  // sampled endpoints with capacity that are compared
-constexpr int kDraws = 16;      // draws at most to find them
+constexpr int kMaxCandidates = 4;  // sampled endpoints with capacity that are compared
+constexpr int kMaxDraws = 16;      // draws at most to find them
 
-constexpr double kOverflowRuns = 0.1;  // mean runs that a request waits for its subset
-constexpr double kCongestionWait = 4;  // under congestion it waits up to so many times longer
+constexpr double kSubsetWaitMeanRuns = 0.1;  // mean runs that a request waits for its subset
+constexpr double kCongestionWaitFactor = 4;  // under congestion it waits up to so many times longer
 
-constexpr int kKeyProbes = 16;  // ring look-ups that order a key's endpoints
-constexpr double kKeySpread =
+constexpr int kRingProbes = 16;  // ring look-ups that order a key's endpoints
+constexpr double kKeySpreadFactor =
     2.5;  // endpoints a key is given, for each that its traffic would fill
-constexpr double kFetchRuns = 1.5;  // a request waits so many mean runs for one endpoint more
+constexpr double kFetchMeanRuns = 1.5;  // a request waits so many mean runs for one endpoint more
 
 }  // namespace
 
@@ -44,9 +44,10 @@
       if (attempt.delivery != DeliveryState::not_delivered)
         return select_in_cell(request, attempt.cell);
   }
-  for (bool spares_reserved : {true, false}) {
-    Selected selected = request.arrival.key != 0 ? select_by_key(request, spares_reserved)
-                                                 : select_near_subset(request, spares_reserved);
+  for (bool avoids_reserved_kinds : {true, false}) {
+    Selected selected = request.arrival.key != 0
+                            ? select_by_key(request, avoids_reserved_kinds)
+                            : select_near_subset(request, avoids_reserved_kinds);
     if (selected)
       return selected;
   }
@@ -54,11 +55,12 @@
 }
 
 // A kind that some class cannot do without is spared for it while other kinds have capacity.
-bool EndpointSelector::may_use_kind(const Request& request, int kind, bool spares_reserved) const {
+bool EndpointSelector::may_use_kind(const Request& request, int kind,
+                                    bool avoids_reserved_kinds) const {
   int needed = environment_.class_settings(request.arrival.class_index).kind;
   if (needed >= 0)
     return needed == kind;
-  return !spares_reserved || !reserved_kinds_[to_index(kind)];
+  return !avoids_reserved_kinds || !reserved_kinds_[to_index(kind)];
 }
 
 // While it warms up a request may run too long there to be in time.
@@ -125,20 +127,21 @@
 // Where dispatchers are many each samples its subset first. A request that has waited a while for
 // those goes anywhere.
 std::optional<EndpointSlot> EndpointSelector::select_near_subset(const Request& request,
-                                                                 bool spares_reserved) {
-  if (auto selected = sample(&EndpointTable::available_in_subset, request, spares_reserved))
+                                                                 bool avoids_reserved_kinds) {
+  if (auto selected = sample(&EndpointTable::available_in_subset, request, avoids_reserved_kinds))
     return selected;
-  double wait = kOverflowRuns * statistics_.mean_run() *
-                (1 + kCongestionWait * congestion_.level() * (1 - subset_.fraction()));
+  double wait = kSubsetWaitMeanRuns * statistics_.mean_run() *
+                (1 + kCongestionWaitFactor * congestion_.level() * (1 - subset_.fraction()));
   if (request.is_queued && environment_.now - request.queued_since < wait)
     return std::nullopt;
-  return sample(&EndpointTable::available, request, spares_reserved);
+  return sample(&EndpointTable::available, request, avoids_reserved_kinds);
 }
 
 std::optional<EndpointSlot> EndpointSelector::sample(Available available, const Request& request,
-                                                     bool spares_reserved) {
+                                                     bool avoids_reserved_kinds) {
   auto size_of = [&](int kind) {
-    return may_use_kind(request, kind, spares_reserved) ? (endpoints_.*available)(kind).size() : 0;
+    return may_use_kind(request, kind, avoids_reserved_kinds) ? (endpoints_.*available)(kind).size()
+                                                              : 0;
   };
   std::size_t total = 0;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind)
@@ -147,7 +150,7 @@
     return std::nullopt;
   Selected best;
   int candidates = 0;
-  for (int draws = 0; candidates < kCandidates && draws < kDraws; ++draws) {
+  for (int draws = 0; candidates < kMaxCandidates && draws < kMaxDraws; ++draws) {
     auto place = static_cast<std::size_t>(environment_.random() * static_cast<double>(total));
     int kind = 0;
     for (; place >= size_of(kind); ++kind)
@@ -161,15 +164,15 @@
   return best;
 }
 
-std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest(const Request& request,
-                                                                   bool spares_reserved) const {
+std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest(
+    const Request& request, bool avoids_reserved_kinds) const {
   std::vector<RingPoint> points;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind) {
     const EndpointTable::Ring& ring = endpoints_.ring(kind);
-    if (!may_use_kind(request, kind, spares_reserved) || ring.empty())
+    if (!may_use_kind(request, kind, avoids_reserved_kinds) || ring.empty())
       continue;
     std::uint64_t probe = request.arrival.key;
-    for (int i = 0; i < kKeyProbes; ++i) {
+    for (int i = 0; i < kRingProbes; ++i) {
       probe = mix(probe);
       auto it = ring.lower_bound(probe);
       if (it == ring.end())
@@ -184,10 +187,10 @@
   return points;
 }
 
-double EndpointSelector::ready_endpoints(const Request& request, bool spares_reserved) const {
+double EndpointSelector::ready_endpoints(const Request& request, bool avoids_reserved_kinds) const {
   double ready = 0;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind)
-    if (may_use_kind(request, kind, spares_reserved))
+    if (may_use_kind(request, kind, avoids_reserved_kinds))
       ready += static_cast<double>(endpoints_.ring(kind).size());
   return ready;
 }
@@ -196,9 +199,9 @@
 // as long as a fetch takes.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
-  double fetch = kFetchRuns * statistics_.mean_run() + environment_.settings.tick_ms;
+  double fetch = kFetchMeanRuns * statistics_.mean_run() + environment_.settings.tick_ms;
   double waited = request.is_queued ? wait / fetch : 0;
-  double needed = key_frequency_.fraction(request.arrival.key) * endpoints * kKeySpread;
+  double needed = key_frequency_.fraction(request.arrival.key) * endpoints * kKeySpreadFactor;
   return std::ceil(needed) + waited;
 }
 
@@ -206,11 +209,11 @@
 // hash's neighbours on the ring. Others would have to fetch what it needs from a shared store while
 // slots stand idle.
 std::optional<EndpointSlot> EndpointSelector::select_by_key(const Request& request,
-                                                            bool spares_reserved) const {
-  double spread = key_spread(request, ready_endpoints(request, spares_reserved));
+                                                            bool avoids_reserved_kinds) const {
+  double spread = key_spread(request, ready_endpoints(request, avoids_reserved_kinds));
   EndpointId last = 0;
   Selected best;
-  for (const RingPoint& point : nearest(request, spares_reserved)) {
+  for (const RingPoint& point : nearest(request, avoids_reserved_kinds)) {
     bool is_next = point.endpoint != last;
     if (is_next)
       spread -= 1;
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -50,11 +50,11 @@
 
   Selected select_any(const Request& request);
   Selected select_in_cell(const Request& request, int cell) const;
-  Selected select_near_subset(const Request& request, bool spares_reserved);
-  Selected select_by_key(const Request& request, bool spares_reserved) const;
-  Selected sample(Available available, const Request& request, bool spares_reserved);
+  Selected select_near_subset(const Request& request, bool avoids_reserved_kinds);
+  Selected select_by_key(const Request& request, bool avoids_reserved_kinds) const;
+  Selected sample(Available available, const Request& request, bool avoids_reserved_kinds);
 
-  bool may_use_kind(const Request& request, int kind, bool spares_reserved) const;
+  bool may_use_kind(const Request& request, int kind, bool avoids_reserved_kinds) const;
   bool is_usable(const Request& request, EndpointSlot slot) const;
   bool is_in_time_while_warming_up(const Request& request, EndpointSlot slot) const;
   /// Running time there now, over calibrated cost.
@@ -69,10 +69,10 @@
     EndpointId endpoint;
     EndpointSlot slot;
   };
-  std::vector<RingPoint> nearest(const Request& request, bool spares_reserved) const;
+  std::vector<RingPoint> nearest(const Request& request, bool avoids_reserved_kinds) const;
   /// How many of its nearest endpoints a request with a key may use.
   double key_spread(const Request& request, double endpoints) const;
-  double ready_endpoints(const Request& request, bool spares_reserved) const;
+  double ready_endpoints(const Request& request, bool avoids_reserved_kinds) const;
 
   Environment& environment_;
   const EndpointTable& endpoints_;
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -11,7 +11,7 @@
   return it == cells_.end() ? none : it->second;
 }
 
-EndpointSlot EndpointTable::take_slot(EndpointId id) {
+EndpointSlot EndpointTable::allocate_slot(EndpointId id) {
   if (auto present = find(id))
     return *present;
   EndpointSlot slot = 0;
@@ -28,7 +28,7 @@
 }
 
 EndpointSlot EndpointTable::add(const EndpointEntry& entry) {
-  EndpointSlot slot = take_slot(entry.endpoint);
+  EndpointSlot slot = allocate_slot(entry.endpoint);
   EndpointRecord& record = records_[slot];
   record.entry = entry;
   record.was_used = false;
@@ -52,7 +52,7 @@
 
 void EndpointTable::forget_if_gone(EndpointSlot slot) {
   const EndpointRecord& record = records_[slot];
-  if (record.attempts_out > 0 || record.entry.state != EndpointState::gone)
+  if (record.unfinished_attempts > 0 || record.entry.state != EndpointState::gone)
     return;
   slots_.erase(record.entry.endpoint);
   free_slots_.push_back(slot);
@@ -61,21 +61,21 @@
 void EndpointTable::record_send(EndpointSlot slot, double load) {
   EndpointRecord& record = records_[slot];
   record.in_flight += load;
-  ++record.attempts_out;
+  ++record.unfinished_attempts;
   record.was_used = true;
 }
 
 void EndpointTable::record_end(EndpointSlot slot, double load, bool had_started) {
   EndpointRecord& record = records_[slot];
-  --record.attempts_out;
-  record.in_flight = record.attempts_out <= 0 ? 0 : record.in_flight - load;
+  --record.unfinished_attempts;
+  record.in_flight = record.unfinished_attempts <= 0 ? 0 : record.in_flight - load;
   if (had_started)
-    --record.attempts_begun;
+    --record.running_attempts;
 }
 
 void EndpointTable::index(EndpointSlot slot, bool is_available, bool is_in_subset) {
   const EndpointEntry& entry = records_[slot].entry;
-  Kind& kind = kinds_[to_place(entry.kind)];
+  Kind& kind = kinds_[kind_index(entry.kind)];
   if (entry.state == EndpointState::ready) {
     kind.ring.emplace(mix(entry.endpoint), slot);
   } else {
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -21,10 +21,10 @@
 /// One endpoint, and what this dispatcher has in flight there.
 struct EndpointRecord {
   EndpointEntry entry;
-  double in_flight = 0;    ///< own slots
-  int attempts_out = 0;    ///< own attempts in flight
-  int attempts_begun = 0;  ///< of these, reported to run
-  bool was_used = false;   ///< something was sent there in its present incarnation
+  double in_flight = 0;         ///< own slots
+  int unfinished_attempts = 0;  ///< own attempts in flight
+  int running_attempts = 0;     ///< of these, reported to run
+  bool was_used = false;        ///< something was sent there in its present incarnation
 };
 
 /// Owns the records and the indexes. Slots are given out here; other owners keep their state by
@@ -60,19 +60,19 @@
 
   void record_send(EndpointSlot slot, double load);
   /// Returns how many of the attempts in flight run by now.
-  int record_start(EndpointSlot slot) { return ++records_[slot].attempts_begun; }
+  int record_start(EndpointSlot slot) { return ++records_[slot].running_attempts; }
   void record_end(EndpointSlot slot, double load, bool had_started);
 
   /// Available: ready, not ejected and with capacity. The subset's are sampled first.
   void index(EndpointSlot slot, bool is_available, bool is_in_subset);
   bool is_available(EndpointSlot slot) const {
-    return kinds_[to_place(records_[slot].entry.kind)].available.has(slot);
+    return kinds_[kind_index(records_[slot].entry.kind)].available.has(slot);
   }
-  const SampledSet& available(int kind) const { return kinds_[to_place(kind)].available; }
+  const SampledSet& available(int kind) const { return kinds_[kind_index(kind)].available; }
   const SampledSet& available_in_subset(int kind) const {
-    return kinds_[to_place(kind)].available_in_subset;
+    return kinds_[kind_index(kind)].available_in_subset;
   }
-  const Ring& ring(int kind) const { return kinds_[to_place(kind)].ring; }
+  const Ring& ring(int kind) const { return kinds_[kind_index(kind)].ring; }
 
  private:
   struct Kind {
@@ -81,8 +81,8 @@
     Ring ring;
   };
 
-  static std::size_t to_place(int kind) { return static_cast<std::size_t>(kind); }
-  EndpointSlot take_slot(EndpointId id);
+  static std::size_t kind_index(int kind) { return static_cast<std::size_t>(kind); }
+  EndpointSlot allocate_slot(EndpointId id);
 
   std::vector<EndpointRecord> records_;  // by slot
   std::vector<EndpointSlot> free_slots_;
--- a/scheduler/environment.h
+++ b/scheduler/environment.h
@@ -17,8 +17,8 @@
   const ClassSettings& class_settings(int class_index) const {
     return settings.classes[to_index(class_index)];
   }
-  template <typename OneAction>
-  void act(OneAction action) const {
+  template <typename ActionType>
+  void emit_action(ActionType action) const {
     actions->emplace_back(std::move(action));
   }
 
--- a/scheduler/key_frequency.h
+++ b/scheduler/key_frequency.h
@@ -11,7 +11,7 @@
  public:
   void count(std::uint64_t key) {
     ++counts_[key];
-    if (++total_ >= kMemory)
+    if (++total_ >= kHalvingInterval)
       halve();
   }
 
@@ -22,8 +22,8 @@
   }
 
  private:
-  static constexpr double kMemory = 4096;    // keys after which older ones count half
-  static constexpr double kForgotten = 0.3;  // a key that counts less is forgotten
+  static constexpr double kHalvingInterval = 4096;  // keys after which older ones count half
+  static constexpr double kMinRetainedCount = 0.3;  // a key that counts less is forgotten
 
   void halve() {
     total_ = 0;
@@ -31,7 +31,7 @@
       count /= 2;
       total_ += count;
     }
-    std::erase_if(counts_, [](const auto& entry) { return entry.second < kForgotten; });
+    std::erase_if(counts_, [](const auto& entry) { return entry.second < kMinRetainedCount; });
   }
 
   std::map<std::uint64_t, double> counts_;
--- a/scheduler/peer_load.cpp
+++ b/scheduler/peer_load.cpp
@@ -11,12 +11,12 @@
 
 constexpr std::size_t kSize = 8;
 constexpr std::size_t kEndpointBytes = 4;
-constexpr std::size_t kTagPlace = 4;
-constexpr std::size_t kInFlightPlace = 5;
-constexpr std::size_t kSignalPlace = 6;
-constexpr std::size_t kDetailPlace = 7;
+constexpr std::size_t kTagOffset = 4;
+constexpr std::size_t kInFlightOffset = 5;
+constexpr std::size_t kSignalOffset = 6;
+constexpr std::size_t kDetailOffset = 7;
 constexpr double kWorkUnitMs = 64;
-constexpr double kRatioUnits = 32;
+constexpr double kRatioUnitsPerOne = 32;
 
 char to_byte(double value) {
   return static_cast<char>(static_cast<std::uint8_t>(std::clamp(std::round(value), 0.0, 255.0)));
@@ -36,25 +36,25 @@
   out += to_byte(std::ceil(update.in_flight));
   out += static_cast<char>(update.signal);
   out += update.signal == LoadSignal::sent ? to_byte(std::ceil(update.work_ms / kWorkUnitMs))
-                                           : to_byte(update.service_time_ratio * kRatioUnits);
+                                           : to_byte(update.service_time_ratio * kRatioUnitsPerOne);
   return out;
 }
 
 std::optional<LoadUpdate> decode_load_update(std::string_view bytes) {
   if (bytes.size() != kSize)
     return std::nullopt;
-  std::uint8_t signal = byte_at(bytes, kSignalPlace);
+  std::uint8_t signal = byte_at(bytes, kSignalOffset);
   if (signal > static_cast<std::uint8_t>(LoadSignal::failed))
     return std::nullopt;
   LoadUpdate update;
   for (std::size_t i = 0; i < kEndpointBytes; ++i)
     update.endpoint = update.endpoint << 8 | byte_at(bytes, i);
-  update.incarnation_tag = byte_at(bytes, kTagPlace);
-  update.in_flight = byte_at(bytes, kInFlightPlace);
+  update.incarnation_tag = byte_at(bytes, kTagOffset);
+  update.in_flight = byte_at(bytes, kInFlightOffset);
   update.signal = static_cast<LoadSignal>(signal);
-  std::uint8_t detail = byte_at(bytes, kDetailPlace);
+  std::uint8_t detail = byte_at(bytes, kDetailOffset);
   if (update.signal == LoadSignal::served)
-    update.service_time_ratio = detail / kRatioUnits;
+    update.service_time_ratio = detail / kRatioUnitsPerOne;
   if (update.signal == LoadSignal::sent)
     update.work_ms = detail * kWorkUnitMs;
   return update;
--- a/scheduler/request_lifecycle.cpp
+++ b/scheduler/request_lifecycle.cpp
@@ -7,17 +7,18 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kOverQuotaLimit =
+constexpr double kMaxOverQuotaFactor =
     30;  // a request beyond its tenant's quota counts so many times larger at most
-constexpr double kMostLoad = 1e6;
+constexpr double kMaxRequestLoad = 1e6;
 
 }  // namespace
 
 double RequestLifecycle::queue_cost(const Request& request) const {
   const RequestArrived& arrival = request.arrival;
-  double over_quota = request.is_within_quota
-                          ? 1
-                          : std::min(kOverQuotaLimit, 1 / environment_.settings.over_quota_weight);
+  double over_quota =
+      request.is_within_quota
+          ? 1
+          : std::min(kMaxOverQuotaFactor, 1 / environment_.settings.over_quota_weight);
   return arrival.hint * arrival.queue_weight * over_quota;
 }
 
@@ -32,7 +33,7 @@
   }
   request.is_within_quota = quota_.admit(arrival.tenant, environment_.settings, environment_.now);
   request.queue_cost = queue_cost(request);
-  request.load = std::clamp(std::max({1.0, arrival.slots, arrival.memory}), 1.0, kMostLoad);
+  request.load = std::clamp(std::max({1.0, arrival.slots, arrival.memory}), 1.0, kMaxRequestLoad);
   double timeout = std::isfinite(arrival.client_timeout_ms) ? arrival.client_timeout_ms : 0;
   request.deadline = environment_.now + timeout - environment_.settings.tick_ms;
   return request;
@@ -55,7 +56,7 @@
   bool has_class = arrival.class_index >= 0 &&
                    to_index(arrival.class_index) < environment_.settings.classes.size();
   if (!has_class)
-    return environment_.act(RejectRequest{arrival.request, retry_policy_.retry_after()});
+    return environment_.emit_action(RejectRequest{arrival.request, retry_policy_.retry_after()});
   Request& request = admit(arrival);
   if (arrival.key != 0)
     selector_.record_key(arrival.key);
@@ -121,9 +122,9 @@
     return;
   RequestId id = request.arrival.request;
   if (retry_policy_.may_reject(request)) {
-    environment_.act(RejectRequest{id, retry_policy_.retry_after()});
+    environment_.emit_action(RejectRequest{id, retry_policy_.retry_after()});
   } else {
-    environment_.act(FailRequest{id});
+    environment_.emit_action(FailRequest{id});
   }
   finish(request);
 }
@@ -142,7 +143,7 @@
 
 void RequestLifecycle::cancel_attempt(Request& request, int attempt) {
   request.attempts[to_index(attempt)].is_cancelled = true;
-  environment_.act(CancelAttempt{request.arrival.request, attempt});
+  environment_.emit_action(CancelAttempt{request.arrival.request, attempt});
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -6,16 +6,17 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kWindowMargin =
+constexpr double kUsableWindowFraction =
     0.9;  // the fraction of a deduplication window that is used for retries
-constexpr double kRetryAfterRuns =
+constexpr double kRetryAfterMeanRuns =
     0.25;  // a rejected client is to come back after so many mean runs
-constexpr double kLeastRetryAfterTicks = 4;
+constexpr double kMinRetryAfterTicks = 4;
 
 }  // namespace
 
 bool RetryPolicy::is_within_window(const Attempt& earlier, const ClassSettings& settings) const {
-  return environment_.now <= earlier.sent + kWindowMargin * settings.deduplication_window_ms;
+  return environment_.now <=
+         earlier.sent + kUsableWindowFraction * settings.deduplication_window_ms;
 }
 
 bool RetryPolicy::may_follow(const Attempt& earlier, const ClassSettings& settings,
@@ -71,7 +72,8 @@
       return true;
     if (settings.idempotency == Idempotency::non_idempotent)
       return false;
-    return environment_.now < earlier.sent + kWindowMargin * settings.deduplication_window_ms;
+    return environment_.now <
+           earlier.sent + kUsableWindowFraction * settings.deduplication_window_ms;
   });
 }
 
@@ -90,8 +92,8 @@
   const Settings& settings = environment_.settings;
   if (!settings.retry_after)
     return 0;
-  double least = kLeastRetryAfterTicks * settings.tick_ms;
-  return std::clamp(kRetryAfterRuns * statistics_.mean_run(), least,
+  double least = kMinRetryAfterTicks * settings.tick_ms;
+  return std::clamp(kRetryAfterMeanRuns * statistics_.mean_run(), least,
                     std::max(least, settings.max_retry_after_ms));
 }
 
--- a/scheduler/sampled_set.h
+++ b/scheduler/sampled_set.h
@@ -23,29 +23,31 @@
 
   std::size_t size() const { return items_.size(); }
   std::uint32_t operator[](std::size_t position) const { return items_[position]; }
-  bool has(std::uint32_t item) const { return item < places_.size() && places_[item] != kAbsent; }
+  bool has(std::uint32_t item) const {
+    return item < positions_.size() && positions_[item] != kAbsent;
+  }
 
  private:
   static constexpr std::uint32_t kAbsent = ~std::uint32_t{0};
 
   void insert(std::uint32_t item) {
-    if (item >= places_.size())
-      places_.resize(item + std::size_t{1}, kAbsent);
-    places_[item] = static_cast<std::uint32_t>(items_.size());
+    if (item >= positions_.size())
+      positions_.resize(item + std::size_t{1}, kAbsent);
+    positions_[item] = static_cast<std::uint32_t>(items_.size());
     items_.push_back(item);
   }
 
   // The last one takes its place.
   void remove(std::uint32_t item) {
-    std::uint32_t hole = places_[item];
+    std::uint32_t hole = positions_[item];
     items_[hole] = items_.back();
-    places_[items_[hole]] = hole;
-    places_[item] = kAbsent;
+    positions_[items_[hole]] = hole;
+    positions_[item] = kAbsent;
     items_.pop_back();
   }
 
   std::vector<std::uint32_t> items_;
-  std::vector<std::uint32_t> places_;  // by item
+  std::vector<std::uint32_t> positions_;  // by item
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/service_statistics.cpp
+++ b/scheduler/service_statistics.cpp
@@ -9,12 +9,12 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kEndpointStep = 0.2;  // EMA step of an endpoint's own ratio
-constexpr double kLeastRatio = 0.25;
-constexpr double kMostRatio = 4;
-constexpr double kStartDelays = 3;        // an attempt is late after so many average delays
-constexpr double kStartTicks = 4;         // and so many ticks
-constexpr double kStartAllowanceMs = 10;  // and this
+constexpr double kEndpointEmaStep = 0.2;  // EMA step of an endpoint's own ratio
+constexpr double kMinServiceTimeRatio = 0.25;
+constexpr double kMaxServiceTimeRatio = 4;
+constexpr double kStartTimeoutMeanDelays = 3;    // an attempt is late after so many average delays
+constexpr double kStartTimeoutTicks = 4;         // and so many ticks
+constexpr double kStartTimeoutAllowanceMs = 10;  // and this
 
 }  // namespace
 
@@ -35,12 +35,12 @@
 
 void ServiceStatistics::record_ratio(EndpointSlot slot, int kind, double ratio,
                                      bool is_warming_up) {
-  ratio = std::clamp(ratio, kLeastRatio, kMostRatio);
-  ratios_[slot] += kEndpointStep * (ratio - ratios_[slot]);
+  ratio = std::clamp(ratio, kMinServiceTimeRatio, kMaxServiceTimeRatio);
+  ratios_[slot] += kEndpointEmaStep * (ratio - ratios_[slot]);
   if (is_warming_up)
     return;
   double& of_kind = kinds_[to_index(kind)].service_time_ratio;
-  of_kind += kAverageStep * (ratio - of_kind);
+  of_kind += kEmaStep * (ratio - of_kind);
 }
 
 double ServiceStatistics::observed_cores(int kind) const {
@@ -53,16 +53,17 @@
 }
 
 void ServiceStatistics::record_run(double run_ms) {
-  mean_run_ = mean_run_ > 0 ? mean_run_ + kAverageStep * (run_ms - mean_run_) : run_ms;
+  mean_run_ = mean_run_ > 0 ? mean_run_ + kEmaStep * (run_ms - mean_run_) : run_ms;
 }
 
 double ServiceStatistics::start_timeout(int zone, double tick_ms) const {
-  return kStartDelays * start_delays_[to_index(zone)] + kStartTicks * tick_ms + kStartAllowanceMs;
+  return kStartTimeoutMeanDelays * start_delays_[to_index(zone)] + kStartTimeoutTicks * tick_ms +
+         kStartTimeoutAllowanceMs;
 }
 
 void ServiceStatistics::record_start_delay(int zone, double delay_ms) {
   double& average = start_delays_[to_index(zone)];
-  average = average > 0 ? average + kAverageStep * (delay_ms - average) : delay_ms;
+  average = average > 0 ? average + kEmaStep * (delay_ms - average) : delay_ms;
 }
 
 void ServiceStatistics::restore(const LearnedState& learned) {
--- a/scheduler/settings.cpp
+++ b/scheduler/settings.cpp
@@ -13,7 +13,7 @@
     throw std::invalid_argument(std::string("scheduler settings: ") + what);
 }
 
-bool is_amount(double value) {
+bool is_finite_and_non_negative(double value) {
   return std::isfinite(value) && value >= 0;
 }
 
@@ -21,7 +21,7 @@
   for (double figure :
        {settings.deduplication_window_ms, settings.latency_objective_ms,
         settings.objective_runtime_factor, settings.priority_weight, settings.late_weight_fraction})
-    require(is_amount(figure), "a class figure is negative or not finite");
+    require(is_finite_and_non_negative(figure), "a class figure is negative or not finite");
   require(settings.kind >= -1 && settings.kind < kinds, "class kind out of range");
 }
 
@@ -42,7 +42,7 @@
         settings.drain_grace_ms, settings.grace_to_answer_ms, settings.slow_start_initial_fraction,
         settings.slow_start_ms, settings.overload_multiple, settings.overload_window_ms,
         settings.over_quota_weight, settings.health_check_price})
-    require(is_amount(figure), "a figure is negative or not finite");
+    require(is_finite_and_non_negative(figure), "a figure is negative or not finite");
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 // The fraction of the budget that is used: hints err, and rejected work counts too.
-constexpr double kBudgetMargin = 0.62;
+constexpr double kUsableBudgetFraction = 0.62;
 // A kind counts as faster than its size by so much at most.
-constexpr double kLeastWorkOfHint = 0.9;
-constexpr double kLeastKindRatio = 0.5;
-constexpr double kMostKindRatio = 4;
+constexpr double kMinWorkPerHint = 0.9;
+constexpr double kMinKindRatio = 0.5;
+constexpr double kMaxKindRatio = 4;
 // A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are
 // believed.
-constexpr double kBelievedCores = 2;
+constexpr double kMaxCoresPerObserved = 2;
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 
 double SlowStart::work_of(EndpointSlot slot, double hint, double calibrated_cost) const {
   double ratio = std::clamp(statistics_.kind_service_time_ratio(endpoints_.at(slot).entry.kind),
-                            kLeastKindRatio, kMostKindRatio);
-  return std::max(kLeastWorkOfHint * hint, std::max(hint, calibrated_cost) * ratio);
+                            kMinKindRatio, kMaxKindRatio);
+  return std::max(kMinWorkPerHint * hint, std::max(hint, calibrated_cost) * ratio);
 }
 
 double SlowStart::granted(const State& state) const {
@@ -47,8 +47,8 @@
   const State& state = states_[slot];
   const EndpointEntry& entry = endpoints_.at(slot).entry;
   double seen = statistics_.observed_cores(entry.kind);
-  double cores = std::clamp(entry.nominal_capacity, seen, kBelievedCores * seen);
-  double total = kBudgetMargin * settings.overload_multiple * weight(slot) * cores *
+  double cores = std::clamp(entry.nominal_capacity, seen, kMaxCoresPerObserved * seen);
+  double total = kUsableBudgetFraction * settings.overload_multiple * weight(slot) * cores *
                  settings.overload_window_ms;
   double own =
       total * state.fraction - state.sent.sum(environment_.now - settings.overload_window_ms);
--- a/scheduler/subset.cpp
+++ b/scheduler/subset.cpp
@@ -9,7 +9,7 @@
   entries_[slot] = {};
 }
 
-void Subset::set_extent(double fraction, bool shares_load) {
+void Subset::set_fraction_and_sharing(double fraction, bool shares_load) {
   fraction_ = fraction;
   shares_load_ = shares_load;
 }
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -21,7 +21,7 @@
     entries_[slot].warming_up = entry;
   }
   /// `fraction`: of all endpoints, those of the subset.
-  void set_extent(double fraction, bool shares_load);
+  void set_fraction_and_sharing(double fraction, bool shares_load);
 
   const SubsetEntry& entry(EndpointSlot slot, bool is_warming_up) const {
     return is_warming_up ? entries_[slot].warming_up : entries_[slot].warm;
--- a/scheduler/tenant_quota.cpp
+++ b/scheduler/tenant_quota.cpp
@@ -9,7 +9,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kSavedMs = 2000;  // a bucket holds as much as fills it in this time
+constexpr double kBucketDepthMs = 2000;  // a bucket holds as much as fills it in this time
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   int alive = std::max(1, settings.dispatchers - dead_dispatchers_);
   double per_ms = settings.tenant_quota[to_index(tenant)] / alive / 1000;
   bucket.tokens = std::min(bucket.tokens + per_ms * (now - bucket.refilled_at),
-                           std::max(1.0, kSavedMs * per_ms));
+                           std::max(1.0, kBucketDepthMs * per_ms));
   bucket.refilled_at = now;
   if (bucket.tokens < 1)
     return false;
--- a/simulator_adapter/codec.h
+++ b/simulator_adapter/codec.h
@@ -65,7 +65,7 @@
   void instance(std::uint32_t id);
   void action(const Action& action);
   /// The instance has failed, for that reason.
-  void give_in(std::string_view reason);
+  void fail_instance(std::string_view reason);
   /// The whole frame; the writer is then empty.
   std::string finish();
 
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -35,7 +35,7 @@
   }
   void write_failure(std::uint32_t instance, std::string_view reason) {
     address(instance);
-    writer_.give_in(reason);
+    writer_.fail_instance(reason);
   }
   std::string finish() { return writer_.finish(); }
 
@@ -79,8 +79,8 @@
   reply.write(id, actions);
 }
 
-std::string InstanceTable::play(const BatchHeader& header, std::string_view body,
-                                std::string& log) {
+std::string InstanceTable::process_batch(const BatchHeader& header, std::string_view body,
+                                         std::string& log) {
   AddressedReply reply;
   for (const AddressedRecord& addressed : read_body(header, body)) {
     std::uint32_t id = addressed.instance;
--- a/simulator_adapter/instance_table.h
+++ b/simulator_adapter/instance_table.h
@@ -20,7 +20,7 @@
   /// Plays one batch and returns the reply frame. Throws WireError or SettingsError on malformed
   /// input; an exception of a dispatcher becomes a record of the reply. Lines for the operator are
   /// appended to `log`.
-  std::string play(const BatchHeader& header, std::string_view body, std::string& log);
+  std::string process_batch(const BatchHeader& header, std::string_view body, std::string& log);
 
  private:
   /// A Dispatcher, and what a node keeps beside it.
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -13,11 +13,11 @@
 // The bytes are read in pieces, so that a header with an absurd length costs no memory before they
 // are there. False: the input ended before; `into` has what came.
 bool read_bytes(std::string& into, std::size_t wanted) {
-  constexpr std::size_t kPiece = 1 << 20;
+  constexpr std::size_t kChunkBytes = 1 << 20;
   into.clear();
   while (into.size() < wanted) {
     std::size_t had = into.size();
-    into.resize(std::min(wanted, had + kPiece));
+    into.resize(std::min(wanted, had + kChunkBytes));
     std::size_t got = std::fread(into.data() + had, 1, into.size() - had, stdin);
     if (had + got < into.size()) {
       into.resize(had + got);
@@ -54,7 +54,7 @@
     if (!read_bytes(body, header.body_bytes))
       throw WireError("input ends within a batch body, after " + std::to_string(body.size()) +
                       " of " + std::to_string(header.body_bytes) + " bytes");
-    std::string reply = instances.play(header, body, log);
+    std::string reply = instances.process_batch(header, body, log);
     write_log(log);
     write_reply(reply);
   }
--- a/simulator_adapter/reply_writer.cpp
+++ b/simulator_adapter/reply_writer.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint8_t kSetTimer = 50;
 constexpr std::uint8_t kHealthCheck = 60;
 constexpr std::uint8_t kPeerMessage = 80;
-constexpr std::uint8_t kGiveIn = 100;
+constexpr std::uint8_t kInstanceFailed = 100;
 constexpr std::uint8_t kPollList = 110;
 constexpr std::uint8_t kInstance = 130;
 
@@ -81,8 +81,8 @@
   tail_ += text;
 }
 
-void ReplyWriter::give_in(std::string_view reason) {
-  append_tail(append_record(kGiveIn) + 1, reason);
+void ReplyWriter::fail_instance(std::string_view reason) {
+  append_tail(append_record(kInstanceFailed) + 1, reason);
 }
 
 void ReplyWriter::instance(std::uint32_t id) {
--- a/tests/scheduler/endpoint_table_test.cpp
+++ b/tests/scheduler/endpoint_table_test.cpp
@@ -54,7 +54,7 @@
   table.remove(7);
   EXPECT_EQ(table.add(entry_of(7)), slot);
   EXPECT_DOUBLE_EQ(table.at(slot).in_flight, 2);
-  EXPECT_EQ(table.at(slot).attempts_out, 1);
+  EXPECT_EQ(table.at(slot).unfinished_attempts, 1);
   EXPECT_FALSE(table.at(slot).was_used);
 }
 
@@ -66,10 +66,10 @@
   EXPECT_EQ(table.record_start(slot), 1);
   EXPECT_EQ(table.record_start(slot), 2);
   table.record_end(slot, 1, false);
-  EXPECT_EQ(table.at(slot).attempts_begun, 2);
+  EXPECT_EQ(table.at(slot).running_attempts, 2);
   EXPECT_DOUBLE_EQ(table.at(slot).in_flight, 2);
   table.record_end(slot, 1, true);
-  EXPECT_EQ(table.at(slot).attempts_begun, 1);
+  EXPECT_EQ(table.at(slot).running_attempts, 1);
   EXPECT_DOUBLE_EQ(table.at(slot).in_flight, 1);
 }
 
--- a/tests/scheduler/subset_test.cpp
+++ b/tests/scheduler/subset_test.cpp
@@ -42,10 +42,10 @@
 
 TEST(Subset, ItsExtentIsWhatTheDispatcherWasNotifiedOfLast) {
   Subset subset;
-  subset.set_extent(0.25, true);
+  subset.set_fraction_and_sharing(0.25, true);
   EXPECT_DOUBLE_EQ(subset.fraction(), 0.25);
   EXPECT_TRUE(subset.shares_load());
-  subset.set_extent(1, false);
+  subset.set_fraction_and_sharing(1, false);
   EXPECT_DOUBLE_EQ(subset.fraction(), 1);
   EXPECT_FALSE(subset.shares_load());
 }
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -109,7 +109,7 @@
   w.action(SetTimer{77, 12508.25});
   w.action(SendPeerMessage{7, "hi q"});
   w.instance(5);
-  w.give_in("two servers left");
+  w.fail_instance("two servers left");
   std::string expected = hex("000000a4 00000006") + padded("82 00000003", 24) +
                          padded("0a 5d3a91c4 03124a07 4054000000000000", 24);
   std::string timer = padded("32 000000000000004d", 24);
@@ -199,7 +199,7 @@
   InstanceTable table;
   std::string log;
   std::string body = padded("3c 00000003") + padded("50 0e6f2b19") + padded("ff") + padded("ff");
-  EXPECT_EQ(table.play(header_for(body, 4), body, log), hex("00000000 00000000"));
+  EXPECT_EQ(table.process_batch(header_for(body, 4), body, log), hex("00000000 00000000"));
   EXPECT_EQ(log, "simulator_adapter: event code 255 skipped\n");
 }
 
