--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -1,4 +1,4 @@
-/// What a Dispatcher wants done.
+/// The actions that a Dispatcher requests from its caller.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,42 @@
 struct SendAttempt {
   RequestId request = 0;
   EndpointId endpoint = 0;
-  double timeout_ms = 0;  ///< 0: until the client gives up
+  double timeout_ms = 0;  ///< 0: the attempt may run until the client's timeout
 };
 
-/// The final answer: the client may safely retry.
+/// The final answer to a request that the client may safely retry.
 struct RejectRequest {
   RequestId request = 0;
-  double retry_after_ms = 0;  ///< 0: no guidance
+  double retry_after_ms = 0;  ///< 0: the answer gives no retry time
 };
 
-/// The final answer: an attempt may have run.
+/// The final answer to a request of which an attempt may have run.
 struct FailRequest {
   RequestId request = 0;
 };
 
-/// The attempt is not wanted any more. Its AttemptFinished still comes.
+/// Cancels an attempt. Its AttemptFinished event still follows.
 struct CancelAttempt {
   RequestId request = 0;
   int attempt = 0;
 };
 
-/// Replaces the timer that was set before.
+/// Sets the dispatcher's timer; replaces the previous one.
 struct SetTimer {
   std::uint64_t id = 0;
   Time when = 0;
 };
 
-/// Ask the endpoint for its load; the HealthCheckResult comes back.
+/// Requests an endpoint's load, which is returned as a HealthCheckResult event.
 struct SendHealthCheck {
   EndpointId endpoint = 0;
 };
 
-/// Ask for the endpoint list and its changes.
+/// Requests the endpoint list and its subsequent changes.
 struct PollEndpointList {};
 
-/// A message to the dispatcher of that rank (the own one: the sibling process); it may come late or
-/// never.
+/// Sends a message to the dispatcher with this rank, or to the sibling process if the rank is the
+/// dispatcher's own. Delivery may be late or may fail.
 struct SendPeerMessage {
   int peer = 0;
   std::string bytes;
--- a/scheduler/attempt_tracker.cpp
+++ b/scheduler/attempt_tracker.cpp
@@ -1,4 +1,4 @@
-/// Sends, starts and ends of attempts.
+/// Handling of the send, start and end of attempts.
 #include "scheduler/attempt_tracker.h"
 
 #include <algorithm>
@@ -6,12 +6,15 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kMinUnstartedMeanRuns =
-    4;  // after so many mean runs without a start a request is not queueing there
-constexpr double kFaultMeanRuns = 2;  // after so many the endpoint looks faulty
-constexpr double kRecheckStartTimeouts =
-    4;                                    // a late start is looked at again after so many timeouts
-constexpr double kRecheckMeanRuns = 0.5;  // or so many mean runs
+// Mean running times after which an unstarted attempt is no longer assumed to be queued at its
+// endpoint.
+constexpr double kMinUnstartedMeanRuns = 4;
+// Mean running times without a start after which the endpoint appears faulty.
+constexpr double kFaultMeanRuns = 2;
+// A late start is checked again after the longer of these multiples of the start timeout and of
+// the mean running time.
+constexpr double kRecheckStartTimeouts = 4;
+constexpr double kRecheckMeanRuns = 0.5;
 
 bool has_never_run(AttemptResult result) {
   return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
@@ -50,7 +53,7 @@
     slow_start_.spend(slot, work);
   endpoints_.record_send(slot, request.load);
   availability_.refresh(slot);
-  // Of one that is warming up the end of an attempt is update enough.
+  // For an endpoint that is warming up, peers are notified only when attempts end.
   if (!is_warming_up || feedback_.has_sibling())
     feedback_.notify(slot, LoadSignal::sent, 1, work);
   request.attempts.push_back({entry.endpoint, entry.zone, entry.cell, environment_.now});
@@ -104,8 +107,8 @@
 void AttemptTracker::release_endpoint(EndpointSlot slot, const Request& request,
                                       const Attempt& attempt, AttemptResult result) {
   endpoints_.record_end(slot, request.load, attempt.has_started());
-  // An endpoint that fails at once looks empty: starting an attempt proves nothing of it, only
-  // serving one does.
+  // An endpoint that fails immediately appears idle, so a started attempt does not prove it
+  // healthy; only a successful one does.
   LoadSignal signal = signal_of(result);
   bool is_served = signal == LoadSignal::served;
   if (signal != LoadSignal::none && !is_served)
@@ -127,8 +130,9 @@
   return ratio;
 }
 
-// With a key the attempt may be fetching. Where one attempt at a time is allowed it first loses its
-// place, so only after a long silence.
+// An attempt with a key may be fetching data, so it is not cancelled. Where only one attempt at a
+// time is allowed, cancelling loses the place in the endpoint's queue, so the attempt must have
+// been unstarted for a long time.
 bool AttemptTracker::may_cancel_unstarted(const Request& request, double waited) const {
   const Settings& settings = environment_.settings;
   bool may_be_followed = request.attempts.size() + 1 < to_index(settings.max_attempts);
@@ -139,8 +143,8 @@
   return !congestion_.is_high() && waited > kMinUnstartedMeanRuns * statistics_.mean_run();
 }
 
-// Cancelled it counts as one that may have run; what may follow then is asked now, while it is in
-// flight.
+// Temporarily marks the attempt as one that may have run, as it will count once cancelled, to check
+// whether another attempt could follow it.
 bool AttemptTracker::has_alternative(const Request& request, Attempt& attempt) {
   attempt.delivery = DeliveryState::may_have_run;
   bool found = selector_.select(request).has_value();
--- a/scheduler/attempt_tracker.h
+++ b/scheduler/attempt_tracker.h
@@ -1,5 +1,5 @@
-/// Attempts from the send to the end: what is counted for them, what they teach, and what becomes
-/// of one that does not start.
+/// Tracks attempts from send to completion: in-flight counts, measurements, and handling of
+/// attempts that do not start.
 #pragma once
 
 #include "scheduler/congestion.h"
@@ -15,8 +15,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns no state: attempts stand in the request table. Gives what they show to the owners that
-/// learn from it.
+/// Stateless: attempts are stored in the request table. Reports the outcome of each attempt to the
+/// components that keep statistics on it.
 class AttemptTracker {
  public:
   AttemptTracker(Environment& environment, RequestTable& requests, RequestQueue& queue,
@@ -40,13 +40,14 @@
   void send(Request& request, EndpointSlot slot);
   void on_started(const AttemptStarted& event);
   void on_finished(const AttemptFinished& event);
-  /// An attempt that has not started by now is cancelled if another endpoint has capacity.
+  /// Handles an attempt that has not started within its start timeout: cancels it if another
+  /// endpoint has capacity.
   void on_late_start(RequestId id, int attempt);
 
  private:
   void release_endpoint(EndpointSlot slot, const Request& request, const Attempt& attempt,
                         AttemptResult result);
-  /// Returns the service time ratio of an attempt that was served.
+  /// Records the running time of a successful attempt and returns its service time ratio.
   double record_service_time(EndpointSlot slot, const Request& request, const Attempt& attempt);
   bool may_cancel_unstarted(const Request& request, double waited) const;
   bool has_alternative(const Request& request, Attempt& attempt);
--- a/scheduler/availability.h
+++ b/scheduler/availability.h
@@ -1,5 +1,5 @@
-/// Whether an endpoint can be sent anything now, and with what room; keeps the indexes of the
-/// endpoint table exact.
+/// Determines whether an endpoint can receive attempts now and how much capacity it has left; keeps
+/// the indexes of the endpoint table up to date.
 #pragma once
 
 #include "scheduler/endpoint_health.h"
@@ -11,7 +11,8 @@
 
 namespace keelflow::scheduler {
 
-/// Reads health, load and slow start of an endpoint; writes the indexes of the endpoint table only.
+/// Reads the health, load and slow-start state of an endpoint; writes only the indexes of the
+/// endpoint table.
 class Availability {
  public:
   Availability(const Environment& environment, EndpointTable& endpoints,
@@ -24,20 +25,21 @@
         subset_(subset),
         slow_start_(slow_start) {}
 
-  /// Slots in flight there, own and reported ones.
+  /// Slots in flight at the endpoint: this dispatcher's and those that peers reported.
   double occupied(EndpointSlot slot) const {
     return endpoints_.at(slot).in_flight + peer_load_.sum(slot, environment_.now);
   }
   bool is_full(EndpointSlot slot) const {
     return occupied(slot) >= health_.concurrency_limit(slot);
   }
-  /// An empty endpoint has capacity for any one request.
+  /// An endpoint with nothing in flight has capacity for one request of any size.
   bool has_capacity_for(const Request& request, EndpointSlot slot) const {
     double slots = occupied(slot);
     return slots <= 0 || slots + request.load <= health_.concurrency_limit(slot);
   }
 
-  /// To be called after anything that may have changed it.
+  /// Updates the indexes; must be called after any change that may affect the endpoint's
+  /// availability.
   void refresh(EndpointSlot slot);
 
  private:
--- a/scheduler/congestion.h
+++ b/scheduler/congestion.h
@@ -1,22 +1,24 @@
-/// How congested the fleet looks: an EMA of the latest signs, of which late starts and rejections
-/// count 1 and starts in time 0.
+/// Estimates the congestion of the fleet: an EMA over attempt outcomes, in which a late start or a
+/// failed attempt counts as 1 and a timely start as 0.
 #pragma once
 
 #include "scheduler/cost_calibration.h"
 
 namespace keelflow::scheduler {
 
-/// Above this the overdue wait, and silent attempts are left where they are.
+/// Above this level overdue requests stay queued, and attempts that have not started are not
+/// cancelled where a request may have only one attempt at a time.
 constexpr double kCongestionThreshold = 0.5;
 
-/// A level between 0, no late start or rejection of late, and 1, nothing else.
+/// The congestion level: 0 if recent attempts all started in time, 1 if they all started late or
+/// failed.
 class Congestion {
  public:
   double level() const { return level_; }
   bool is_high() const { return level_ > kCongestionThreshold; }
   void record_congested() { level_ += kEmaStep * (1 - level_); }
   void record_timely_start() { level_ -= kEmaStep * level_; }
-  /// With nothing sent it fades.
+  /// Decays the level while nothing can be sent and no new outcomes arrive.
   void fade() { level_ *= 1 - kEmaStep / 10; }
   void restore(double level) { level_ = level; }
 
--- a/scheduler/cost_calibration.cpp
+++ b/scheduler/cost_calibration.cpp
@@ -1,4 +1,4 @@
-/// Learning of calibration factors.
+/// Updates of the calibration factors.
 #include "scheduler/cost_calibration.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-// One sample counts at most this much, or its inverse: running times have heavy tails.
+// Samples are clamped to this value and its inverse, because running times are heavy-tailed.
 constexpr double kMaxSampleRatio = 8;
 
 }  // namespace
@@ -28,9 +28,9 @@
   ++learned.hint_count;
 }
 
-double CostCalibration::mean_hint(int class_index, double otherwise) const {
+double CostCalibration::mean_hint(int class_index, double fallback) const {
   const LearnedState::Calibration& learned = classes_[to_index(class_index)];
-  return learned.hint_count > 0 ? learned.hint_sum / learned.hint_count : otherwise;
+  return learned.hint_count > 0 ? learned.hint_sum / learned.hint_count : fallback;
 }
 
 void CostCalibration::record_run(const Request& request, double run_ms) {
--- a/scheduler/cost_calibration.h
+++ b/scheduler/cost_calibration.h
@@ -1,5 +1,5 @@
-/// DriftSched: the calibrated cost of a request is its hint times a factor that each class learns,
-/// the EMA of measured over hinted running times.
+/// Cost calibration (DriftSched): the calibrated cost of a request is its hint times a factor of
+/// its class, which is the EMA of measured over hinted running times.
 #pragma once
 
 #include <vector>
@@ -13,28 +13,30 @@
 /// EMA step of the calibration factors and of the other averages.
 constexpr double kEmaStep = 0.1;
 
-/// Owns what each class of requests has learned of its hints.
+/// Owns the calibration factor and the mean hint of each request class.
 class CostCalibration {
  public:
   explicit CostCalibration(std::size_t classes) : classes_(classes) {}
 
-  /// Classes are numbered anew: for each the number it had, or -1.
+  /// Renumbers the classes: `learned_from` holds the previous number of each class, or -1 for a new
+  /// one.
   void renumber(const std::vector<int>& learned_from, std::size_t classes);
 
   double factor(int class_index) const { return classes_[to_index(class_index)].factor; }
-  /// The cost that is to be expected of the request on an endpoint of usual speed, in ms.
+  /// The expected running time of the request on an endpoint of average speed, in ms.
   double calibrated_cost(const Request& request) const {
     return request.arrival.hint * factor(request.arrival.class_index);
   }
 
   void record_hint(int class_index, double hint);
-  /// What a request without a hint counts as; `otherwise` where there was no hint yet.
-  double mean_hint(int class_index, double otherwise) const;
-  /// An attempt was served in `run_ms`.
+  /// The mean hint of the class, used for requests without a hint; `fallback` before the first
+  /// hint.
+  double mean_hint(int class_index, double fallback) const;
+  /// Updates the factor with the running time of a successful attempt.
   void record_run(const Request& request, double run_ms);
 
   const std::vector<LearnedState::Calibration>& learned() const { return classes_; }
-  /// Throws std::out_of_range where there are fewer classes in it.
+  /// Throws std::out_of_range if `learned` has fewer classes.
   void restore(const std::vector<LearnedState::Calibration>& learned);
 
  private:
--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -1,5 +1,5 @@
-/// Gives each event to the part that owns it, runs timers, and releases queued requests to
-/// endpoints.
+/// Routes each event to the component that handles it, runs due timers, and sends queued requests
+/// to endpoints.
 #include "scheduler/dispatcher.h"
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Of a class so many requests at the head of its queue are tried; the others wait until something
-// changes.
+// Requests at the head of a class's queue that are tried per pass; the others wait for the next
+// event.
 constexpr int kMaxTriedPerClass = 3;
-constexpr double kReleaseIntervalTicks =
-    10;  // ticks after which a sample that found no endpoint is drawn again
+// Ticks after which endpoints are sampled again for requests that found none.
+constexpr double kReleaseIntervalTicks = 10;
 
 Settings validated(const Settings& settings) {
   validate(settings);
@@ -43,31 +43,31 @@
     environment.emit_action(SetTimer{environment.timers.id(), when});
   }
 
-  void on(const EndpointList& e) { list_tracker.on_list(e); }
-  void on(const SubsetChanged& e) { list_tracker.on_subset(e); }
-  void on(const SlowStartShares& e) { list_tracker.on_slow_start_shares(e); }
-  void on(const SlowStartGrant& e) { list_tracker.on_slow_start_grant(e); }
-  void on(const RequestArrived& e) { lifecycle.on_arrived(e); }
-  void on(const ResponseStreamStarted& e) { lifecycle.on_stream_started(e.request); }
-  void on(const ClientDisconnected& e) { lifecycle.on_client_disconnected(e); }
-  void on(const AttemptStarted& e) { attempts.on_started(e); }
-  void on(const AttemptFinished& e) { attempts.on_finished(e); }
-  void on(const PeerMessage& e) { feedback.on_peer_message(e); }
-  void on(const SiblingProcess& e) { feedback.set_sibling(e.is_present); }
-  void on(const MembershipChanged& e) { quota.on_membership(e.is_alive); }
-  void on(const LearnedState& e) { state_transfer.restore(e); }
-  void on(const TimerFired& e) { environment.timers.on_fired(e.id); }
-  void on(const SendPermission& e) { may_release = e.is_allowed; }
-  void on(const HealthCheckResult&) {}  // nothing is decided on them
-
-  void on(const SettingsChanged& e) {
-    environment.settings = e.settings;
-    std::size_t classes = e.settings.classes.size();
-    calibration.renumber(e.learned_from, classes);
+  void on(const EndpointList& event) { list_tracker.on_list(event); }
+  void on(const SubsetChanged& event) { list_tracker.on_subset(event); }
+  void on(const SlowStartShares& event) { list_tracker.on_slow_start_shares(event); }
+  void on(const SlowStartGrant& event) { list_tracker.on_slow_start_grant(event); }
+  void on(const RequestArrived& event) { lifecycle.on_arrived(event); }
+  void on(const ResponseStreamStarted& event) { lifecycle.on_stream_started(event.request); }
+  void on(const ClientDisconnected& event) { lifecycle.on_client_disconnected(event); }
+  void on(const AttemptStarted& event) { attempts.on_started(event); }
+  void on(const AttemptFinished& event) { attempts.on_finished(event); }
+  void on(const PeerMessage& event) { feedback.on_peer_message(event); }
+  void on(const SiblingProcess& event) { feedback.set_sibling(event.is_present); }
+  void on(const MembershipChanged& event) { quota.on_membership(event.is_alive); }
+  void on(const LearnedState& event) { state_transfer.restore(event); }
+  void on(const TimerFired& event) { environment.timers.on_fired(event.id); }
+  void on(const SendPermission& event) { may_release = event.is_allowed; }
+  void on(const HealthCheckResult&) {}  // health check results do not affect scheduling
+
+  void on(const SettingsChanged& event) {
+    environment.settings = event.settings;
+    std::size_t classes = event.settings.classes.size();
+    calibration.renumber(event.learned_from, classes);
     queue.resize(classes);
-    endpoints.resize(e.settings.kinds);
-    statistics.resize(e.settings);
-    quota.resize(e.settings);
+    endpoints.resize(event.settings.kinds);
+    statistics.resize(event.settings);
+    quota.resize(event.settings);
     selector.on_settings();
     lifecycle.on_attempt_limit_changed();
   }
@@ -88,11 +88,12 @@
       case TimerPurpose::poll_list:
         return list_tracker.on_poll_timer();
       case TimerPurpose::release:
-        return;  // it follows every event
+        return;  // release() runs after every event
     }
   }
 
-  // Smallest calibrated cost over all classes first. Under congestion the overdue wait.
+  // Sends the request with the smallest calibrated cost of all classes first. Overdue requests stay
+  // queued under congestion.
   void release() {
     if (!may_release)
       return;
--- a/scheduler/dispatcher.h
+++ b/scheduler/dispatcher.h
@@ -1,7 +1,6 @@
-/// The scheduler of one dispatcher, which pushes requests to endpoints.
-///
-/// A Dispatcher is given the time and one event a call, and appends what it wants done to a list of
-/// actions. It has no clock, no threads, no I/O and no globals; the same settings, seed and events
+/// The scheduler of one dispatcher, which assigns requests to endpoints.
+/// Each call passes a Dispatcher the time and one event; it appends the resulting actions to a
+/// list. It has no clock, no threads, no I/O and no globals; the same settings, seed and events
 /// always give the same actions.
 #pragma once
 
@@ -20,8 +19,8 @@
 /// Not safe for use by several threads at once; movable, not copyable.
 class Dispatcher {
  public:
-  /// Throws std::invalid_argument on settings that cannot be. Without `quotas` it keeps tenants'
-  /// quotas by itself.
+  /// Throws std::invalid_argument on invalid settings. Without `quotas` the Dispatcher creates its
+  /// own token buckets.
   Dispatcher(const Settings& settings, std::uint64_t seed,
              std::shared_ptr<TenantQuotas> quotas = nullptr);
   ~Dispatcher();
@@ -32,14 +31,15 @@
 
   void handle(Time now, const Event& event, Actions& out);
 
-  /// The factor that calibrates the hints of a class.
+  /// The factor by which the hints of a class are multiplied.
   double calibration(int class_index) const;
-  /// Requests that wait here for an endpoint.
+  /// The number of requests that wait for an endpoint.
   std::size_t queued_requests() const;
   LearnedState learned_state(Time now) const;
-  /// What may be sent now to an endpoint that is warming up; all zero for any other.
+  /// The remaining slow-start budget of an endpoint that is warming up; all zero for any other
+  /// endpoint.
   SlowStartBudget slow_start_budget(EndpointId endpoint, Time now) const;
-  /// It is ready, and yet nothing is sent there, as it looks faulty.
+  /// Whether discovery lists the endpoint as ready but it is ejected after signs of a fault.
   bool is_ejected(EndpointId endpoint, Time now) const;
 
  private:
--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -1,10 +1,10 @@
-/// Signals of endpoints, own and received.
+/// Handling of load signals from this dispatcher's attempts and from peers.
 #include "scheduler/endpoint_feedback.h"
 
 namespace keelflow::scheduler {
 namespace {
 
-// Within so long a slot that a peer has given back may be filled again, in ms.
+// Longest random delay before this dispatcher uses a slot that a peer has released.
 constexpr double kMaxYieldMs = 40;
 
 }  // namespace
@@ -85,8 +85,8 @@
   peer_load_.set(*slot, message.peer, update->in_flight, report_until);
   apply_details(*slot, *update, message.peer);
   apply(*slot, update->signal);
-  // All who wait for a slot are notified of it at once: each gives the others a moment to fill it
-  // first.
+  // All dispatchers that wait for a slot are notified of its release at the same time, so each
+  // waits for a random delay to avoid filling it simultaneously.
   if (was_full)
     health_.eject_until(*slot, environment_.now + kMaxYieldMs * environment_.random());
   environment_.timers.add(was_full ? health_.ejected_until(*slot) : report_until,
--- a/scheduler/endpoint_feedback.h
+++ b/scheduler/endpoint_feedback.h
@@ -1,5 +1,5 @@
-/// What attempts and peers say of an endpoint, applied to its health and load, and passed on to the
-/// dispatchers that share the endpoint.
+/// Applies the outcomes of attempts and the reports of peers to an endpoint's health and load, and
+/// notifies the dispatchers that share the endpoint.
 #pragma once
 
 #include "scheduler/availability.h"
@@ -12,7 +12,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns whether a sibling process is present; the rest is applied to the owners given.
+/// Owns only the flag whether a sibling process is present; all other state belongs to the
+/// components passed to the constructor.
 class EndpointFeedback {
  public:
   EndpointFeedback(Environment& environment, const EndpointTable& endpoints, EndpointHealth& health,
@@ -27,17 +28,18 @@
         subset_(subset),
         availability_(availability) {}
 
-  /// What an own attempt or a peer's has met there.
+  /// Applies the outcome of an attempt of this dispatcher or of a peer.
   void apply(EndpointSlot slot, LoadSignal signal);
-  /// An attempt started, in time or not.
+  /// To be called when an attempt starts, in time or late.
   void clear_outlier_signs(EndpointSlot slot) { health_.clear_outlier_signs(slot); }
-  /// An attempt started in time.
+  /// To be called when an attempt starts in time.
   void on_timely_start(EndpointSlot slot);
-  /// An attempt is late to start; `is_fault`: by more than a busy endpoint explains.
+  /// Handles an attempt that has not started in time; `is_fault`: the delay exceeds what a busy
+  /// endpoint explains.
   void on_late_start(EndpointSlot slot, bool is_fault);
 
-  /// Notifies the sibling process, and the dispatchers that share the endpoint. `detail`: see
-  /// LoadUpdate.
+  /// Notifies the sibling process and the dispatchers that share the endpoint; the arguments are
+  /// described at LoadUpdate.
   void notify(EndpointSlot slot, LoadSignal signal, double service_time_ratio = 1,
               double work_ms = 0) const;
   void on_peer_message(const PeerMessage& message);
--- a/scheduler/endpoint_health.cpp
+++ b/scheduler/endpoint_health.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr double kLimitDecrease = 0.7;  // multiplicative decrease of the concurrency limit
-constexpr double kEjectionMeanRuns =
-    0.1;  // how long an overloaded endpoint is ejected, in mean runs
+// Ejection time of an overloaded endpoint, in mean running times.
+constexpr double kEjectionMeanRuns = 0.1;
 constexpr double kMinEjectionTicks = 4;
-constexpr int kMaxOutlierSigns = 3;         // doublings of that while it looks faulty
-constexpr int kMaxConsecutiveFailures = 6;  // and while its attempts fail, one after another
-// The time is drawn from this fraction of it on, over this span: those who left it together come
-// back apart.
+constexpr int kMaxOutlierSigns = 3;  // most doublings of the ejection time for signs of a fault
+constexpr int kMaxConsecutiveFailures = 6;  // most doublings for consecutive failures
+// The ejection time is multiplied by a random factor in [kMinEjectionJitter, kMinEjectionJitter +
+// kEjectionJitterSpan), so that dispatchers that ejected the endpoint together return at different
+// times.
 constexpr double kMinEjectionJitter = 0.75;
 constexpr double kEjectionJitterSpan = 0.5;
 
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -1,5 +1,5 @@
-/// Health of endpoints as this dispatcher sees it: an adaptive concurrency limit, detection of
-/// outliers, and their ejection for a time that doubles.
+/// Endpoint health as observed by this dispatcher: an adaptive concurrency limit, outlier
+/// detection, and ejection with exponential backoff.
 #pragma once
 
 #include <vector>
@@ -10,12 +10,12 @@
 
 namespace keelflow::scheduler {
 
-/// Owns limit, fault signs and ejection of each endpoint, by slot.
+/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by slot.
 class EndpointHealth {
  public:
   explicit EndpointHealth(Environment& environment) : environment_(environment) {}
 
-  /// A new incarnation.
+  /// Resets the state for a new incarnation of the endpoint.
   void reset(EndpointSlot slot);
 
   double concurrency_limit(EndpointSlot slot) const { return health_[slot].concurrency_limit; }
@@ -23,24 +23,27 @@
     return environment_.now < health_[slot].ejected_until;
   }
   Time ejected_until(EndpointSlot slot) const { return health_[slot].ejected_until; }
-  /// It has failed, or started attempts very late, since the last good sign.
+  /// Whether the endpoint has failed, or started attempts very late, since its last success.
   bool has_fault_signs(EndpointSlot slot) const {
     return health_[slot].outlier_signs + health_[slot].consecutive_failures > 0;
   }
-  /// Attempts failed there one after another.
+  /// Whether at least the last two attempts at the endpoint failed.
   bool fails_repeatedly(EndpointSlot slot) const { return health_[slot].consecutive_failures > 1; }
 
-  /// An attempt started in time or was served: the limit grows where it binds. `occupied`: slots.
+  /// Records an attempt that started in time or succeeded; raises the limit if the endpoint is
+  /// close to it. `occupied`: slots in flight at the endpoint.
   void record_success(EndpointSlot slot, double occupied);
   void clear_outlier_signs(EndpointSlot slot) { health_[slot].outlier_signs = 0; }
   void clear_failures(EndpointSlot slot) { health_[slot].consecutive_failures = 0; }
   void record_failure(EndpointSlot slot);
 
-  /// It was full or slow to start: others fill it for a while. `mean_run`: of an attempt, in ms.
+  /// Ejects an endpoint that was full or slow to start an attempt, leaving its capacity to other
+  /// dispatchers for a while. `mean_run`: mean running time of an attempt, in ms.
   void eject_as_overloaded(EndpointSlot slot, double mean_run);
-  /// It looks faulty: the time doubles while no good sign comes, and one attempt tries it again.
+  /// Ejects an endpoint that appears faulty. The ejection time doubles until a success, and the
+  /// concurrency limit of 1 lets one attempt at a time test the endpoint again.
   void eject_as_outlier(EndpointSlot slot, double mean_run);
-  /// Nothing is sent there before that time.
+  /// Sends nothing to the endpoint before `until`.
   void eject_until(EndpointSlot slot, Time until);
 
   const LearnedState::Health& learned(EndpointSlot slot) const { return health_[slot]; }
@@ -51,7 +54,8 @@
   double base_ejection(double mean_run) const;
 
   Environment& environment_;
-  std::vector<LearnedState::Health> health_;  // by slot; the service time ratio is not kept here
+  // By slot. ServiceStatistics owns the service time ratio; the field is not used here.
+  std::vector<LearnedState::Health> health_;
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -1,4 +1,4 @@
-/// Entries of the endpoint list, subsets and slow-start shares, each applied to the state of its
+/// Applies the entries of endpoint lists, subsets and slow-start shares to the state of each
 /// endpoint.
 #include "scheduler/endpoint_list_tracker.h"
 
@@ -7,8 +7,8 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Polls are spread by the number of dispatchers and by failures, but never wider than this fraction
-// of what `poll_within_ms` requires.
+// Polls are delayed at random. The range of the delay grows with the number of dispatchers and with
+// failures, up to this fraction of `poll_within_ms`.
 constexpr double kMaxPollSpreadFraction = 0.2;
 constexpr double kSpreadPerDispatcherMs = 40;
 constexpr double kInitialPollBackoffMs = 200;
@@ -62,14 +62,14 @@
 }
 
 EndpointSlot EndpointListTracker::add(const EndpointEntry& entry) {
-  endpoints_.remove(entry.endpoint);  // a former incarnation
+  endpoints_.remove(entry.endpoint);  // removes a previous incarnation
   EndpointSlot slot = endpoints_.add(entry);
   health_.reset(slot);
   peer_load_.reset(slot);
   statistics_.reset(slot, entry.kind);
   slow_start_.reset(slot);
   subset_.reset(slot);
-  // Once it has warmed up it belongs to other subsets.
+  // A warmed-up endpoint belongs to other subsets than one that is warming up.
   if (slow_start_.is_warming_up(slot))
     environment_.timers.add(entry.started_at + environment_.settings.slow_start_ms,
                             TimerPurpose::reindex, entry.endpoint);
--- a/scheduler/endpoint_list_tracker.h
+++ b/scheduler/endpoint_list_tracker.h
@@ -1,4 +1,4 @@
-/// Applies the endpoint list, and polls for it where it is not pushed.
+/// Applies the endpoint list, and polls for it if discovery does not push it.
 #pragma once
 
 #include "scheduler/availability.h"
@@ -12,7 +12,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the state of polling. Applies list, subset and slow-start events to the owners given.
+/// Owns the polling state. Applies endpoint list, subset and slow-start events to the components
+/// passed to the constructor.
 class EndpointListTracker {
  public:
   EndpointListTracker(Environment& environment, EndpointTable& endpoints, EndpointHealth& health,
@@ -31,7 +32,7 @@
   void on_subset(const SubsetChanged& event);
   void on_slow_start_shares(const SlowStartShares& event);
   void on_slow_start_grant(const SlowStartGrant& grant);
-  /// It is time to poll.
+  /// Polls the endpoint list unless a subscription or a poll is already active.
   void on_poll_timer();
 
  private:
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -1,4 +1,4 @@
-/// Sampling, consistent hashing, and the comparison of candidates.
+/// Random sampling, consistent hashing, and comparison of candidates.
 #include "scheduler/endpoint_selector.h"
 
 #include <algorithm>
@@ -8,16 +8,15 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr int kMaxCandidates = 4;  // sampled endpoints with capacity that are compared
-constexpr int kMaxDraws = 16;      // draws at most to find them
+constexpr int kMaxCandidates = 4;  // sampled usable endpoints that are compared
+constexpr int kMaxDraws = 16;      // random draws to find the candidates
 
-constexpr double kSubsetWaitMeanRuns = 0.1;  // mean runs that a request waits for its subset
-constexpr double kCongestionWaitFactor = 4;  // under congestion it waits up to so many times longer
+constexpr double kSubsetWaitMeanRuns = 0.1;  // wait for the subset, in mean running times
+constexpr double kCongestionWaitFactor = 4;  // full congestion adds up to this multiple of the wait
 
-constexpr int kRingProbes = 16;  // ring look-ups that order a key's endpoints
-constexpr double kKeySpreadFactor =
-    2.5;  // endpoints a key is given, for each that its traffic would fill
-constexpr double kFetchMeanRuns = 1.5;  // a request waits so many mean runs for one endpoint more
+constexpr int kRingProbes = 16;           // ring lookups that order the endpoints for a key
+constexpr double kKeySpreadFactor = 2.5;  // endpoints per endpoint that the key's traffic fills
+constexpr double kFetchMeanRuns = 1.5;    // wait per additional endpoint, in mean running times
 
 }  // namespace
 
@@ -54,7 +53,7 @@
   return std::nullopt;
 }
 
-// A kind that some class cannot do without is spared for it while other kinds have capacity.
+// A kind that some class requires is reserved for that class while other kinds have capacity.
 bool EndpointSelector::may_use_kind(const Request& request, int kind,
                                     bool avoids_reserved_kinds) const {
   int needed = environment_.class_settings(request.arrival.class_index).kind;
@@ -63,7 +62,7 @@
   return !avoids_reserved_kinds || !reserved_kinds_[to_index(kind)];
 }
 
-// While it warms up a request may run too long there to be in time.
+// On an endpoint that is warming up, a request may run too long to meet its latency objective.
 bool EndpointSelector::is_in_time_while_warming_up(const Request& request,
                                                    EndpointSlot slot) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
@@ -74,7 +73,7 @@
 
 bool EndpointSelector::is_usable(const Request& request, EndpointSlot slot) const {
   const ClassSettings& settings = environment_.class_settings(request.arrival.class_index);
-  // What must not run twice is not what a failing endpoint is tried again with.
+  // A request that cannot be retried must not be used to test an endpoint that fails repeatedly.
   if (settings.idempotency == Idempotency::non_idempotent && health_.fails_repeatedly(slot))
     return false;
   bool is_warming_up = slow_start_.is_warming_up(slot);
@@ -95,9 +94,9 @@
   return endpoints_.is_available(slot);
 }
 
-// An endpoint that is slower than its calibrated costs counts its slots so much dearer. Not for
-// requests with keys (running times include fetches too), nor for the first at one that is warming
-// up: it has to be tried.
+// The cost of an endpoint that is slower than calibrated is its slots times its relative slowness.
+// The slowness is ignored for requests with keys, whose running times include fetches, and for the
+// first request to an endpoint that is warming up, so that the endpoint is tried at all.
 double EndpointSelector::cost_of(const Request& request, EndpointSlot slot) const {
   double occupied = availability_.occupied(slot);
   if (request.arrival.key != 0)
@@ -124,8 +123,8 @@
   return best;
 }
 
-// Where dispatchers are many each samples its subset first. A request that has waited a while for
-// those goes anywhere.
+// Samples this dispatcher's subset first. A request that has waited long enough for the subset may
+// go to any endpoint.
 std::optional<EndpointSlot> EndpointSelector::select_near_subset(const Request& request,
                                                                  bool avoids_reserved_kinds) {
   if (auto selected = sample(&EndpointTable::available_in_subset, request, avoids_reserved_kinds))
@@ -195,8 +194,8 @@
   return ready;
 }
 
-// As many as the key's part of the traffic needs, and one more each time that it has waited about
-// as long as a fetch takes.
+// As many endpoints as the key's fraction of the traffic needs, plus one for each period of about a
+// fetch that the request has waited.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
   double fetch = kFetchMeanRuns * statistics_.mean_run() + environment_.settings.tick_ms;
@@ -205,9 +204,9 @@
   return std::ceil(needed) + waited;
 }
 
-// A request with a key is sampled among its key's own endpoints, the same at every dispatcher: the
-// hash's neighbours on the ring. Others would have to fetch what it needs from a shared store while
-// slots stand idle.
+// A request with a key goes to the endpoints nearest to the key's hash on the ring, which are the
+// same at every dispatcher. Any other endpoint would have to fetch the key's data from a shared
+// store while slots are idle.
 std::optional<EndpointSlot> EndpointSelector::select_by_key(const Request& request,
                                                             bool avoids_reserved_kinds) const {
   double spread = key_spread(request, ready_endpoints(request, avoids_reserved_kinds));
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -1,5 +1,5 @@
-/// Selects the endpoint for a request: of a few sampled ones with capacity, the one with fewest
-/// slots in flight.
+/// Selects the endpoint for a request: samples a few endpoints with capacity and picks the one with
+/// the lowest cost, which is based on its slots in flight.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace keelflow::scheduler {
 
-/// Owns how often keys are met; everything else that it compares is asked of its owners.
+/// Owns the key frequencies; reads all other inputs from the components passed to the constructor.
 class EndpointSelector {
  public:
   EndpointSelector(Environment& environment, const EndpointTable& endpoints,
@@ -41,7 +41,7 @@
   void on_settings();
   void record_key(std::uint64_t key) { key_frequency_.count(key); }
 
-  /// An endpoint that had this request before is selected again only where no other has capacity.
+  /// Selects an endpoint that already received this request only if no other endpoint has capacity.
   std::optional<EndpointSlot> select(const Request& request);
 
  private:
@@ -57,7 +57,7 @@
   bool may_use_kind(const Request& request, int kind, bool avoids_reserved_kinds) const;
   bool is_usable(const Request& request, EndpointSlot slot) const;
   bool is_in_time_while_warming_up(const Request& request, EndpointSlot slot) const;
-  /// Running time there now, over calibrated cost.
+  /// Expected running time at the endpoint now, divided by the calibrated cost.
   double relative_slowness(EndpointSlot slot) const {
     return statistics_.service_time_ratio(slot) / slow_start_.weight(slot);
   }
@@ -70,7 +70,7 @@
     EndpointSlot slot;
   };
   std::vector<RingPoint> nearest(const Request& request, bool avoids_reserved_kinds) const;
-  /// How many of its nearest endpoints a request with a key may use.
+  /// The number of nearest endpoints on the ring that a request with a key may use.
   double key_spread(const Request& request, double endpoints) const;
   double ready_endpoints(const Request& request, bool avoids_reserved_kinds) const;
 
@@ -85,8 +85,8 @@
   const ServiceStatistics& statistics_;
   const Congestion& congestion_;
   KeyFrequency key_frequency_;
-  std::vector<bool> reserved_kinds_;  // some class cannot do without them
-  std::set<EndpointId> tried_;        // while a request is being placed: who had it before
+  std::vector<bool> reserved_kinds_;  // kinds that some class requires
+  std::set<EndpointId> tried_;        // endpoints that already received the request being placed
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -1,4 +1,4 @@
-/// Slots, the list, and the indexes.
+/// Slot allocation and maintenance of the list and its indexes.
 #include "scheduler/endpoint_table.h"
 
 #include "scheduler/hashing.h"
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -1,5 +1,5 @@
-/// The endpoint list applied: which endpoints exist, in which incarnation, and what this dispatcher
-/// has in flight there; with the indexes by which they are selected.
+/// The table of known endpoints: their list entries, what this dispatcher has in flight at each,
+/// and the indexes used to select them.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,30 @@
 
 namespace keelflow::scheduler {
 
-/// The place of an endpoint in the tables of this dispatcher. It stays while attempts are in flight
-/// there, and is used again once the endpoint is forgotten.
+/// The index of an endpoint in the tables of this dispatcher. It is stable while attempts are in
+/// flight at the endpoint, and is reused once the endpoint is forgotten.
 using EndpointSlot = std::uint32_t;
 
-/// One endpoint, and what this dispatcher has in flight there.
+/// One endpoint and this dispatcher's load on it.
 struct EndpointRecord {
   EndpointEntry entry;
-  double in_flight = 0;         ///< own slots
-  int unfinished_attempts = 0;  ///< own attempts in flight
-  int running_attempts = 0;     ///< of these, reported to run
-  bool was_used = false;        ///< something was sent there in its present incarnation
+  double in_flight = 0;         ///< slots of this dispatcher's attempts
+  int unfinished_attempts = 0;  ///< this dispatcher's attempts in flight
+  int running_attempts = 0;     ///< attempts in flight that were reported as started
+  bool was_used = false;        ///< an attempt was sent to the current incarnation
 };
 
-/// Owns the records and the indexes. Slots are given out here; other owners keep their state by
-/// slot.
+/// Owns the records and the indexes. Allocates the slots by which other components index their
+/// state.
 class EndpointTable {
  public:
-  /// Ready endpoints of one kind in the order of a hash, for consistent hashing.
+  /// Ready endpoints of one kind, ordered by hash, for consistent hashing.
   using Ring = std::map<std::uint64_t, EndpointSlot>;
 
   explicit EndpointTable(int kinds) { resize(kinds); }
   void resize(int kinds) { kinds_.resize(static_cast<std::size_t>(kinds)); }
 
-  /// Empty: it is not known, or has been forgotten.
+  /// Returns nothing if the endpoint is unknown or has been forgotten.
   std::optional<EndpointSlot> find(EndpointId id) const {
     auto it = slots_.find(id);
     if (it == slots_.end())
@@ -47,23 +47,24 @@
   const EndpointRecord& at(EndpointSlot slot) const { return records_[slot]; }
   bool is_listed(EndpointId id) const { return listed_.contains(id); }
   const std::set<EndpointId>& listed() const { return listed_; }
-  /// The listed endpoints of a cell, in the order of their ids.
+  /// The listed endpoints of a cell, ordered by id.
   const std::set<EndpointId>& in_cell(int cell) const;
 
-  /// Lists an endpoint that is not listed. What is in flight at a former incarnation still counts.
+  /// Adds an endpoint that is not listed. Attempts in flight at a previous incarnation still count.
   EndpointSlot add(const EndpointEntry& entry);
   void set_state(EndpointSlot slot, EndpointState state) { records_[slot].entry.state = state; }
-  /// It is listed no more; it is forgotten once nothing is in flight there. Passed over if it is
-  /// not listed.
+  /// Removes the endpoint from the list; it is forgotten once nothing is in flight there. Does
+  /// nothing if the endpoint is not listed.
   void remove(EndpointId id);
   void forget_if_gone(EndpointSlot slot);
 
   void record_send(EndpointSlot slot, double load);
-  /// Returns how many of the attempts in flight run by now.
+  /// Returns the number of attempts in flight that have started.
   int record_start(EndpointSlot slot) { return ++records_[slot].running_attempts; }
   void record_end(EndpointSlot slot, double load, bool had_started);
 
-  /// Available: ready, not ejected and with capacity. The subset's are sampled first.
+  /// Updates the indexes. An available endpoint is ready, not ejected and has capacity. Available
+  /// endpoints in the subset are sampled first.
   void index(EndpointSlot slot, bool is_available, bool is_in_subset);
   bool is_available(EndpointSlot slot) const {
     return kinds_[kind_index(records_[slot].entry.kind)].available.has(slot);
@@ -86,7 +87,7 @@
 
   std::vector<EndpointRecord> records_;  // by slot
   std::vector<EndpointSlot> free_slots_;
-  std::unordered_map<EndpointId, EndpointSlot> slots_;  // looked up only, never iterated
+  std::unordered_map<EndpointId, EndpointSlot> slots_;  // never iterated: unordered
   std::set<EndpointId> listed_;
   std::map<int, std::set<EndpointId>> cells_;
   std::vector<Kind> kinds_;
--- a/scheduler/environment.h
+++ b/scheduler/environment.h
@@ -1,4 +1,4 @@
-/// What all parts of one Dispatcher use while it handles an event. It holds no state of theirs.
+/// The context shared by all components of one Dispatcher while it handles an event.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace keelflow::scheduler {
 
-/// Settings, random source, timers, the time and the actions of the event that is being handled.
+/// Settings, random number generator, timers, and the time and actions of the current event.
 struct Environment {
   Environment(const Settings& initial, std::uint64_t seed) : settings(initial), random(seed) {}
 
@@ -26,7 +26,7 @@
   Random random;
   TimerQueue timers;
   Time now = 0;
-  Actions* actions = nullptr;  ///< of the event that is being handled
+  Actions* actions = nullptr;  ///< output of the current event
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -1,4 +1,4 @@
-/// What a Dispatcher is notified of: one event a call.
+/// The events that a Dispatcher handles, one per call.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 using RequestId = std::uint32_t;
 
-/// What discovery says of an endpoint: only ready ones are sent new requests.
+/// The state of an endpoint according to discovery; only ready endpoints receive new requests.
 enum class EndpointState : std::uint8_t { gone, ready, draining };
 
 /// One endpoint as discovery lists it.
@@ -24,13 +24,14 @@
   int cell = 0;
   EndpointState state = EndpointState::ready;
   double nominal_capacity = 1;
-  Time started_at = 0;  ///< of its present incarnation; 0: long ago
+  Time started_at = 0;  ///< start of the current incarnation; 0: long ago
 };
 
-/// How much a list says: all from a cache, nothing as the poll failed, what has changed, or all.
+/// What an endpoint list contains: all endpoints from a cache, nothing because the poll failed,
+/// only changes, or all endpoints.
 enum class ListScope : std::uint8_t { cached, failed, delta, full };
 
-/// The endpoint list, or what has changed of it.
+/// The endpoint list or changes to it.
 struct EndpointList {
   ListScope scope = ListScope::full;
   std::vector<EndpointEntry> entries;
@@ -42,45 +43,45 @@
   int class_index = 0;
   int tenant = 0;
   std::uint64_t key = 0;         ///< requests with the same key share data at endpoints; 0: none
-  double client_timeout_ms = 0;  ///< until the client gives up
-  double hint = 0;               ///< expected running time on a standard core; 0: none given
+  double client_timeout_ms = 0;  ///< time until the client gives up
+  double hint = 0;               ///< expected running time on a standard core, in ms; 0: no hint
   double slots = 1;
   double memory = 0;
-  double queue_weight = 1;       ///< times the hint: what it is queued by; nothing else counts it
-  bool is_client_retry = false;  ///< the client marks it as its own retry
+  double queue_weight = 1;       ///< factor on the hint for the queue order only
+  bool is_client_retry = false;  ///< the client marked the request as a retry
 };
 
-/// The response of a request has begun to stream: it cannot be sent again any more.
+/// The response to a request has begun to stream, so the request cannot be sent again.
 struct ResponseStreamStarted {
   RequestId request = 0;
 };
 
-/// An endpoint has begun to run an attempt.
+/// An endpoint has started to run an attempt.
 struct AttemptStarted {
   RequestId request = 0;
   int attempt = 0;
 };
 
-/// The client of a request has gone: it needs no answer any more.
+/// The client of a request has disconnected, so the request needs no answer.
 struct ClientDisconnected {
   RequestId request = 0;
-  /// Unsent, it goes to another Dispatcher with the same TenantQuotas, which asks for its quota
-  /// anew.
+  /// The request moves unsent to another Dispatcher with the same TenantQuotas, which takes a quota
+  /// token for it again.
   bool is_rerouted = false;
 };
 
-/// The timer of that id is due; any but the one set last is passed over.
+/// The timer with this id has fired; ids other than that of the last timer set are ignored.
 struct TimerFired {
   std::uint64_t id = 0;
 };
 
 /// Another dispatcher has sent a message.
 struct PeerMessage {
-  int peer = 0;  ///< the sender's rank; the own one: the sibling process
+  int peer = 0;  ///< the sender's rank; this dispatcher's own rank: the sibling process
   std::string bytes;
 };
 
-/// What an endpoint reports of its load; the meaning of each value stands in the settings.
+/// The load reported by an endpoint; Settings::report defines the meaning of each value.
 struct LoadReport {
   int count = 0;
   float values[4] = {};
@@ -94,65 +95,67 @@
   LoadReport report;
 };
 
-/// How an attempt ended, as far as the node can tell.
+/// The outcome of an attempt, as far as the node can tell.
 enum class AttemptResult : std::uint8_t {
   ok,
   error,
-  rejected,  ///< by the endpoint, which has not run it
+  rejected,  ///< the endpoint refused the attempt and has not run it
   timeout,
   connect_failed,
   reset,
   cancelled,
-  withheld,  ///< nothing of it was sent
+  withheld,  ///< nothing was sent to the endpoint
 };
 
-/// An attempt has ended. It comes once for each that was sent.
+/// An attempt has ended. Occurs exactly once for each attempt sent.
 struct AttemptFinished {
   RequestId request = 0;
   int attempt = 0;
   AttemptResult result = AttemptResult::ok;
   double elapsed_ms = 0;
-  bool request_finished = false;  ///< the request has ended, with this attempt or before
+  bool request_finished = false;  ///< the request ended with this attempt or earlier
   LoadReport report;
 };
 
-/// New settings, which `validate` must have passed. Requests under way keep their class: a number
-/// that some of them have must stand for the same class as before, and no list may be shorter. What
-/// was learned stays.
+/// Replaces the settings; `validate` must have accepted them. Requests in progress keep their
+/// class, so a class number used by any of them must denote the same class as before, and no list
+/// may be shorter than before. Learned state is kept.
 struct SettingsChanged {
   Settings settings;
-  /// By class: the number it learned under until now (its own: the same class), or -1: it is new.
+  /// For each class, its previous number (equal to the new one if unchanged), or -1 for a new
+  /// class.
   std::vector<int> learned_from;
 };
 
-/// Whether anything may be sent at present; until the first one comes it may. While not, requests
-/// are queued.
+/// Allows or forbids sending; sending is allowed until the first such event. Requests are queued
+/// while it is forbidden.
 struct SendPermission {
   bool is_allowed = true;
 };
 
-/// Another process of this same node schedules beside this one. Each is notified (SendPeerMessage,
-/// to the own rank) of what the other sends, and counts it as its own where the budgets do.
+/// Whether another process of this node schedules concurrently. Each process notifies the other of
+/// what it sends (SendPeerMessage to its own rank), and counts the other's work against its
+/// slow-start budgets.
 struct SiblingProcess {
   bool is_present = false;
 };
 
-/// Which of all dispatchers are alive, by rank; until the first one comes all are. The living ones
-/// split tenants' quotas.
+/// Which dispatchers are alive, by rank; all are until the first such event. Tenants' quotas are
+/// split among the live dispatchers.
 struct MembershipChanged {
   std::vector<bool> is_alive;
 };
 
-/// Whose subset an endpoint belongs to.
+/// The dispatchers whose subsets include an endpoint.
 struct SubsetEntry {
   EndpointId endpoint = 0;
-  bool is_own = false;     ///< this dispatcher's
-  std::vector<int> peers;  ///< the ranks of the others'
+  bool is_own = false;     ///< the endpoint is in this dispatcher's subset
+  std::vector<int> peers;  ///< ranks of the other dispatchers whose subsets include it
 };
 
-/// The subset of endpoints that this Dispatcher prefers, and whom it shares them with. An endpoint
-/// that is warming up follows its SlowStartShares instead. Until the first one comes all belong to
-/// the subset.
+/// The subset of endpoints that this Dispatcher prefers, and the dispatchers it shares them with.
+/// For endpoints that are warming up, SlowStartShares applies instead. Until the first such event,
+/// all endpoints belong to the subset.
 struct SubsetChanged {
   std::vector<SubsetEntry> endpoints;
   bool shares_load = false;  ///< dispatchers that share an endpoint notify one another of its load
@@ -160,20 +163,22 @@
 
 /// The part of an endpoint's slow-start budget that this Dispatcher may spend.
 struct SlowStartShare {
-  SubsetEntry subset;   ///< while it is warming up
-  Time started_at = 0;  ///< of another incarnation it says nothing
-  double fraction = 0;  ///< of the budget of all dispatchers
+  SubsetEntry subset;   ///< applies while the endpoint is warming up
+  Time started_at = 0;  ///< identifies the incarnation; ignored for any other one
+  double fraction = 0;  ///< fraction of the budget of all dispatchers
 };
 
-/// The budget of an endpoint that is warming up holds for what all dispatchers send it. Each has a
-/// part; until it is notified of it, an even one.
+/// The shares of this Dispatcher in the slow-start budgets. The budget of an endpoint covers the
+/// work that all dispatchers send to it. Each dispatcher has a share, which is an even split until
+/// this event sets it.
 struct SlowStartShares {
   std::vector<SlowStartShare> endpoints;
 };
 
-/// Work that may be sent to an endpoint that is warming up until that time, of another dispatcher's
-/// part (received: in place of what such a grant had left); or that another one was granted of the
-/// own part, which counts as sent then (less than 0: it gave that back).
+/// A transfer of slow-start budget between dispatchers. A received grant allows `work_ms` of
+/// another dispatcher's share to be sent before `until` and replaces the remainder of an earlier
+/// grant. A grant given to another dispatcher counts against this dispatcher's share as work sent
+/// at `until`; negative work is returned budget.
 struct SlowStartGrant {
   EndpointId endpoint = 0;
   Time started_at = 0;
--- a/scheduler/hashing.h
+++ b/scheduler/hashing.h
@@ -1,4 +1,5 @@
-/// The hash and the random source of the decisions: the same on every machine.
+/// Hash function and random number generator for scheduling decisions, with identical results on
+/// every machine.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +7,7 @@
 
 namespace keelflow::scheduler {
 
-/// splitmix64.
+/// The splitmix64 hash function.
 inline std::uint64_t mix(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -14,7 +15,7 @@
   return x ^ (x >> 31);
 }
 
-/// Numbers that depend on the seed alone.
+/// A pseudorandom number generator whose output depends only on the seed.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(mix(seed)) {}
@@ -29,7 +30,7 @@
   std::uint64_t state_;
 };
 
-/// A position that is known not to be negative, as an index.
+/// Converts a position that is known to be non-negative to an index.
 constexpr std::size_t to_index(int position) {
   return static_cast<std::size_t>(position);
 }
--- a/scheduler/key_frequency.h
+++ b/scheduler/key_frequency.h
@@ -1,4 +1,4 @@
-/// How often each key was met of late.
+/// Tracks how often each key has occurred recently.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace keelflow::scheduler {
 
-/// Counts that halve when many keys have been met, so that old traffic fades.
+/// Counts of keys, halved each time the total reaches a limit so that old traffic decays.
 class KeyFrequency {
  public:
   void count(std::uint64_t key) {
@@ -15,15 +15,15 @@
       halve();
   }
 
-  /// The fraction of the traffic that has this key.
+  /// The fraction of the counted traffic that has this key.
   double fraction(std::uint64_t key) const {
     auto count = counts_.find(key);
     return count == counts_.end() ? 0 : count->second / total_;
   }
 
  private:
-  static constexpr double kHalvingInterval = 4096;  // keys after which older ones count half
-  static constexpr double kMinRetainedCount = 0.3;  // a key that counts less is forgotten
+  static constexpr double kHalvingInterval = 4096;  // total count at which all counts are halved
+  static constexpr double kMinRetainedCount = 0.3;  // keys with lower counts are dropped
 
   void halve() {
     total_ = 0;
--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -1,5 +1,4 @@
-/// What a Dispatcher has learned, for one that takes over from it: given to the new one after its
-/// endpoint list.
+/// The learned state of a Dispatcher, passed to its successor after the successor's endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -11,46 +10,46 @@
 
 using EndpointId = std::uint32_t;
 
-/// A snapshot by value; it refers to endpoints, classes and kinds by their numbers.
+/// A snapshot by value that refers to endpoints, classes and kinds by number.
 struct LearnedState {
-  /// Of one endpoint.
+  /// Health of one endpoint.
   struct Health {
-    double service_time_ratio = 1;  ///< running times over calibrated costs, as if it had warmed up
-    double concurrency_limit =
-        2;                  ///< own slots in flight; the first is believed before anything is known
-    int outlier_signs = 0;  ///< signs of a fault since the last good one
-    int consecutive_failures = 0;  ///< attempts that failed there since the last that was served
+    double service_time_ratio = 1;  ///< running time over calibrated cost, corrected for slow start
+    /// This dispatcher's limit of slots in flight; the default applies until there is data.
+    double concurrency_limit = 2;
+    int outlier_signs = 0;         ///< signs of a fault since the last success
+    int consecutive_failures = 0;  ///< failed attempts since the last successful one
     Time ejected_until = 0;
   };
-  /// Of one class of requests.
+  /// Cost calibration of one request class.
   struct Calibration {
     double factor = 1;  ///< EMA of measured over hinted cost
     double hint_sum = 0;
     double hint_count = 0;
   };
-  /// Of one kind of endpoints.
+  /// Speed of one kind of endpoint.
   struct KindSpeed {
-    double observed_cores =
-        1;  ///< most own attempts that ran at once at an endpoint that has warmed up
-    double service_time_ratio = 1;  ///< running times at those over calibrated costs
+    /// The most attempts of this dispatcher seen running at once on a warmed-up endpoint.
+    double observed_cores = 1;
+    double service_time_ratio = 1;  ///< running time over calibrated cost when warmed up
   };
-  /// One endpoint at the moment of the snapshot.
+  /// State of one endpoint at the time of the snapshot.
   struct Endpoint {
     EndpointId endpoint = 0;
-    Time started_at = 0;  ///< of another incarnation nothing is believed
+    Time started_at = 0;  ///< identifies the incarnation; ignored for any other one
     Health health;
     double in_flight = 0;
-    double slow_start_work_ms = 0;  ///< sent within the last window while it was warming up
+    double slow_start_work_ms = 0;  ///< work sent within the last overload window
   };
-  /// Of all endpoints together.
+  /// State that covers all endpoints.
   struct Fleet {
-    std::vector<double> start_delay_ms;  ///< usual time from send to start, by zone
-    double mean_run_ms = 0;              ///< EMA of the own attempts' running times
-    double congestion = 0;  ///< fraction of late starts and rejections among the latest signs
+    std::vector<double> start_delay_ms;  ///< EMA of the time from send to start, by zone
+    double mean_run_ms = 0;              ///< EMA of the running times of this dispatcher's attempts
+    double congestion = 0;               ///< EMA of attempt outcomes, see Congestion
   };
   std::vector<Endpoint> endpoints;
-  std::vector<Calibration>
-      classes;  ///< by number, as many as the settings have; kinds and zones alike
+  /// Classes, kinds and zones are indexed by number and have the sizes given in the settings.
+  std::vector<Calibration> classes;
   std::vector<KindSpeed> kinds;
   Fleet fleet;
 };
--- a/scheduler/peer_load.cpp
+++ b/scheduler/peer_load.cpp
@@ -1,4 +1,4 @@
-/// The codec of load updates, and the sums of what was reported.
+/// Encoding of load updates and storage of the reports.
 #include "scheduler/peer_load.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr std::size_t kSize = 8;
+constexpr std::size_t kLoadUpdateBytes = 8;
 constexpr std::size_t kEndpointBytes = 4;
 constexpr std::size_t kTagOffset = 4;
 constexpr std::size_t kInFlightOffset = 5;
@@ -22,8 +22,8 @@
   return static_cast<char>(static_cast<std::uint8_t>(std::clamp(std::round(value), 0.0, 255.0)));
 }
 
-std::uint8_t byte_at(std::string_view bytes, std::size_t place) {
-  return static_cast<std::uint8_t>(bytes[place]);
+std::uint8_t byte_at(std::string_view bytes, std::size_t offset) {
+  return static_cast<std::uint8_t>(bytes[offset]);
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
 }
 
 std::optional<LoadUpdate> decode_load_update(std::string_view bytes) {
-  if (bytes.size() != kSize)
+  if (bytes.size() != kLoadUpdateBytes)
     return std::nullopt;
   std::uint8_t signal = byte_at(bytes, kSignalOffset);
   if (signal > static_cast<std::uint8_t>(LoadSignal::failed))
--- a/scheduler/peer_load.h
+++ b/scheduler/peer_load.h
@@ -1,5 +1,5 @@
-/// What other dispatchers report of the endpoints that they share with this one, and the message
-/// that reports it.
+/// The load that other dispatchers report for shared endpoints, and the message format of the
+/// reports.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace keelflow::scheduler {
 
-/// What a dispatcher has met at an endpoint.
+/// The event at an endpoint that a load update reports.
 enum class LoadSignal : std::uint8_t {
   none,
   sent,
@@ -23,13 +23,13 @@
   failed
 };
 
-/// A message of 8 bytes, big-endian: endpoint (4), a tag of its incarnation (1), own slots in
-/// flight there (1, at most 255), signal (1), and with `served` the service time ratio x 32 of the
-/// attempt that ended, with `sent` the work that went out in units of 64 ms, rounded up (1).
-/// Messages are priced by size.
+/// A message of 8 bytes, big-endian: endpoint (4), incarnation tag (1), the sender's slots in
+/// flight there (1, at most 255), signal (1), and a detail (1). The detail is the work sent, in
+/// units of 64 ms, rounded up, for `sent`, and the service time ratio of the completed attempt x 32
+/// for `served`. The message is kept small because messages are priced by size.
 struct LoadUpdate {
   EndpointId endpoint = 0;
-  /// Updates on a former incarnation say nothing of the present one.
+  /// Identifies the incarnation: updates on a previous one do not apply to the current one.
   std::uint8_t incarnation_tag = 0;
   double in_flight = 0;
   LoadSignal signal = LoadSignal::none;
@@ -38,21 +38,22 @@
 };
 
 std::string encode(const LoadUpdate& update);
-/// Empty: not such a message. Peers of another release may send other ones.
+/// Returns nothing if the bytes are not a load update. Peers of another release may send other
+/// messages.
 std::optional<LoadUpdate> decode_load_update(std::string_view bytes);
 
-/// A number for one incarnation of an endpoint, the same at every dispatcher.
+/// An identifier of one incarnation of an endpoint, the same at every dispatcher.
 std::uint64_t incarnation_of(const EndpointEntry& entry);
 std::uint8_t incarnation_tag(const EndpointEntry& entry);
 
-/// For how long a report counts unless the peer reports anew: a peer that has died reports no more,
-/// and a message may be lost.
+/// Time after which a report expires unless the peer sends another one, since a dead peer sends
+/// none and messages may be lost.
 constexpr double kReportLifetimeMs = 5000;
 
-/// The slots that others hold at each endpoint, by what each reported last.
+/// The slots that peers occupy at each endpoint, according to their last reports.
 class PeerLoad {
  public:
-  /// A new incarnation.
+  /// Discards the reports for a new incarnation of the endpoint.
   void reset(EndpointSlot slot);
   void set(EndpointSlot slot, int peer, double in_flight, Time until);
   double sum(EndpointSlot slot, Time now) const {
--- a/scheduler/request.h
+++ b/scheduler/request.h
@@ -1,4 +1,4 @@
-/// What the scheduler keeps of a request and of its attempts.
+/// The scheduler's record of a request and its attempts.
 #pragma once
 
 #include <algorithm>
@@ -9,30 +9,30 @@
 
 namespace keelflow::scheduler {
 
-/// Whether an attempt may have had an effect.
+/// Whether an attempt may have run at its endpoint.
 enum class DeliveryState : std::uint8_t { in_flight, not_delivered, may_have_run };
 
-/// One attempt, from its send until the request is forgotten.
+/// One attempt; kept until its request is forgotten.
 struct Attempt {
   EndpointId endpoint = 0;
   int zone = 0;
   int cell = 0;
   Time sent = 0;
-  Time started = -1;  ///< below 0: not yet
+  Time started = -1;  ///< negative: not started
   DeliveryState delivery = DeliveryState::in_flight;
   bool is_cancelled = false;
 
   bool has_started() const { return started >= 0; }
 };
 
-/// One request, from its arrival until its last attempt has ended.
+/// One request; kept until it is answered and its last attempt has ended.
 struct Request {
   RequestArrived arrival;
   Time deadline = 0;
   Time queued_since = 0;
-  std::uint64_t sequence = 0;  ///< in the order of arrival
-  double load = 1;             ///< slots or memory, whichever is more
-  double queue_cost = 0;       ///< what it is queued by, before calibration
+  std::uint64_t sequence = 0;  ///< order of arrival
+  double load = 1;             ///< the larger of slots and memory, in slots
+  double queue_cost = 0;       ///< queue order within the class, before calibration
   bool is_overdue = false;
   bool is_queued = false;
   bool is_finished = false;
--- a/scheduler/request_lifecycle.cpp
+++ b/scheduler/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-/// Admission, final answers, and what ends a request.
+/// Admission, deadlines, and final answers of requests.
 #include "scheduler/request_lifecycle.h"
 
 #include <algorithm>
@@ -7,8 +7,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kMaxOverQuotaFactor =
-    30;  // a request beyond its tenant's quota counts so many times larger at most
+constexpr double kMaxOverQuotaFactor = 30;  // largest cost factor of a request beyond the quota
 constexpr double kMaxRequestLoad = 1e6;
 
 }  // namespace
--- a/scheduler/request_lifecycle.h
+++ b/scheduler/request_lifecycle.h
@@ -1,5 +1,5 @@
-/// The life of a request from its arrival to its one final answer: queued, sent by others, retried,
-/// rejected or failed.
+/// The lifecycle of a request from arrival to its final answer: admission, queueing, retry,
+/// rejection and failure. AttemptTracker sends the attempts.
 #pragma once
 
 #include "scheduler/cost_calibration.h"
@@ -12,7 +12,8 @@
 
 namespace keelflow::scheduler {
 
-/// The only place that answers a request; every final answer passes `answer`.
+/// The only component that answers requests; every final answer to an admitted request is sent by
+/// `answer`.
 class RequestLifecycle {
  public:
   RequestLifecycle(Environment& environment, RequestTable& requests, RequestQueue& queue,
@@ -31,15 +32,15 @@
   void on_client_disconnected(const ClientDisconnected& event);
   void on_overdue(RequestId id);
   void on_deadline(RequestId id);
-  /// With fewer attempts allowed, requests that have used them up are answered: queued, they would
-  /// wait in vain.
+  /// Answers queued requests that have used up a lowered attempt limit and could never be sent.
   void on_attempt_limit_changed();
 
-  /// All attempts of an unfinished request have ended: it is queued again, or answered.
+  /// Queues an unfinished request again, or answers it, once all its attempts have ended.
   void retry_or_answer(Request& request);
-  /// The final answer: a rejection where a retry by the client is harmless.
+  /// Sends the final answer: a rejection if the client may safely retry, otherwise a failure.
   void answer(Request& request);
-  /// It needs no answer any more; attempts in flight are cancelled. `forget_if_done` comes next.
+  /// Marks the request as finished and cancels its attempts in flight. The caller must then call
+  /// RequestTable::forget_if_done.
   void finish(Request& request);
   void cancel_attempt(Request& request, int attempt);
 
--- a/scheduler/request_queue.cpp
+++ b/scheduler/request_queue.cpp
@@ -1,4 +1,4 @@
-/// Queues by class and tier.
+/// Operations on the queues of each class and tier.
 #include "scheduler/request_queue.h"
 
 #include <cmath>
--- a/scheduler/request_queue.h
+++ b/scheduler/request_queue.h
@@ -1,4 +1,5 @@
-/// Requests that wait for an endpoint: smallest calibrated cost first, the overdue last.
+/// The queue of requests that wait for an endpoint, ordered by calibrated cost; overdue requests
+/// come last.
 #pragma once
 
 #include <array>
@@ -13,13 +14,14 @@
 
 namespace keelflow::scheduler {
 
-/// Which of the requests: those that can still be in time, or those that cannot.
+/// Whether requests can still meet their latency objective.
 enum class QueueTier : std::uint8_t { in_time, overdue };
 
-/// Owns the order. A request knows whether it is queued; a class and a tier have a queue each.
+/// Owns the order of the requests, with one queue for each class and tier. Request::is_queued
+/// records whether a request is in a queue.
 class RequestQueue {
  public:
-  /// A place in the queue: by cost before calibration, then by arrival.
+  /// The sort key of a queue: cost before calibration, then order of arrival.
   struct Position {
     double cost;
     std::uint64_t sequence;
@@ -32,20 +34,20 @@
   explicit RequestQueue(std::size_t classes) : classes_(classes) {}
   void resize(std::size_t classes) { classes_.resize(classes); }
 
-  /// Passed over if it is queued or finished.
+  /// Does nothing if the request is queued or finished.
   void push(Request& request, Time now);
   void remove(Request& request);
-  /// It can no longer be in time: it leaves after those that can. The time that it has waited
-  /// counts from now.
+  /// Moves a request that can no longer meet its latency objective behind those that can. Restarts
+  /// its waiting time.
   void mark_overdue(Request& request, Time now);
 
   std::size_t size() const { return size_; }
   const ClassQueue& of(int class_index, QueueTier tier) const;
-  /// The class whose first request has the smallest calibrated cost; empty: all are blocked or have
-  /// none.
+  /// The class whose first request has the smallest calibrated cost, or nothing if every class is
+  /// blocked or has no requests.
   std::optional<int> cheapest_class(QueueTier tier, const std::vector<bool>& blocked,
                                     const CostCalibration& calibration) const;
-  /// All that wait, by class and tier.
+  /// All queued requests, by class and tier.
   std::vector<RequestId> all() const;
 
  private:
--- a/scheduler/request_table.cpp
+++ b/scheduler/request_table.cpp
@@ -1,4 +1,4 @@
-/// Looking up requests and attempts.
+/// Lookup and removal of requests and attempts.
 #include "scheduler/request_table.h"
 
 #include "scheduler/hashing.h"
--- a/scheduler/request_table.h
+++ b/scheduler/request_table.h
@@ -1,4 +1,4 @@
-/// The requests that have not been forgotten: those under way, and those with an attempt in flight.
+/// The table of requests that are unanswered or have an attempt in flight.
 #pragma once
 
 #include <unordered_map>
@@ -10,19 +10,19 @@
 /// Owns all requests. References stay valid until the request is forgotten.
 class RequestTable {
  public:
-  /// Null: there is none of that id.
+  /// Returns null if there is no request with this id.
   Request* find(RequestId id);
   Request& at(RequestId id) { return requests_.at(id); }
   Request& add(const RequestArrived& arrival);
 
-  /// Null: it is not in flight.
+  /// Returns null if the attempt does not exist or is not in flight.
   Attempt* find_in_flight(RequestId id, int attempt);
 
   /// Forgets the request if it is finished and none of its attempts is in flight.
   void forget_if_done(RequestId id);
 
  private:
-  std::unordered_map<RequestId, Request> requests_;  // never iterated
+  std::unordered_map<RequestId, Request> requests_;  // never iterated: unordered
   std::uint64_t next_sequence_ = 0;
 };
 
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -1,4 +1,4 @@
-/// Guards on sends and on rejections.
+/// Conditions for sends and rejections.
 #include "scheduler/retry_policy.h"
 
 #include <algorithm>
@@ -6,10 +6,8 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kUsableWindowFraction =
-    0.9;  // the fraction of a deduplication window that is used for retries
-constexpr double kRetryAfterMeanRuns =
-    0.25;  // a rejected client is to come back after so many mean runs
+constexpr double kUsableWindowFraction = 0.9;  // part of a deduplication window used for retries
+constexpr double kRetryAfterMeanRuns = 0.25;   // retry time, in mean running times
 constexpr double kMinRetryAfterTicks = 4;
 
 }  // namespace
--- a/scheduler/retry_policy.h
+++ b/scheduler/retry_policy.h
@@ -1,5 +1,5 @@
-/// Whether a request may be sent (again) to an endpoint, whether it may be rejected as safe to
-/// retry, and when the client should come back. Every send and every final answer asks here.
+/// Decides whether a request may be sent to an endpoint, whether it may be rejected as safe to
+/// retry, and when the client should retry. Consulted for every send and every final answer.
 #pragma once
 
 #include "scheduler/endpoint_table.h"
@@ -9,21 +9,22 @@
 
 namespace keelflow::scheduler {
 
-/// Owns no state: decides by the request, the endpoint and the time.
+/// Stateless: decides by the request, the endpoint and the time.
 class RetryPolicy {
  public:
   RetryPolicy(const Environment& environment, const EndpointTable& endpoints,
               const ServiceStatistics& statistics)
       : environment_(environment), endpoints_(endpoints), statistics_(statistics) {}
 
-  /// An attempt at that endpoint is allowed now. Its slow-start budget is not asked for here.
+  /// Whether an attempt at this endpoint is allowed now. Does not check the slow-start budget.
   bool may_send(const Request& request, EndpointSlot slot) const;
-  /// A further attempt is allowed at some endpoint or other; otherwise the request has to end.
+  /// Whether another attempt at any endpoint is allowed; if not, the request must be answered.
   bool may_retry(const Request& request) const;
   bool has_attempts_left(const Request& request) const;
-  /// The client may be told that a retry is harmless.
+  /// Whether the client may safely retry the request.
   bool may_reject(const Request& request) const;
-  /// Of a rejection, in ms: about when one of an endpoint's slots is free. 0: no guidance.
+  /// The retry time for a rejection, in ms: a fraction of the mean running time. 0: no retry time
+  /// is given.
   double retry_after() const;
 
  private:
--- a/scheduler/sampled_set.h
+++ b/scheduler/sampled_set.h
@@ -1,4 +1,4 @@
-/// A set of small numbers that can be sampled: constant-time insertion, removal and access by
+/// A set of small integers for random sampling, with constant-time insertion, removal and access by
 /// position.
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace keelflow::scheduler {
 
-/// Positions depend on the order of the calls alone.
+/// The position of each item depends only on the order of the calls.
 class SampledSet {
  public:
   void set(std::uint32_t item, bool is_in) {
@@ -37,7 +37,7 @@
     items_.push_back(item);
   }
 
-  // The last one takes its place.
+  // Moves the last item to the position of the removed one.
   void remove(std::uint32_t item) {
     std::uint32_t hole = positions_[item];
     items_[hole] = items_.back();
--- a/scheduler/service_statistics.cpp
+++ b/scheduler/service_statistics.cpp
@@ -1,4 +1,4 @@
-/// Averages of running times and start delays.
+/// Updates of the running time and start delay averages.
 #include "scheduler/service_statistics.h"
 
 #include <algorithm>
@@ -9,12 +9,14 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kEndpointEmaStep = 0.2;  // EMA step of an endpoint's own ratio
+constexpr double kEndpointEmaStep = 0.2;  // EMA step of the ratio of one endpoint
 constexpr double kMinServiceTimeRatio = 0.25;
 constexpr double kMaxServiceTimeRatio = 4;
-constexpr double kStartTimeoutMeanDelays = 3;    // an attempt is late after so many average delays
-constexpr double kStartTimeoutTicks = 4;         // and so many ticks
-constexpr double kStartTimeoutAllowanceMs = 10;  // and this
+// The start timeout is the sum of these multiples of the zone's average start delay and of the
+// tick, and of a fixed allowance.
+constexpr double kStartTimeoutMeanDelays = 3;
+constexpr double kStartTimeoutTicks = 4;
+constexpr double kStartTimeoutAllowanceMs = 10;
 
 }  // namespace
 
--- a/scheduler/service_statistics.h
+++ b/scheduler/service_statistics.h
@@ -1,4 +1,4 @@
-/// How fast attempts start and run: by endpoint, kind, zone, and over all.
+/// Statistics of running times and start delays of attempts: by endpoint, kind, zone, and overall.
 #pragma once
 
 #include <vector>
@@ -9,38 +9,39 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the averages; ratios of endpoints by slot.
+/// Owns the averages.
 class ServiceStatistics {
  public:
   explicit ServiceStatistics(const Settings& settings) { resize(settings); }
 
-  /// The numbers of kinds and zones have changed.
+  /// Adapts to changed numbers of kinds and zones.
   void resize(const Settings& settings);
-  /// A new incarnation: until it has shown its own ratio it has that of its kind.
+  /// Initializes the ratio of a new incarnation to that of its kind.
   void reset(EndpointSlot slot, int kind);
 
-  /// Running times over calibrated costs, as if the endpoint had warmed up.
+  /// EMA of running time over calibrated cost, corrected for slow start.
   double service_time_ratio(EndpointSlot slot) const { return ratios_[slot]; }
   double kind_service_time_ratio(int kind) const;
-  /// `ratio` was measured. While the endpoint warms up its kind learns nothing from it.
+  /// Records a measured ratio. The average of the kind is not updated while the endpoint is warming
+  /// up.
   void record_ratio(EndpointSlot slot, int kind, double ratio, bool is_warming_up);
 
-  /// The most own attempts that were seen to run at once at an endpoint of that kind that has
-  /// warmed up.
+  /// The most attempts of this dispatcher seen running at once on a warmed-up endpoint of this
+  /// kind.
   double observed_cores(int kind) const;
   void record_running(int kind, int attempts);
 
-  /// EMA of the running times of own attempts, in ms.
+  /// EMA of the running times of this dispatcher's attempts, in ms.
   double mean_run() const { return mean_run_; }
   void record_run(double run_ms);
 
-  /// How long an attempt may take to start before it is late.
+  /// The time after which an attempt that has not started is late, in ms.
   double start_timeout(int zone, double tick_ms) const;
   void record_start_delay(int zone, double delay_ms);
 
   const std::vector<LearnedState::KindSpeed>& kinds() const { return kinds_; }
   const std::vector<double>& start_delays() const { return start_delays_; }
-  /// Throws std::out_of_range where there are fewer kinds in it.
+  /// Throws std::out_of_range if `learned` has fewer kinds.
   void restore(const LearnedState& learned);
   void restore(EndpointSlot slot, double ratio) { ratios_[slot] = ratio; }
 
--- a/scheduler/settings.cpp
+++ b/scheduler/settings.cpp
@@ -1,4 +1,4 @@
-/// Rejects settings that cannot be; nothing here decides anything.
+/// Validation of the settings.
 #include "scheduler/settings.h"
 
 #include <cmath>
@@ -32,11 +32,11 @@
   require(settings.rank >= 0 && settings.rank < settings.dispatchers, "rank out of range");
   require(settings.zones > 0 && settings.zone >= 0 && settings.zone < settings.zones,
           "zone out of range");
-  require(settings.kinds > 0, "no kinds");
-  require(!settings.classes.empty(), "no classes");
+  require(settings.kinds > 0, "kinds must be positive");
+  require(!settings.classes.empty(), "classes must not be empty");
   require(settings.max_attempts > 0, "max_attempts must be positive");
-  for (const ClassSettings& one : settings.classes)
-    validate(one, settings.kinds);
+  for (const ClassSettings& class_settings : settings.classes)
+    validate(class_settings, settings.kinds);
   for (double figure :
        {settings.tick_ms, settings.poll_within_ms, settings.max_retry_after_ms,
         settings.drain_grace_ms, settings.grace_to_answer_ms, settings.slow_start_initial_fraction,
--- a/scheduler/sliding_window.h
+++ b/scheduler/sliding_window.h
@@ -1,25 +1,25 @@
-/// Amounts by time, some of it to come. Older ones are forgotten as others come.
+/// Sums of timestamped amounts over a sliding window. Timestamps may lie in the future.
 #pragma once
 
 #include <vector>
 
 namespace keelflow::scheduler {
 
-/// For few amounts: adding and summing go through all of them.
+/// Suited to few amounts: adding and summing take linear time.
 class SlidingWindow {
  public:
-  /// What was added for a time before `from` is forgotten.
+  /// Adds an amount at time `when` and drops all amounts earlier than `from`.
   void add(double when, double amount, double from) {
     std::erase_if(amounts_, [from](const Amount& a) { return a.when < from; });
     amounts_.push_back({when, amount});
   }
 
-  /// Of what was added for `from` or later.
+  /// The sum of the amounts at `from` or later.
   double sum(double from) const {
-    double all = 0;
+    double total = 0;
     for (const Amount& a : amounts_)
-      all += a.when >= from ? a.amount : 0;
-    return all;
+      total += a.when >= from ? a.amount : 0;
+    return total;
   }
 
  private:
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -1,4 +1,4 @@
-/// The budget of endpoints that are warming up.
+/// Budget computation for endpoints that are warming up.
 #include "scheduler/slow_start.h"
 
 #include <algorithm>
@@ -6,14 +6,16 @@
 namespace keelflow::scheduler {
 namespace {
 
-// The fraction of the budget that is used: hints err, and rejected work counts too.
+// The fraction of the budget that is used; the margin covers inaccurate hints and rejected work,
+// which also counts.
 constexpr double kUsableBudgetFraction = 0.62;
-// A kind counts as faster than its size by so much at most.
+// Bounds on a request's work relative to its hint and on the service time ratio of a kind, which
+// limit how much a fast kind reduces the estimated work.
 constexpr double kMinWorkPerHint = 0.9;
 constexpr double kMinKindRatio = 0.5;
 constexpr double kMaxKindRatio = 4;
-// A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are
-// believed.
+// One dispatcher rarely fills an endpoint, so the nominal capacity is accepted up to this multiple
+// of the cores it has observed.
 constexpr double kMaxCoresPerObserved = 2;
 
 }  // namespace
@@ -46,8 +48,8 @@
   const Settings& settings = environment_.settings;
   const State& state = states_[slot];
   const EndpointEntry& entry = endpoints_.at(slot).entry;
-  double seen = statistics_.observed_cores(entry.kind);
-  double cores = std::clamp(entry.nominal_capacity, seen, kMaxCoresPerObserved * seen);
+  double observed = statistics_.observed_cores(entry.kind);
+  double cores = std::clamp(entry.nominal_capacity, observed, kMaxCoresPerObserved * observed);
   double total = kUsableBudgetFraction * settings.overload_multiple * weight(slot) * cores *
                  settings.overload_window_ms;
   double own =
@@ -57,9 +59,9 @@
 
 void SlowStart::spend(EndpointSlot slot, double work_ms) {
   State& state = states_[slot];
-  double of_grant = std::min(work_ms, granted(state));
-  state.granted_ms -= of_grant;
-  record_sent(slot, environment_.now, work_ms - of_grant);
+  double from_grant = std::min(work_ms, granted(state));
+  state.granted_ms -= from_grant;
+  record_sent(slot, environment_.now, work_ms - from_grant);
 }
 
 void SlowStart::record_sent(EndpointSlot slot, Time when, double work_ms) {
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -1,5 +1,5 @@
-/// Slow start: what an endpoint that is warming up may be sent within a window, of this
-/// dispatcher's part of the budget and of the parts of others that they granted.
+/// Slow start: limits the work sent to an endpoint that is warming up within a window. The limit is
+/// this dispatcher's share of the budget plus what other dispatchers granted from theirs.
 #pragma once
 
 #include <vector>
@@ -12,39 +12,40 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the spent and granted work of each endpoint, by slot. Work is in ms on a standard core.
+/// Owns the sent and granted work of each endpoint, by slot. Work is in ms on a standard core.
 class SlowStart {
  public:
   SlowStart(const Environment& environment, const EndpointTable& endpoints,
             const ServiceStatistics& statistics)
       : environment_(environment), endpoints_(endpoints), statistics_(statistics) {}
 
-  /// A new incarnation: an even part, nothing granted, nothing sent.
+  /// Resets the state for a new incarnation: an even share, nothing granted, nothing sent.
   void reset(EndpointSlot slot);
 
   bool is_warming_up(EndpointSlot slot) const {
     Time started_at = endpoints_.at(slot).entry.started_at;
     return started_at > 0 && environment_.now < started_at + environment_.settings.slow_start_ms;
   }
-  /// The least fraction of its capacity that the endpoint can have by now.
+  /// The minimum fraction of its capacity that the endpoint has reached by now.
   double weight(EndpointSlot slot) const { return is_warming_up(slot) ? weight_at_age(slot) : 1; }
-  /// What the request counts as in the budget: as if its kind were as fast as its size says.
+  /// The work that the request counts as in the budget, adjusted for the speed of the endpoint's
+  /// kind.
   double work_of(EndpointSlot slot, double hint, double calibrated_cost) const;
 
   SlowStartBudget budget(EndpointSlot slot) const;
   bool has_budget_for(EndpointSlot slot, double work_ms) const {
     return budget(slot).total() >= work_ms;
   }
-  /// Grants are spent first: they end sooner.
+  /// Spends grants first because they expire sooner.
   void spend(EndpointSlot slot, double work_ms);
-  /// Work that is sent, or counts as sent, at that time: by this dispatcher, its sibling, or under
-  /// a grant of its part.
+  /// Records work that is sent at `when`, or counts as sent then: by this dispatcher, by its
+  /// sibling process, or under a grant from this dispatcher's share.
   void record_sent(EndpointSlot slot, Time when, double work_ms);
 
   void set_fraction(EndpointSlot slot, double fraction) { states_[slot].fraction = fraction; }
   void on_grant(EndpointSlot slot, const SlowStartGrant& grant);
 
-  /// Work that was sent within the window that ends at `now`.
+  /// The work sent within the window that ends at `now`.
   double work_in_window(EndpointSlot slot, Time now) const;
 
  private:
--- a/scheduler/slow_start_budget.h
+++ b/scheduler/slow_start_budget.h
@@ -1,12 +1,12 @@
-/// What a Dispatcher may send to an endpoint that is warming up, in ms of work.
+/// The work that a Dispatcher may still send to an endpoint that is warming up, in ms.
 #pragma once
 
 namespace keelflow::scheduler {
 
 /// All zero for an endpoint that has warmed up.
 struct SlowStartBudget {
-  double own = 0;      ///< of its own part; below 0: more was sent than is thought right by now
-  double granted = 0;  ///< of others' parts
+  double own = 0;      ///< rest of its own share; negative if overspent
+  double granted = 0;  ///< rest of what others granted from their shares
   double typical = 0;  ///< the work of a typical request
   double total() const { return own + granted; }
 };
--- a/scheduler/state_transfer.cpp
+++ b/scheduler/state_transfer.cpp
@@ -1,4 +1,4 @@
-/// What goes into a snapshot, and where each part of it is restored.
+/// Collection and restoration of each part of a snapshot.
 #include "scheduler/state_transfer.h"
 
 namespace keelflow::scheduler {
@@ -33,7 +33,7 @@
     return;
   health_.restore(*slot, learned.health);
   statistics_.restore(*slot, learned.health.service_time_ratio);
-  // What the former process has in flight counts as a peer's.
+  // The previous process's slots in flight count as a peer's.
   Time report_until = environment_.now + kReportLifetimeMs;
   peer_load_.set(*slot, environment_.settings.rank, learned.in_flight, report_until);
   slow_start_.record_sent(*slot, environment_.now, learned.slow_start_work_ms);
--- a/scheduler/state_transfer.h
+++ b/scheduler/state_transfer.h
@@ -1,4 +1,4 @@
-/// Snapshot of what a Dispatcher has learned, and its restoration in one that takes over.
+/// Creates a snapshot of a Dispatcher's learned state and restores it in its successor.
 #pragma once
 
 #include "scheduler/availability.h"
@@ -14,7 +14,7 @@
 
 namespace keelflow::scheduler {
 
-/// Owns no state: collects it from its owners, and gives it back to them.
+/// Stateless: reads the state from the components that own it and restores it there.
 class StateTransfer {
  public:
   StateTransfer(Environment& environment, const EndpointTable& endpoints, EndpointHealth& health,
--- a/scheduler/subset.cpp
+++ b/scheduler/subset.cpp
@@ -1,4 +1,4 @@
-/// Subset entries by endpoint.
+/// Updates of the subset entries.
 #include "scheduler/subset.h"
 
 namespace keelflow::scheduler {
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -1,5 +1,4 @@
-/// Which endpoints belong to this dispatcher's subset, and which other dispatchers share each of
-/// them.
+/// The endpoints in this dispatcher's subset and the other dispatchers that share each endpoint.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +9,19 @@
 
 namespace keelflow::scheduler {
 
-/// Where dispatchers are many, own slots say little about an endpoint that all use. Each prefers a
-/// few, and is notified of their load by the others who prefer them.
+/// With many dispatchers, the slots of one dispatcher are a poor estimate of the load of an
+/// endpoint that all of them use. Each dispatcher therefore prefers a few endpoints, and
+/// dispatchers that prefer the same endpoint notify each other of its load.
 class Subset {
  public:
-  /// A new incarnation: until the dispatcher is notified all belong to the subset.
+  /// Resets the entry for a new incarnation; the endpoint belongs to the subset until an event says
+  /// otherwise.
   void reset(EndpointSlot slot);
   void set(EndpointSlot slot, const SubsetEntry& entry) { entries_[slot].warm = entry; }
   void set_warming_up(EndpointSlot slot, const SubsetEntry& entry) {
     entries_[slot].warming_up = entry;
   }
-  /// `fraction`: of all endpoints, those of the subset.
+  /// `fraction`: the part of all endpoints that is in the subset.
   void set_fraction_and_sharing(double fraction, bool shares_load);
 
   const SubsetEntry& entry(EndpointSlot slot, bool is_warming_up) const {
--- a/scheduler/tenant_quota.cpp
+++ b/scheduler/tenant_quota.cpp
@@ -1,4 +1,4 @@
-/// Token buckets of tenants.
+/// Refill and use of the token buckets.
 #include "scheduler/tenant_quota.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kBucketDepthMs = 2000;  // a bucket holds as much as fills it in this time
+constexpr double kBucketDepthMs = 2000;  // bucket capacity, as time to fill it; at least one token
 
 }  // namespace
 
--- a/scheduler/tenant_quota.h
+++ b/scheduler/tenant_quota.h
@@ -1,4 +1,4 @@
-/// Tenants' quotas: a token bucket for each, split evenly over the dispatchers that are alive.
+/// Tenant quotas: one token bucket per tenant; the rate is split evenly among the live dispatchers.
 #pragma once
 
 #include <memory>
@@ -8,8 +8,8 @@
 
 namespace keelflow::scheduler {
 
-/// The tokens that tenants have left. Dispatchers that split one node's traffic between them are
-/// given the same one, so that a tenant's quota is the same however its requests are split.
+/// The token buckets of all tenants. Dispatchers that split the traffic of one node share one
+/// instance, so that a tenant's quota does not depend on the split.
 struct TenantQuotas {
   struct Bucket {
     double tokens = 0;
@@ -18,18 +18,19 @@
   std::vector<Bucket> buckets;
 };
 
-/// The quotas of this dispatcher, which may share its buckets with others of the node.
+/// Enforces the quotas of one dispatcher, which may share its buckets with other dispatchers of the
+/// node.
 class TenantQuota {
  public:
   explicit TenantQuota(std::shared_ptr<TenantQuotas> quotas);
 
   void resize(const Settings& settings);
-  /// Which dispatchers are alive, by rank.
+  /// `is_alive`: whether each dispatcher is alive, by rank.
   void on_membership(const std::vector<bool>& is_alive);
 
-  /// Takes a token. False: the request is beyond its tenant's quota.
+  /// Takes a token; returns false if the request is beyond its tenant's quota.
   bool admit(int tenant, const Settings& settings, Time now);
-  /// The request goes elsewhere, where it asks again.
+  /// Returns the token of a request that moves to another dispatcher, which takes one again.
   void refund(int tenant);
 
  private:
--- a/scheduler/timer_queue.h
+++ b/scheduler/timer_queue.h
@@ -1,4 +1,4 @@
-/// Many timers kept by one outside timer that is set again whenever an earlier one is due.
+/// A queue of timers driven by one external timer, which is kept set to the earliest due time.
 #pragma once
 
 #include <cmath>
@@ -9,20 +9,21 @@
 
 namespace keelflow::scheduler {
 
-/// What a timer is for; the timer's subject is a request or an endpoint.
+/// The purpose of a timer; its subject is a request or an endpoint.
 enum class TimerPurpose : std::uint8_t {
-  deadline,    ///< the client of a request is about to give up
-  overdue,     ///< a request can no longer be in time
-  late_start,  ///< an attempt should have started by now
-  reindex,     ///< whether an endpoint is available may have changed
-  release,     ///< a sample that found no endpoint is drawn again
-  poll_list,
+  deadline,    ///< a request is about to reach its client's timeout
+  overdue,     ///< a request can no longer meet its latency objective
+  late_start,  ///< an attempt has reached its start timeout
+  reindex,     ///< an endpoint's availability may have changed
+  release,     ///< queued requests that found no endpoint are tried again
+  poll_list,   ///< the endpoint list may have to be polled
 };
 
-/// Owns the timers of one Dispatcher. Timers are not cancelled: one that is moot when due does
-/// nothing.
+/// Owns the timers of one Dispatcher. Timers are never cancelled; a timer that is obsolete when due
+/// has no effect.
 class TimerQueue {
  public:
+  /// One timer. Timers due at the same time fire in the order in which they were added.
   struct Entry {
     double when;
     std::uint64_t order;
@@ -46,7 +47,7 @@
     return entry;
   }
 
-  /// The outside timer has fired. Any but the latest one is stale.
+  /// Handles the external timer; ids other than the latest one are stale and ignored.
   void on_fired(std::uint64_t id) {
     if (id == id_)
       armed_for_ = INFINITY;
@@ -54,7 +55,7 @@
 
   bool needs_arming() const { return !queue_.empty() && queue_.top().when < armed_for_; }
 
-  /// The time for which the outside timer is to be set now, under the new `id()`.
+  /// Returns the time to which the external timer must now be set, under the new `id()`.
   double arm() {
     ++id_;
     armed_for_ = queue_.top().when;
--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -1,5 +1,4 @@
-/// Reads a batch: records of 48 bytes, each an event for the instance that the last address record
-/// named.
+/// Reads a batch: records of 48 bytes, each for the instance named by the last address record.
 #include <algorithm>
 
 #include "simulator_adapter/big_endian.h"
@@ -23,7 +22,7 @@
 using scheduler::ResponseStreamStarted;
 using scheduler::TimerFired;
 
-// The code of a record stands in its first byte.
+// Record codes, stored in the first byte of each record.
 constexpr std::uint8_t kHealthCheckResult = 10;
 constexpr std::uint8_t kPeerMessage = 20;
 constexpr std::uint8_t kProgress = 30;
@@ -37,17 +36,17 @@
 constexpr std::uint8_t kTimer = 110;
 constexpr std::uint8_t kAttemptFinished = 120;
 
-constexpr std::uint32_t kIndexMask = 0x7fffffff;  // tenants and peers are sent with a sign bit
-constexpr unsigned kHasHint = 1;                  // attributes of a request
+constexpr std::uint32_t kIndexMask = 0x7fffffff;  // tenants and peers have a sign bit on the wire
+constexpr unsigned kHasHint = 1;                  // attribute bits of a request
 constexpr unsigned kIsClientRetry = 2;
 constexpr std::uint8_t kProgressStarted = 1;
 constexpr int kReportValues = 4;
 
-LoadReport read_report(std::string_view record, std::size_t place) {
+LoadReport read_report(std::string_view record, std::size_t offset) {
   LoadReport report;
-  report.count = std::min<int>(get_u8(record, place), kReportValues);
+  report.count = std::min<int>(get_u8(record, offset), kReportValues);
   for (std::size_t i = 0; i < kReportValues; ++i)
-    report.values[i] = get_f32(record, place + 1 + sizeof(float) * i);
+    report.values[i] = get_f32(record, offset + 1 + sizeof(float) * i);
   return report;
 }
 
@@ -68,7 +67,7 @@
     case 14:
       return AttemptResult::connect_failed;
     default:
-      return AttemptResult::error;  // 13, and any code not known: it may have run
+      return AttemptResult::error;  // code 13 and unknown codes: the attempt may have run
   }
 }
 
@@ -114,35 +113,36 @@
   }
 
   std::vector<AddressedRecord> read() {
-    std::vector<AddressedRecord> all;
-    all.reserve(count_);
+    std::vector<AddressedRecord> records;
+    records.reserve(count_);
     bool is_addressed = false;
     std::uint32_t instance = 0;
-    for (number_ = 0; number_ < count_; ++number_) {
-      record_ = body_.substr(number_ * kEventSize, kEventSize);
+    for (record_number_ = 0; record_number_ < count_; ++record_number_) {
+      record_ = body_.substr(record_number_ * kEventSize, kEventSize);
       if (get_u8(record_, 0) == kAddress) {
         instance = get<std::uint32_t>(record_, 1);
         is_addressed = true;
         continue;
       }
       if (!is_addressed)
-        fault("event before any 'about'");
-      all.push_back({instance, read_record()});
+        throw_error("event record before the first address record");
+      records.push_back({instance, read_record()});
     }
-    return all;
+    return records;
   }
 
  private:
-  [[noreturn]] void fault(const std::string& what) const {
-    throw WireError("batch record " + std::to_string(number_) + ": " + what);
+  [[noreturn]] void throw_error(const std::string& what) const {
+    throw WireError("batch record " + std::to_string(record_number_) + ": " + what);
   }
 
-  // The part of the tail that the offset and the count at that place name.
-  std::string_view tail(std::size_t place, std::size_t unit) const {
-    std::uint64_t offset = get<std::uint32_t>(record_, place);
-    std::uint64_t bytes = static_cast<std::uint64_t>(get<std::uint32_t>(record_, place + 4)) * unit;
+  // Returns the part of the tail given by the offset and the count at `field_offset` of the record.
+  std::string_view tail(std::size_t field_offset, std::size_t unit) const {
+    std::uint64_t offset = get<std::uint32_t>(record_, field_offset);
+    std::uint64_t bytes =
+        static_cast<std::uint64_t>(get<std::uint32_t>(record_, field_offset + 4)) * unit;
     if (offset > tail_.size() || bytes > tail_.size() - offset)
-      fault("tail field out of bounds");
+      throw_error("tail field out of bounds");
     return tail_.substr(offset, bytes);
   }
 
@@ -189,7 +189,7 @@
       case 3:
         return ListScope::full;
       default:
-        fault("unknown list scope " + std::to_string(scope));
+        throw_error("unknown list scope " + std::to_string(scope));
     }
   }
 
@@ -202,7 +202,7 @@
       case 2:
         return EndpointState::draining;
       default:
-        fault("unknown worker phase " + std::to_string(phase));
+        throw_error("unknown worker phase " + std::to_string(phase));
     }
   }
 
@@ -230,8 +230,8 @@
   std::uint32_t count_;
   std::string_view body_;
   std::string_view tail_;
-  std::string_view record_;  // the one that is being read
-  std::size_t number_ = 0;
+  std::string_view record_;  // the record being read
+  std::size_t record_number_ = 0;
 };
 
 }  // namespace
--- a/simulator_adapter/big_endian.h
+++ b/simulator_adapter/big_endian.h
@@ -1,4 +1,4 @@
-/// Numbers in big-endian bytes, as the simulator's wire has them.
+/// Encoding and decoding of big-endian numbers, the byte order of the simulator's wire format.
 #pragma once
 
 #include <bit>
@@ -8,23 +8,23 @@
 
 namespace keelflow::simulator_adapter {
 
-/// The unsigned number of that type at that place; the caller has checked the size.
+/// Reads an unsigned number of type T at `offset`; the caller must have checked the size.
 template <typename T>
-T get(std::string_view bytes, std::size_t place) {
+T get(std::string_view bytes, std::size_t offset) {
   T value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i)
-    value = static_cast<T>((value << 8) | static_cast<unsigned char>(bytes[place + i]));
+    value = static_cast<T>((value << 8) | static_cast<unsigned char>(bytes[offset + i]));
   return value;
 }
 
-inline std::uint8_t get_u8(std::string_view bytes, std::size_t place) {
-  return static_cast<std::uint8_t>(bytes[place]);
+inline std::uint8_t get_u8(std::string_view bytes, std::size_t offset) {
+  return static_cast<std::uint8_t>(bytes[offset]);
 }
-inline double get_f64(std::string_view bytes, std::size_t place) {
-  return std::bit_cast<double>(get<std::uint64_t>(bytes, place));
+inline double get_f64(std::string_view bytes, std::size_t offset) {
+  return std::bit_cast<double>(get<std::uint64_t>(bytes, offset));
 }
-inline float get_f32(std::string_view bytes, std::size_t place) {
-  return std::bit_cast<float>(get<std::uint32_t>(bytes, place));
+inline float get_f32(std::string_view bytes, std::size_t offset) {
+  return std::bit_cast<float>(get<std::uint32_t>(bytes, offset));
 }
 
 template <typename T>
--- a/simulator_adapter/codec.h
+++ b/simulator_adapter/codec.h
@@ -1,4 +1,5 @@
-/// The simulator's wire: frames of fixed-size records and a tail, big-endian. Translation only.
+/// The simulator's wire format: big-endian frames of fixed-size records followed by a tail of
+/// variable-size data.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 using scheduler::Action;
 using scheduler::Event;
 
-/// A batch that is malformed; the text names the record and the fault.
+/// Thrown for malformed batches; the message names the record and the error.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -26,22 +27,22 @@
 constexpr std::size_t kActionSize = 24;
 constexpr std::size_t kEntrySize = 21;
 
-/// A new instance of the scheduler starts.
+/// Starts a new instance of the scheduler.
 struct Spawn {
   std::uint64_t seed = 0;
-  std::string settings;  ///< as text, see settings_decoder.h
+  std::string settings;  ///< in text form, see settings_decoder.h
 };
-/// The instance ends.
+/// Ends an instance.
 struct Stop {};
-/// A record of a code that this release does not know.
+/// A record with a code that this release does not know.
 struct Unknown {
   int code = 0;
 };
-/// A record that is known, and of no use to the scheduler.
+/// A record with a known code that the scheduler does not use.
 struct Ignored {};
 using Record = std::variant<Spawn, Stop, Unknown, Ignored, Event>;
 
-/// A record, and the instance that it is for.
+/// A record and the instance that it addresses.
 struct AddressedRecord {
   std::uint32_t instance = 0;
   Record record;
@@ -61,12 +62,12 @@
 /// Writes the reply to one batch.
 class ReplyWriter {
  public:
-  /// What follows is of this instance.
+  /// Writes an address record: the records that follow belong to this instance.
   void instance(std::uint32_t id);
   void action(const Action& action);
-  /// The instance has failed, for that reason.
+  /// Writes a record that the instance has failed.
   void fail_instance(std::string_view reason);
-  /// The whole frame; the writer is then empty.
+  /// Returns the complete frame and clears the writer.
   std::string finish();
 
  private:
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -1,4 +1,4 @@
-/// Plays batches to the instances that they address.
+/// Passes the records of a batch to the instances that they address.
 #include "simulator_adapter/instance_table.h"
 
 #include <optional>
@@ -54,8 +54,8 @@
   scheduler::Settings settings = read_settings(spawn.settings);
   try {
     instances_[id] = std::make_unique<Instance>(settings, spawn.seed, now);
-  } catch (const std::invalid_argument& fault) {
-    throw SettingsError(fault.what());
+  } catch (const std::invalid_argument& error) {
+    throw SettingsError(error.what());
   }
 }
 
@@ -69,12 +69,12 @@
                            AddressedReply& reply) {
   auto it = instances_.find(id);
   if (it == instances_.end())
-    return;  // not started: nothing to decide for
+    return;  // the instance is not running
   Actions actions;
   try {
     it->second->handle(now, event, actions);
-  } catch (const std::exception& fault) {
-    return reply.write_failure(id, fault.what());
+  } catch (const std::exception& error) {
+    return reply.write_failure(id, error.what());
   }
   reply.write(id, actions);
 }
--- a/simulator_adapter/instance_table.h
+++ b/simulator_adapter/instance_table.h
@@ -1,4 +1,4 @@
-/// The instances of the scheduler in one adapter process. They share nothing but this table.
+/// The scheduler instances of one adapter process. They share no state except this table.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace keelflow::simulator_adapter {
 
-/// Plays batches of records to the instances that they address.
+/// Passes the records of batches to the instances that they address.
 class InstanceTable {
  public:
-  /// Plays one batch and returns the reply frame. Throws WireError or SettingsError on malformed
-  /// input; an exception of a dispatcher becomes a record of the reply. Lines for the operator are
-  /// appended to `log`.
+  /// Processes one batch and returns the reply frame. Throws WireError or SettingsError on
+  /// malformed input; an exception thrown by an instance is reported in the reply. Appends log
+  /// lines to `log`.
   std::string process_batch(const BatchHeader& header, std::string_view body, std::string& log);
 
  private:
-  /// A Dispatcher, and what a node keeps beside it.
+  /// A Dispatcher with the fleet state that a node keeps for it.
   struct Instance {
     Instance(const scheduler::Settings& settings, std::uint64_t seed, double now);
     void handle(double now, const Event& event, scheduler::Actions& actions);
@@ -32,8 +32,7 @@
     fleet::Subsets subsets;
     fleet::SlowStartLeases leases;
   };
-  /// Writes the actions of several instances, with an address before those of another one than the
-  /// last.
+  /// Writes the actions of several instances, with an address record whenever the instance changes.
   class AddressedReply;
 
   void spawn(std::uint32_t id, const Spawn& spawn, double now);
@@ -41,7 +40,7 @@
   void handle(std::uint32_t id, double now, const Event& event, AddressedReply& reply);
 
   std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::uint32_t, std::set<int>> unknown_codes_;  // by instance: those that were logged
+  std::map<std::uint32_t, std::set<int>> unknown_codes_;  // codes already logged, by instance
 };
 
 }  // namespace keelflow::simulator_adapter
--- a/simulator_adapter/key_values.h
+++ b/simulator_adapter/key_values.h
@@ -1,4 +1,4 @@
-/// Lines of KEY=VALUE, and their values as numbers, flags and lists.
+/// Parses lines of KEY=VALUE and converts the values to numbers, flags and lists.
 #pragma once
 
 #include <charconv>
@@ -13,8 +13,8 @@
 
 namespace keelflow::simulator_adapter {
 
-/// The values by key. The text must outlive it. What cannot be read throws SettingsError naming the
-/// key.
+/// The values by key. The text must outlive the object. Values that cannot be parsed throw a
+/// SettingsError that names the key.
 class KeyValues {
  public:
   explicit KeyValues(std::string_view text) {
@@ -26,10 +26,10 @@
         line.remove_suffix(1);
       if (line.empty())
         continue;
-      auto eq = line.find('=');
-      if (eq == std::string_view::npos)
+      auto equals = line.find('=');
+      if (equals == std::string_view::npos)
         throw SettingsError("settings: no '=' in line '" + std::string(line) + "'");
-      values_[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+      values_[std::string(line.substr(0, equals))] = line.substr(equals + 1);
     }
   }
 
@@ -41,48 +41,48 @@
   }
 
   std::string_view text(const std::string& key) const {
-    auto v = find(key);
-    if (!v)
+    auto value = find(key);
+    if (!value)
       throw SettingsError("settings: '" + key + "' is missing");
-    return *v;
+    return *value;
   }
 
-  static double to_number(const std::string& key, std::string_view v) {
-    double d = 0;
-    auto [end, error] = std::from_chars(v.data(), v.data() + v.size(), d);
-    if (error != std::errc() || end != v.data() + v.size() || !std::isfinite(d))
-      throw SettingsError("settings: '" + key + "' is not a number: '" + std::string(v) + "'");
-    return d;
+  static double to_number(const std::string& key, std::string_view value) {
+    double parsed = 0;
+    auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), parsed);
+    if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(parsed))
+      throw SettingsError("settings: '" + key + "' is not a number: '" + std::string(value) + "'");
+    return parsed;
   }
 
   double number(const std::string& key) const { return to_number(key, text(key)); }
-  double number(const std::string& key, double otherwise) const {
-    auto v = find(key);
-    return v ? to_number(key, *v) : otherwise;
+  double number(const std::string& key, double fallback) const {
+    auto value = find(key);
+    return value ? to_number(key, *value) : fallback;
   }
-  static int to_int(const std::string& key, double d) {
-    if (d != std::floor(d) || std::abs(d) > 1e9)
+  static int to_int(const std::string& key, double value) {
+    if (value != std::floor(value) || std::abs(value) > 1e9)
       throw SettingsError("settings: '" + key + "' is not a whole number");
-    return static_cast<int>(d);
+    return static_cast<int>(value);
   }
   int integer(const std::string& key) const { return to_int(key, number(key)); }
-  int integer(const std::string& key, int otherwise) const {
-    return to_int(key, number(key, otherwise));
+  int integer(const std::string& key, int fallback) const {
+    return to_int(key, number(key, fallback));
   }
-  bool flag(const std::string& key, bool otherwise) const {
-    auto v = find(key);
-    if (!v)
-      return otherwise;
-    if (*v != "true" && *v != "false")
+  bool flag(const std::string& key, bool fallback) const {
+    auto value = find(key);
+    if (!value)
+      return fallback;
+    if (*value != "true" && *value != "false")
       throw SettingsError("settings: '" + key + "' is neither true nor false");
-    return *v == "true";
+    return *value == "true";
   }
   std::vector<std::string_view> list(const std::string& key) const {
     std::vector<std::string_view> items;
-    auto v = find(key);
-    if (!v || v->empty())
+    auto value = find(key);
+    if (!value || value->empty())
       return items;
-    for (std::string_view remaining = *v;;) {
+    for (std::string_view remaining = *value;;) {
       auto comma = remaining.find(',');
       items.push_back(remaining.substr(0, comma));
       if (comma == std::string_view::npos)
@@ -90,9 +90,9 @@
       remaining.remove_prefix(comma + 1);
     }
   }
-  double item(const std::string& key, std::size_t i, double otherwise) const {
+  double item(const std::string& key, std::size_t i, double fallback) const {
     auto items = list(key);
-    return i < items.size() ? to_number(key, items[i]) : otherwise;
+    return i < items.size() ? to_number(key, items[i]) : fallback;
   }
 
  private:
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -8,19 +8,20 @@
 namespace keelflow::simulator_adapter {
 namespace {
 
-constexpr int kFailed = 2;  // the exit code
+constexpr int kExitFailure = 2;
 
-// The bytes are read in pieces, so that a header with an absurd length costs no memory before they
-// are there. False: the input ended before; `into` has what came.
-bool read_bytes(std::string& into, std::size_t wanted) {
+// Reads in chunks, so that a header with an excessive length allocates no memory for data that has
+// not arrived. Returns false if the input ends early; `into` then holds the bytes received.
+bool read_bytes(std::string& into, std::size_t size) {
   constexpr std::size_t kChunkBytes = 1 << 20;
   into.clear();
-  while (into.size() < wanted) {
-    std::size_t had = into.size();
-    into.resize(std::min(wanted, had + kChunkBytes));
-    std::size_t got = std::fread(into.data() + had, 1, into.size() - had, stdin);
-    if (had + got < into.size()) {
-      into.resize(had + got);
+  while (into.size() < size) {
+    std::size_t previous_size = into.size();
+    into.resize(std::min(size, previous_size + kChunkBytes));
+    std::size_t bytes_read =
+        std::fread(into.data() + previous_size, 1, into.size() - previous_size, stdin);
+    if (previous_size + bytes_read < into.size()) {
+      into.resize(previous_size + bytes_read);
       return false;
     }
   }
@@ -40,17 +41,17 @@
 
 void run() {
   InstanceTable instances;
-  std::string head;
+  std::string header_bytes;
   std::string body;
   std::string log;
   while (true) {
-    bool has_header = read_bytes(head, kBatchHeader);
-    if (!has_header && head.empty())
+    bool has_header = read_bytes(header_bytes, kBatchHeader);
+    if (!has_header && header_bytes.empty())
       return;
     if (!has_header)
-      throw WireError("input ends within a batch header, after " + std::to_string(head.size()) +
-                      " bytes");
-    BatchHeader header = read_header(head);
+      throw WireError("input ends within a batch header, after " +
+                      std::to_string(header_bytes.size()) + " bytes");
+    BatchHeader header = read_header(header_bytes);
     if (!read_bytes(body, header.body_bytes))
       throw WireError("input ends within a batch body, after " + std::to_string(body.size()) +
                       " of " + std::to_string(header.body_bytes) + " bytes");
@@ -67,8 +68,8 @@
   try {
     keelflow::simulator_adapter::run();
     return 0;
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "simulator_adapter: %s\n", fault.what());
-    return keelflow::simulator_adapter::kFailed;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "simulator_adapter: %s\n", error.what());
+    return keelflow::simulator_adapter::kExitFailure;
   }
 }
--- a/simulator_adapter/reply_writer.cpp
+++ b/simulator_adapter/reply_writer.cpp
@@ -1,4 +1,4 @@
-/// Writes a reply: records of 24 bytes, and a tail with what has no fixed size.
+/// Writes a reply: records of 24 bytes, followed by a tail with the variable-size fields.
 #include "simulator_adapter/big_endian.h"
 #include "simulator_adapter/codec.h"
 
@@ -14,7 +14,7 @@
 using scheduler::SendPeerMessage;
 using scheduler::SetTimer;
 
-// The code of a record stands in its first byte.
+// Record codes, stored in the first byte of each record.
 constexpr std::uint8_t kSendAttempt = 10;
 constexpr std::uint8_t kRejectRequest = 20;
 constexpr std::uint8_t kFailRequest = 30;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// One overload for each type of action.
+/// Writes one action; has an overload for each type of action.
 struct ReplyWriter::ActionWriter {
   ReplyWriter& writer;
 
@@ -75,9 +75,9 @@
   return record;
 }
 
-void ReplyWriter::append_tail(char* place, std::string_view text) {
-  put(place, static_cast<std::uint32_t>(tail_.size()));
-  put(place + 4, static_cast<std::uint32_t>(text.size()));
+void ReplyWriter::append_tail(char* field, std::string_view text) {
+  put(field, static_cast<std::uint32_t>(tail_.size()));
+  put(field + 4, static_cast<std::uint32_t>(text.size()));
   tail_ += text;
 }
 
--- a/simulator_adapter/settings_decoder.cpp
+++ b/simulator_adapter/settings_decoder.cpp
@@ -1,4 +1,4 @@
-/// The keys of the settings, and what each of them means to the scheduler.
+/// Maps the keys of the text form to the scheduler's settings.
 #include "simulator_adapter/settings_decoder.h"
 
 #include <map>
@@ -70,13 +70,13 @@
   settings.zone = values.integer("locality");
   settings.zones = std::max(1, static_cast<int>(values.list("dcs").size()));
   settings.kinds = std::max(1, static_cast<int>(values.list("kinds").size()));
-  auto classes = values.integer("classes.count");
-  if (classes < 0)
+  auto class_count = values.integer("classes.count");
+  if (class_count < 0)
     throw SettingsError("settings: 'classes.count' is negative");
-  for (int i = 0; i < classes; ++i)
+  for (int i = 0; i < class_count; ++i)
     settings.classes.push_back(read_class(values, static_cast<std::size_t>(i)));
-  int tenants = values.integer("tenants.count", 0);
-  for (int i = 0; i < tenants; ++i)
+  int tenant_count = values.integer("tenants.count", 0);
+  for (int i = 0; i < tenant_count; ++i)
     settings.tenant_quota.push_back(
         values.number("tenants." + std::to_string(i) + ".quota_per_s", 0));
   settings.over_quota_weight = values.number("over_share_worth", 1);
@@ -97,8 +97,8 @@
   settings.waste_price = values.number("penalties.waste", 0);
   settings.late_fail_price = values.number("penalties.late_fail", 0);
   for (auto name : values.list("report.names")) {
-    bool free_slots = name == "x0" && values.find("family_info.report_x0") == "free_slots";
-    settings.report.push_back(free_slots ? ReportField::free_slots : report_field(name));
+    bool is_free_slots = name == "x0" && values.find("family_info.report_x0") == "free_slots";
+    settings.report.push_back(is_free_slots ? ReportField::free_slots : report_field(name));
   }
   settings.drain_grace_ms = values.number("safety.drain_grace_ms");
   settings.grace_to_answer_ms = values.number("safety.grace_to_answer_ms");
--- a/simulator_adapter/settings_decoder.h
+++ b/simulator_adapter/settings_decoder.h
@@ -1,5 +1,4 @@
-/// Reads settings in text form, a line PATH=VALUE each, into those of the scheduler. Translation
-/// only.
+/// Converts settings in text form, one PATH=VALUE per line, to the scheduler's settings.
 #pragma once
 
 #include <stdexcept>
@@ -9,12 +8,12 @@
 
 namespace keelflow::simulator_adapter {
 
-/// Settings that cannot be read; the text names the key and the fault.
+/// Thrown for settings that cannot be parsed; the message names the key and the error.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Throws SettingsError.
+/// Throws SettingsError on malformed settings.
 scheduler::Settings read_settings(std::string_view text);
 
 }  // namespace keelflow::simulator_adapter
