--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -15,7 +15,7 @@
 constexpr double kCongestionWaitFactor = 4;  // full congestion adds up to this multiple of the wait
 
 constexpr int kRingProbes = 16;           // ring lookups that order the endpoints for a key
-constexpr double kKeySpreadFactor = 2.5;  // endpoints per endpoint that the key's traffic fills
+constexpr double kKeySpreadFactor = 2.5;  // endpoints per key, per endpoint that its traffic fills
 constexpr double kFetchMeanRuns = 1.5;    // wait per additional endpoint, in mean running times
 
 }  // namespace
@@ -94,9 +94,10 @@
   return endpoints_.is_available(slot);
 }
 
-// The cost of an endpoint that is slower than calibrated is its slots times its relative slowness.
-// The slowness is ignored for requests with keys, whose running times include fetches, and for the
-// first request to an endpoint that is warming up, so that the endpoint is tried at all.
+// The cost of an endpoint that is slower than calibrated is its slots, including one for this
+// request, times its relative slowness. The slowness is ignored for requests with keys, whose
+// running times include fetches, and for the first request to an endpoint that is warming up, so
+// that the endpoint is tried at all.
 double EndpointSelector::cost_of(const Request& request, EndpointSlot slot) const {
   double occupied = availability_.occupied(slot);
   if (request.arrival.key != 0)
--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -39,7 +39,7 @@
     Time started_at = 0;  ///< identifies the incarnation; ignored for any other one
     Health health;
     double in_flight = 0;
-    double slow_start_work_ms = 0;  ///< work sent within the last overload window
+    double slow_start_work_ms = 0;  ///< sent in the last overload window while warming up
   };
   /// State that covers all endpoints.
   struct Fleet {
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -10,7 +10,7 @@
 // which also counts.
 constexpr double kUsableBudgetFraction = 0.62;
 // Bounds on a request's work relative to its hint and on the service time ratio of a kind, which
-// limit how much a fast kind reduces the estimated work.
+// limit how far the speed of a kind changes the estimated work.
 constexpr double kMinWorkPerHint = 0.9;
 constexpr double kMinKindRatio = 0.5;
 constexpr double kMaxKindRatio = 4;
