--- a/scheduler/attempt_tracker.cpp
+++ b/scheduler/attempt_tracker.cpp
@@ -1,4 +1,4 @@
-/// Sends, starts and ends of attempts.
+/// Handling of the send, start and end of attempts.
 #include "scheduler/attempt_tracker.h"
 
 #include <algorithm>
@@ -6,11 +6,15 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kSilentRuns =
-    4;  // after so many mean runs without a start a request is not queueing there
-constexpr double kFaultRuns = 2;        // after so many the endpoint looks faulty
-constexpr double kRecheckTimeouts = 4;  // a late start is looked at again after so many timeouts
-constexpr double kRecheckRuns = 0.5;    // or so many mean runs
+// Mean running times after which an unstarted attempt is no longer assumed to be queued at its
+// endpoint.
+constexpr double kMinUnstartedMeanRuns = 4;
+// Mean running times without a start after which the endpoint appears faulty.
+constexpr double kFaultMeanRuns = 2;
+// A late start is checked again after the longer of these multiples of the start timeout and of
+// the mean running time.
+constexpr double kRecheckStartTimeouts = 4;
+constexpr double kRecheckMeanRuns = 0.5;
 
 bool has_never_run(AttemptResult result) {
   return result == AttemptResult::rejected || result == AttemptResult::connect_failed ||
@@ -49,11 +53,11 @@
     slow_start_.spend(slot, work);
   endpoints_.record_send(slot, request.load);
   availability_.refresh(slot);
-  // Of one that is warming up the end of an attempt is update enough.
+  // For an endpoint that is warming up, peers are notified only when attempts end.
   if (!is_warming_up || feedback_.has_sibling())
     feedback_.notify(slot, LoadSignal::sent, 1, work);
   request.attempts.push_back({entry.endpoint, entry.zone, entry.cell, environment_.now});
-  environment_.act(SendAttempt{id, entry.endpoint, 0});
+  environment_.emit_action(SendAttempt{id, entry.endpoint, 0});
   if (!environment_.settings.reports_start)
     return;
   double timeout = statistics_.start_timeout(entry.zone, environment_.settings.tick_ms);
@@ -103,19 +107,20 @@
 void AttemptTracker::release_endpoint(EndpointSlot slot, const Request& request,
                                       const Attempt& attempt, AttemptResult result) {
   endpoints_.record_end(slot, request.load, attempt.has_started());
-  // An endpoint that fails at once looks empty: starting an attempt proves nothing of it, only
-  // serving one does.
+  // An endpoint that fails immediately appears idle, so a started attempt does not prove it
+  // healthy; only a successful one does.
   LoadSignal signal = signal_of(result);
   bool is_served = signal == LoadSignal::served;
   if (signal != LoadSignal::none && !is_served)
     congestion_.record_congested();
-  feedback_.notify(slot, signal, is_served ? learn(slot, request, attempt) : 1);
+  feedback_.notify(slot, signal, is_served ? record_service_time(slot, request, attempt) : 1);
   feedback_.apply(slot, signal);
   availability_.refresh(slot);
   endpoints_.forget_if_gone(slot);
 }
 
-double AttemptTracker::learn(EndpointSlot slot, const Request& request, const Attempt& attempt) {
+double AttemptTracker::record_service_time(EndpointSlot slot, const Request& request,
+                                           const Attempt& attempt) {
   double run = environment_.now - (attempt.has_started() ? attempt.started : attempt.sent);
   double ratio = run / calibration_.calibrated_cost(request) * slow_start_.weight(slot);
   statistics_.record_ratio(slot, endpoints_.at(slot).entry.kind, ratio,
@@ -125,20 +130,21 @@
   return ratio;
 }
 
-// With a key the attempt may be fetching. Where one attempt at a time is allowed it first loses its
-// place, so only after a long silence.
-bool AttemptTracker::may_cancel_silent(const Request& request, double waited) const {
+// An attempt with a key may be fetching data, so it is not cancelled. Where only one attempt at a
+// time is allowed, cancelling loses the place in the endpoint's queue, so the attempt must have
+// been unstarted for a long time.
+bool AttemptTracker::may_cancel_unstarted(const Request& request, double waited) const {
   const Settings& settings = environment_.settings;
   bool may_be_followed = request.attempts.size() + 1 < to_index(settings.max_attempts);
   if (!settings.cancel || request.arrival.key != 0 || !may_be_followed)
     return false;
   if (settings.concurrent_attempts)
     return true;
-  return !congestion_.is_high() && waited > kSilentRuns * statistics_.mean_run();
+  return !congestion_.is_high() && waited > kMinUnstartedMeanRuns * statistics_.mean_run();
 }
 
-// Cancelled it counts as one that may have run; what may follow then is asked now, while it is in
-// flight.
+// Temporarily marks the attempt as one that may have run, as it will count once cancelled, to check
+// whether another attempt could follow it.
 bool AttemptTracker::has_alternative(const Request& request, Attempt& attempt) {
   attempt.delivery = DeliveryState::may_have_run;
   bool found = selector_.select(request).has_value();
@@ -154,12 +160,13 @@
   double waited = environment_.now - attempt->sent;
   if (auto slot = endpoints_.find(attempt->endpoint)) {
     congestion_.record_congested();
-    feedback_.on_late_start(*slot, waited > kFaultRuns * statistics_.mean_run());
+    feedback_.on_late_start(*slot, waited > kFaultMeanRuns * statistics_.mean_run());
   }
   double timeout = statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms);
-  double recheck = std::max(kRecheckTimeouts * timeout, kRecheckRuns * statistics_.mean_run());
+  double recheck =
+      std::max(kRecheckStartTimeouts * timeout, kRecheckMeanRuns * statistics_.mean_run());
   environment_.timers.add(environment_.now + recheck, TimerPurpose::late_start, id, number);
-  if (may_cancel_silent(request, waited) && has_alternative(request, *attempt))
+  if (may_cancel_unstarted(request, waited) && has_alternative(request, *attempt))
     lifecycle_.cancel_attempt(request, number);
 }
 
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -1,4 +1,4 @@
-/// Entries of the endpoint list, subsets and slow-start shares, each applied to the state of its
+/// Applies the entries of endpoint lists, subsets and slow-start shares to the state of each
 /// endpoint.
 #include "scheduler/endpoint_list_tracker.h"
 
@@ -7,11 +7,11 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Polls are spread by the number of dispatchers and by failures, but never wider than this fraction
-// of what `poll_within_ms` requires.
-constexpr double kMostSpread = 0.2;
+// Polls are delayed at random. The range of the delay grows with the number of dispatchers and with
+// failures, up to this fraction of `poll_within_ms`.
+constexpr double kMaxPollSpreadFraction = 0.2;
 constexpr double kSpreadPerDispatcherMs = 40;
-constexpr double kFirstBackoffMs = 200;
+constexpr double kInitialPollBackoffMs = 200;
 
 }  // namespace
 
@@ -62,14 +62,14 @@
 }
 
 EndpointSlot EndpointListTracker::add(const EndpointEntry& entry) {
-  endpoints_.remove(entry.endpoint);  // a former incarnation
+  endpoints_.remove(entry.endpoint);  // removes a previous incarnation
   EndpointSlot slot = endpoints_.add(entry);
   health_.reset(slot);
   peer_load_.reset(slot);
   statistics_.reset(slot, entry.kind);
   slow_start_.reset(slot);
   subset_.reset(slot);
-  // Once it has warmed up it belongs to other subsets.
+  // A warmed-up endpoint belongs to other subsets than one that is warming up.
   if (slow_start_.is_warming_up(slot))
     environment_.timers.add(entry.started_at + environment_.settings.slow_start_ms,
                             TimerPurpose::reindex, entry.endpoint);
@@ -87,7 +87,7 @@
     availability_.refresh(*slot);
   }
   double all = static_cast<double>(event.endpoints.size());
-  subset_.set_extent(own / std::max(1.0, all), event.shares_load);
+  subset_.set_fraction_and_sharing(own / std::max(1.0, all), event.shares_load);
 }
 
 void EndpointListTracker::on_slow_start_shares(const SlowStartShares& event) {
@@ -112,10 +112,10 @@
   const Settings& settings = environment_.settings;
   if (!settings.polls_list)
     return;
-  double most = kMostSpread * settings.poll_within_ms;
+  double most = kMaxPollSpreadFraction * settings.poll_within_ms;
   double spread =
       std::min(most, kSpreadPerDispatcherMs * (settings.dispatchers - 1) + poll_backoff_ms_);
-  poll_backoff_ms_ = std::min(most, 2 * poll_backoff_ms_ + kFirstBackoffMs);
+  poll_backoff_ms_ = std::min(most, 2 * poll_backoff_ms_ + kInitialPollBackoffMs);
   environment_.timers.add(environment_.now + spread * environment_.random(),
                           TimerPurpose::poll_list);
 }
@@ -124,7 +124,7 @@
   if (is_subscribed_ || is_polling_)
     return;
   is_polling_ = true;
-  environment_.act(PollEndpointList{});
+  environment_.emit_action(PollEndpointList{});
 }
 
 }  // namespace keelflow::scheduler
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -1,4 +1,4 @@
-/// The budget of endpoints that are warming up.
+/// Budget computation for endpoints that are warming up.
 #include "scheduler/slow_start.h"
 
 #include <algorithm>
@@ -6,15 +6,17 @@
 namespace keelflow::scheduler {
 namespace {
 
-// The fraction of the budget that is used: hints err, and rejected work counts too.
-constexpr double kBudgetMargin = 0.62;
-// A kind counts as faster than its size by so much at most.
-constexpr double kLeastWorkOfHint = 0.9;
-constexpr double kLeastKindRatio = 0.5;
-constexpr double kMostKindRatio = 4;
-// A dispatcher hardly sees an endpoint full: up to so many times the cores that it saw are
-// believed.
-constexpr double kBelievedCores = 2;
+// The fraction of the budget that is used; the margin covers inaccurate hints and rejected work,
+// which also counts.
+constexpr double kUsableBudgetFraction = 0.62;
+// Bounds on a request's work relative to its hint and on the service time ratio of a kind, which
+// limit how far the speed of a kind changes the estimated work.
+constexpr double kMinWorkPerHint = 0.9;
+constexpr double kMinKindRatio = 0.5;
+constexpr double kMaxKindRatio = 4;
+// One dispatcher rarely fills an endpoint, so the nominal capacity is accepted up to this multiple
+// of the cores it has observed.
+constexpr double kMaxCoresPerObserved = 2;
 
 }  // namespace
 
@@ -34,8 +36,8 @@
 
 double SlowStart::work_of(EndpointSlot slot, double hint, double calibrated_cost) const {
   double ratio = std::clamp(statistics_.kind_service_time_ratio(endpoints_.at(slot).entry.kind),
-                            kLeastKindRatio, kMostKindRatio);
-  return std::max(kLeastWorkOfHint * hint, std::max(hint, calibrated_cost) * ratio);
+                            kMinKindRatio, kMaxKindRatio);
+  return std::max(kMinWorkPerHint * hint, std::max(hint, calibrated_cost) * ratio);
 }
 
 double SlowStart::granted(const State& state) const {
@@ -46,9 +48,9 @@
   const Settings& settings = environment_.settings;
   const State& state = states_[slot];
   const EndpointEntry& entry = endpoints_.at(slot).entry;
-  double seen = statistics_.observed_cores(entry.kind);
-  double cores = std::clamp(entry.nominal_capacity, seen, kBelievedCores * seen);
-  double total = kBudgetMargin * settings.overload_multiple * weight(slot) * cores *
+  double observed = statistics_.observed_cores(entry.kind);
+  double cores = std::clamp(entry.nominal_capacity, observed, kMaxCoresPerObserved * observed);
+  double total = kUsableBudgetFraction * settings.overload_multiple * weight(slot) * cores *
                  settings.overload_window_ms;
   double own =
       total * state.fraction - state.sent.sum(environment_.now - settings.overload_window_ms);
@@ -57,9 +59,9 @@
 
 void SlowStart::spend(EndpointSlot slot, double work_ms) {
   State& state = states_[slot];
-  double of_grant = std::min(work_ms, granted(state));
-  state.granted_ms -= of_grant;
-  record_sent(slot, environment_.now, work_ms - of_grant);
+  double from_grant = std::min(work_ms, granted(state));
+  state.granted_ms -= from_grant;
+  record_sent(slot, environment_.now, work_ms - from_grant);
 }
 
 void SlowStart::record_sent(EndpointSlot slot, Time when, double work_ms) {
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -1,4 +1,4 @@
-/// Plays batches to the instances that they address.
+/// Passes the records of a batch to the instances that they address.
 #include "simulator_adapter/instance_table.h"
 
 #include <optional>
@@ -35,7 +35,7 @@
   }
   void write_failure(std::uint32_t instance, std::string_view reason) {
     address(instance);
-    writer_.give_in(reason);
+    writer_.fail_instance(reason);
   }
   std::string finish() { return writer_.finish(); }
 
@@ -54,8 +54,8 @@
   scheduler::Settings settings = read_settings(spawn.settings);
   try {
     instances_[id] = std::make_unique<Instance>(settings, spawn.seed, now);
-  } catch (const std::invalid_argument& fault) {
-    throw SettingsError(fault.what());
+  } catch (const std::invalid_argument& error) {
+    throw SettingsError(error.what());
   }
 }
 
@@ -69,18 +69,18 @@
                            AddressedReply& reply) {
   auto it = instances_.find(id);
   if (it == instances_.end())
-    return;  // not started: nothing to decide for
+    return;  // the instance is not running
   Actions actions;
   try {
     it->second->handle(now, event, actions);
-  } catch (const std::exception& fault) {
-    return reply.write_failure(id, fault.what());
+  } catch (const std::exception& error) {
+    return reply.write_failure(id, error.what());
   }
   reply.write(id, actions);
 }
 
-std::string InstanceTable::play(const BatchHeader& header, std::string_view body,
-                                std::string& log) {
+std::string InstanceTable::process_batch(const BatchHeader& header, std::string_view body,
+                                         std::string& log) {
   AddressedReply reply;
   for (const AddressedRecord& addressed : read_body(header, body)) {
     std::uint32_t id = addressed.instance;
