--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -30,27 +30,29 @@
 struct EndpointModel {
   EndpointEntry entry;
   double slowness = 1;
-  double fail = 0, reject = 0, hang = 0;  // probabilities for each attempt
+  double fail_probability = 0;
+  double reject_probability = 0;
+  double hang_probability = 0;
   int running = 0;
   int cores = 4;
 };
 
 struct AttemptModel {
   std::size_t endpoint = 0;
-  bool ended = false;
+  bool has_ended = false;
 };
 
 struct Node {
   std::unique_ptr<scheduler::Dispatcher> dispatcher;
-  std::optional<fleet::Subsets> homes;
-  std::optional<fleet::SlowStartLeases> turns;
+  std::optional<fleet::Subsets> subsets;
+  std::optional<fleet::SlowStartLeases> slow_start_leases;
   std::uint64_t timer = 0;  // the latest
   std::map<RequestId, std::vector<AttemptModel>> attempts;
   std::map<RequestId, double> work;
 };
 
 /// Something that is to happen: an event for one Dispatcher, or a change of the world.
-struct Happening {
+struct ScheduledEvent {
   double when = 0;
   std::uint64_t order = 0;
   int node = 0;
@@ -62,30 +64,30 @@
     node_change
   } kind = Kind::event;
   Event event;
-  bool operator>(const Happening& o) const {
-    return when != o.when ? when > o.when : order > o.order;
+  bool operator>(const ScheduledEvent& other) const {
+    return when != other.when ? when > other.when : order > other.order;
   }
 };
 
-class Day {
+class Scenario {
  public:
-  Day(const DayPlan& plan, Recording& recording)
-      : plan_(plan), recording_(recording), draw_(plan.seed) {}
+  Scenario(const ScenarioOptions& options, Recording& recording)
+      : options_(options), recording_(recording), rng_(options.seed) {}
 
-  void play() {
+  void run_to_end() {
     draw_settings();
     draw_endpoints();
     for (int rank = 0; rank < count(); ++rank)
       start_node(rank);
-    for (int rank = 0; rank < plan_.dispatchers; ++rank)
+    for (int rank = 0; rank < options_.dispatchers; ++rank)
       schedule_arrival(rank);
-    schedule(now_ + 500, 0, Happening::Kind::endpoint_change);
-    schedule(now_ + 700, 0, Happening::Kind::node_change);
-    while (!queue_.empty() && queue_.top().when <= kStart + plan_.length_ms) {
-      Happening next = queue_.top();
+    schedule(now_ + 500, 0, ScheduledEvent::Kind::endpoint_change);
+    schedule(now_ + 700, 0, ScheduledEvent::Kind::node_change);
+    while (!queue_.empty() && queue_.top().when <= kStart + options_.length_ms) {
+      ScheduledEvent next = queue_.top();
       queue_.pop();
       now_ = std::max(now_, next.when);
-      happen(next);
+      process(next);
     }
     for (Node& node : nodes_)
       recording_.line("end " + text_of(Event(node.dispatcher->learned_state(now_))));
@@ -93,74 +95,74 @@
 
  private:
   // A sibling is one process more, with the rank of the first.
-  int count() const { return plan_.dispatchers + (plan_.sibling ? 1 : 0); }
-  int rank_of(int node) const { return node < plan_.dispatchers ? node : 0; }
+  int count() const { return options_.dispatchers + (options_.sibling ? 1 : 0); }
+  int rank_of(int node) const { return node < options_.dispatchers ? node : 0; }
 
   void draw_settings() {
-    settings_.dispatchers = plan_.dispatchers;
+    settings_.dispatchers = options_.dispatchers;
     settings_.zones = kZones;
     settings_.kinds = kKinds;
     settings_.tick_ms = 2;
-    settings_.polls_list = plan_.poll_list;
-    settings_.cancel = plan_.cancel;
-    settings_.peers = plan_.peers;
-    settings_.concurrent_attempts = plan_.parallel_attempts;
-    settings_.retry_after = plan_.retry_after;
-    settings_.max_retry_after_ms = plan_.retry_after ? 400 : 0;
-    settings_.max_attempts = plan_.attempts;
-    settings_.reports_start = plan_.start_reports;
+    settings_.polls_list = options_.polls_list;
+    settings_.cancel = options_.cancel;
+    settings_.peers = options_.peers;
+    settings_.concurrent_attempts = options_.parallel_attempts;
+    settings_.retry_after = options_.retry_after;
+    settings_.max_retry_after_ms = options_.retry_after ? 400 : 0;
+    settings_.max_attempts = options_.attempts;
+    settings_.reports_start = options_.start_reports;
     settings_.slow_start_initial_fraction = 0.15;
     settings_.slow_start_ms = 6000;
     settings_.overload_multiple = 3;
     settings_.overload_window_ms = 1500;
     settings_.drain_grace_ms = 500;
-    settings_.over_quota_weight = plan_.tenants ? 0.3 : 1;
-    if (plan_.tenants)
+    settings_.over_quota_weight = options_.tenants ? 0.3 : 1;
+    if (options_.tenants)
       settings_.tenant_quota = {8, 20, 60};
-    settings_.classes.resize(plan_.several_classes ? 4 : 1);
-    for (scheduler::ClassSettings& c : settings_.classes) {
-      c.latency_objective_ms = draw_.between(200, 800);
-      c.objective_runtime_factor = draw_.between(1, 3);
-      c.priority_weight = draw_.between(0.5, 2);
+    settings_.classes.resize(options_.several_classes ? 4 : 1);
+    for (scheduler::ClassSettings& class_settings : settings_.classes) {
+      class_settings.latency_objective_ms = rng_.between(200, 800);
+      class_settings.objective_runtime_factor = rng_.between(1, 3);
+      class_settings.priority_weight = rng_.between(0.5, 2);
     }
-    if (!plan_.several_classes)
+    if (!options_.several_classes)
       return;
     settings_.classes[1].idempotency = scheduler::Idempotency::idempotent_with_key;
     settings_.classes[1].deduplication_scope =
-        static_cast<scheduler::DeduplicationScope>(draw_.below(3));
-    settings_.classes[1].deduplication_window_ms = draw_.between(300, 3000);
+        static_cast<scheduler::DeduplicationScope>(rng_.below(3));
+    settings_.classes[1].deduplication_window_ms = rng_.between(300, 3000);
     settings_.classes[2].idempotency = scheduler::Idempotency::non_idempotent;
     settings_.classes[3].kind = 1;
   }
 
   void draw_endpoints() {
-    for (int i = 0; i < plan_.endpoints; ++i) {
-      EndpointModel e;
-      e.entry = {static_cast<EndpointId>(1000 + 37 * i),
-                 i % kZones,
-                 draw_.chance(0.7) ? 0 : 1,
-                 i / 4,
-                 EndpointState::ready,
-                 1.0 + draw_.below(4),
-                 0};
-      e.slowness = draw_.between(0.7, 1.6);
-      e.cores = static_cast<int>(e.entry.nominal_capacity) + 1;
-      if (plan_.bad_endpoints && draw_.chance(0.25)) {
-        e.fail = draw_.between(0.1, 0.9);
-        e.hang = draw_.between(0, 0.2);
+    for (int i = 0; i < options_.endpoints; ++i) {
+      EndpointModel endpoint;
+      endpoint.entry = {static_cast<EndpointId>(1000 + 37 * i),
+                        i % kZones,
+                        rng_.chance(0.7) ? 0 : 1,
+                        i / 4,
+                        EndpointState::ready,
+                        1.0 + rng_.below(4),
+                        0};
+      endpoint.slowness = rng_.between(0.7, 1.6);
+      endpoint.cores = static_cast<int>(endpoint.entry.nominal_capacity) + 1;
+      if (options_.faulty_endpoints && rng_.chance(0.25)) {
+        endpoint.fail_probability = rng_.between(0.1, 0.9);
+        endpoint.hang_probability = rng_.between(0, 0.2);
       }
-      if (plan_.bad_endpoints && draw_.chance(0.25))
-        e.reject = draw_.between(0.1, 0.6);
-      endpoints_.push_back(e);
+      if (options_.faulty_endpoints && rng_.chance(0.25))
+        endpoint.reject_probability = rng_.between(0.1, 0.6);
+      endpoints_.push_back(endpoint);
     }
   }
 
   scheduler::EndpointList whole_list(scheduler::ListScope scope) const {
     scheduler::EndpointList list;
     list.scope = scope;
-    for (const EndpointModel& e : endpoints_)
-      if (e.entry.state != EndpointState::gone)
-        list.entries.push_back(e.entry);
+    for (const EndpointModel& endpoint : endpoints_)
+      if (endpoint.entry.state != EndpointState::gone)
+        list.entries.push_back(endpoint.entry);
     return list;
   }
 
@@ -171,39 +173,39 @@
       nodes_.emplace_back();
     Node& node = nodes_[static_cast<std::size_t>(index)];
     node.dispatcher = std::make_unique<scheduler::Dispatcher>(
-        own, plan_.seed + static_cast<std::uint64_t>(index));
-    node.homes.emplace(own);
-    node.turns.emplace(own, now_);
-    if (plan_.sibling && rank_of(index) == 0)
-      give(index, scheduler::SiblingProcess{true});
-    give(index,
-         whole_list(plan_.poll_list ? scheduler::ListScope::cached : scheduler::ListScope::full));
+        own, options_.seed + static_cast<std::uint64_t>(index));
+    node.subsets.emplace(own);
+    node.slow_start_leases.emplace(own, now_);
+    if (options_.sibling && rank_of(index) == 0)
+      handle_event(index, scheduler::SiblingProcess{true});
+    handle_event(index, whole_list(options_.polls_list ? scheduler::ListScope::cached
+                                                       : scheduler::ListScope::full));
   }
 
-  void schedule(double when, int node, Happening::Kind kind,
+  void schedule(double when, int node, ScheduledEvent::Kind kind,
                 Event event = scheduler::TimerFired{}) {
     queue_.push({when, ++order_, node, kind, std::move(event)});
   }
 
   void schedule_arrival(int node) {
     double capacity = 0;
-    for (const EndpointModel& e : endpoints_)
-      capacity += e.cores / e.slowness;
-    double gap = kMeanWork * plan_.dispatchers / (capacity * plan_.load);
-    schedule(now_ - gap * std::log(1 - draw_.unit()), node, Happening::Kind::arrival);
+    for (const EndpointModel& endpoint : endpoints_)
+      capacity += endpoint.cores / endpoint.slowness;
+    double gap = kMeanWork * options_.dispatchers / (capacity * options_.load);
+    schedule(now_ - gap * std::log(1 - rng_.unit()), node, ScheduledEvent::Kind::arrival);
   }
 
-  void happen(Happening& next) {
+  void process(ScheduledEvent& next) {
     switch (next.kind) {
-      case Happening::Kind::event:
+      case ScheduledEvent::Kind::event:
         return deliver(next.node, std::move(next.event));
-      case Happening::Kind::arrival:
+      case ScheduledEvent::Kind::arrival:
         return arrive(next.node);
-      case Happening::Kind::attempt_end:
+      case ScheduledEvent::Kind::attempt_end:
         return end_attempt(next.node, std::get<scheduler::AttemptFinished>(next.event));
-      case Happening::Kind::endpoint_change:
+      case ScheduledEvent::Kind::endpoint_change:
         return change_endpoint();
-      case Happening::Kind::node_change:
+      case ScheduledEvent::Kind::node_change:
         return change_nodes();
     }
   }
@@ -211,151 +213,154 @@
   void deliver(int node, Event event) {
     if (const auto* timer = std::get_if<scheduler::TimerFired>(&event)) {
       // Now and then an old timer comes too: it has to be passed over.
-      if (timer->id != nodes_[static_cast<std::size_t>(node)].timer && !draw_.chance(0.1))
+      if (timer->id != nodes_[static_cast<std::size_t>(node)].timer && !rng_.chance(0.1))
         return;
     }
     if (const auto* started = std::get_if<scheduler::AttemptStarted>(&event)) {
       auto& attempts = nodes_[static_cast<std::size_t>(node)].attempts[started->request];
-      auto place = static_cast<std::size_t>(started->attempt);
-      if (place >= attempts.size() || attempts[place].ended)
+      auto position = static_cast<std::size_t>(started->attempt);
+      if (position >= attempts.size() || attempts[position].has_ended)
         return;
     }
-    give(node, std::move(event));
+    handle_event(node, std::move(event));
   }
 
   // One event for one Dispatcher, with what stands beside it, and then what it wants done.
-  void give(int index, Event event) {
+  void handle_event(int index, Event event) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     Actions actions;
     std::string head = text_of(now_) + " " + std::to_string(index) + " ";
     recording_.line(head + text_of(event));
     node.dispatcher->handle(now_, event, actions);
-    std::vector<Event> told;
-    if (auto homes = node.homes->after(event))
-      told.push_back(std::move(*homes));
-    node.turns->after(now_, event, *node.dispatcher, told, actions);
-    for (const Event& one : told) {
+    std::vector<Event> notifications;
+    if (auto subsets = node.subsets->after(event))
+      notifications.push_back(std::move(*subsets));
+    node.slow_start_leases->after(now_, event, *node.dispatcher, notifications, actions);
+    for (const Event& one : notifications) {
       recording_.line(head + "told " + text_of(one));
       node.dispatcher->handle(now_, one, actions);
     }
     for (const scheduler::Action& action : actions) {
       recording_.line(head + "> " + text_of(action));
-      std::visit([&](const auto& a) { carry_out(index, a); }, action);
+      std::visit([&](const auto& typed_action) { carry_out(index, typed_action); }, action);
     }
   }
 
   void arrive(int index) {
     schedule_arrival(index);
     Node& node = nodes_[static_cast<std::size_t>(index)];
-    scheduler::RequestArrived a;
-    a.request = ++last_request_;
-    a.class_index = draw_.below(static_cast<int>(settings_.classes.size()));
-    a.tenant = plan_.tenants ? draw_.below(4) - 1 : 0;
-    a.key = plan_.keys && draw_.chance(0.7)
-                ? 1 + static_cast<std::uint64_t>(40 * draw_.unit() * draw_.unit())
-                : 0;
-    a.client_timeout_ms = draw_.between(100, 3000);
-    double work = kMeanWork * draw_.between(0.1, 1) * (draw_.chance(0.1) ? 5 : 1);
-    a.hint = draw_.chance(0.1) ? 0 : work * draw_.between(0.5, 2);
-    a.slots = draw_.chance(0.1) ? 2 : 1;
-    a.queue_weight = draw_.chance(0.1) ? 0.5 : 1;
-    node.work[a.request] = work;
-    schedule(now_ + a.client_timeout_ms, index, Happening::Kind::event,
-             scheduler::ClientDisconnected{a.request});
-    if (plan_.clients_leave && draw_.chance(0.15))
-      schedule(now_ + draw_.between(0, a.client_timeout_ms), index, Happening::Kind::event,
-               scheduler::ClientDisconnected{a.request, draw_.chance(0.3)});
-    if (draw_.chance(0.05))
-      schedule(now_ + draw_.between(0, 400), index, Happening::Kind::event,
-               scheduler::ResponseStreamStarted{a.request});
-    give(index, a);
+    scheduler::RequestArrived arrival;
+    arrival.request = ++last_request_;
+    arrival.class_index = rng_.below(static_cast<int>(settings_.classes.size()));
+    arrival.tenant = options_.tenants ? rng_.below(4) - 1 : 0;
+    arrival.key = options_.keys && rng_.chance(0.7)
+                      ? 1 + static_cast<std::uint64_t>(40 * rng_.unit() * rng_.unit())
+                      : 0;
+    arrival.client_timeout_ms = rng_.between(100, 3000);
+    double work = kMeanWork * rng_.between(0.1, 1) * (rng_.chance(0.1) ? 5 : 1);
+    arrival.hint = rng_.chance(0.1) ? 0 : work * rng_.between(0.5, 2);
+    arrival.slots = rng_.chance(0.1) ? 2 : 1;
+    arrival.queue_weight = rng_.chance(0.1) ? 0.5 : 1;
+    node.work[arrival.request] = work;
+    schedule(now_ + arrival.client_timeout_ms, index, ScheduledEvent::Kind::event,
+             scheduler::ClientDisconnected{arrival.request});
+    if (options_.clients_disconnect && rng_.chance(0.15))
+      schedule(now_ + rng_.between(0, arrival.client_timeout_ms), index,
+               ScheduledEvent::Kind::event,
+               scheduler::ClientDisconnected{arrival.request, rng_.chance(0.3)});
+    if (rng_.chance(0.05))
+      schedule(now_ + rng_.between(0, 400), index, ScheduledEvent::Kind::event,
+               scheduler::ResponseStreamStarted{arrival.request});
+    handle_event(index, arrival);
   }
 
   void carry_out(int index, const scheduler::SendAttempt& send) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[send.request];
-    auto place = static_cast<std::size_t>((send.endpoint - 1000) / 37);
-    EndpointModel& e = endpoints_[place];
-    attempts.push_back({place, false});
+    auto position = static_cast<std::size_t>((send.endpoint - 1000) / 37);
+    EndpointModel& endpoint = endpoints_[position];
+    attempts.push_back({position, false});
     int attempt = static_cast<int>(attempts.size()) - 1;
     scheduler::AttemptFinished outcome;
     outcome.request = send.request;
     outcome.attempt = attempt;
-    double travel = draw_.between(0.3, 3);
-    double run = node.work[send.request] * e.slowness * draw_.between(0.8, 1.3);
-    double queued = e.running < e.cores ? 0 : run * (1 + e.running - e.cores) / e.cores;
-    ++e.running;
-    bool present = e.entry.state != EndpointState::gone;
-    double ended = now_ + travel;
-    if (!present || draw_.chance(0.01)) {
+    double travel_ms = rng_.between(0.3, 3);
+    double run_ms = node.work[send.request] * endpoint.slowness * rng_.between(0.8, 1.3);
+    double queued_ms = endpoint.running < endpoint.cores
+                           ? 0
+                           : run_ms * (1 + endpoint.running - endpoint.cores) / endpoint.cores;
+    ++endpoint.running;
+    bool is_listed = endpoint.entry.state != EndpointState::gone;
+    double ended_at = now_ + travel_ms;
+    if (!is_listed || rng_.chance(0.01)) {
       outcome.result = scheduler::AttemptResult::connect_failed;
-    } else if (draw_.chance(e.reject)) {
+    } else if (rng_.chance(endpoint.reject_probability)) {
       outcome.result = scheduler::AttemptResult::rejected;
-    } else if (draw_.chance(e.hang)) {
+    } else if (rng_.chance(endpoint.hang_probability)) {
       return;  // nothing is heard of it until it is called off or the client leaves
-    } else if (draw_.chance(e.fail)) {
+    } else if (rng_.chance(endpoint.fail_probability)) {
       outcome.result =
-          draw_.chance(0.5) ? scheduler::AttemptResult::error : scheduler::AttemptResult::reset;
-      ended += draw_.between(0, 30);
+          rng_.chance(0.5) ? scheduler::AttemptResult::error : scheduler::AttemptResult::reset;
+      ended_at += rng_.between(0, 30);
     } else {
-      if (plan_.start_reports)
-        schedule(now_ + travel + queued, index, Happening::Kind::event,
+      if (options_.start_reports)
+        schedule(now_ + travel_ms + queued_ms, index, ScheduledEvent::Kind::event,
                  scheduler::AttemptStarted{send.request, attempt});
       outcome.result =
-          draw_.chance(0.01) ? scheduler::AttemptResult::withheld : scheduler::AttemptResult::ok;
-      ended += queued + run;
+          rng_.chance(0.01) ? scheduler::AttemptResult::withheld : scheduler::AttemptResult::ok;
+      ended_at += queued_ms + run_ms;
     }
-    outcome.elapsed_ms = ended - now_;
-    schedule(ended, index, Happening::Kind::attempt_end, outcome);
+    outcome.elapsed_ms = ended_at - now_;
+    schedule(ended_at, index, ScheduledEvent::Kind::attempt_end, outcome);
   }
 
   void end_attempt(int index, scheduler::AttemptFinished outcome) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[outcome.request];
-    auto place = static_cast<std::size_t>(outcome.attempt);
-    if (place >= attempts.size() || std::exchange(attempts[place].ended, true))
+    auto position = static_cast<std::size_t>(outcome.attempt);
+    if (position >= attempts.size() || std::exchange(attempts[position].has_ended, true))
       return;
-    --endpoints_[attempts[place].endpoint].running;
+    --endpoints_[attempts[position].endpoint].running;
     outcome.request_finished = outcome.result == scheduler::AttemptResult::ok;
-    give(index, outcome);
+    handle_event(index, outcome);
   }
 
-  void carry_out(int index, const scheduler::CancelAttempt& recall) {
+  void carry_out(int index, const scheduler::CancelAttempt& cancel) {
     scheduler::AttemptFinished outcome;
-    outcome.request = recall.request;
-    outcome.attempt = recall.attempt;
+    outcome.request = cancel.request;
+    outcome.attempt = cancel.attempt;
     outcome.result =
-        draw_.chance(0.1) ? scheduler::AttemptResult::timeout : scheduler::AttemptResult::cancelled;
+        rng_.chance(0.1) ? scheduler::AttemptResult::timeout : scheduler::AttemptResult::cancelled;
     outcome.elapsed_ms = 1;
-    schedule(now_ + draw_.between(0.5, 5), index, Happening::Kind::attempt_end, outcome);
+    schedule(now_ + rng_.between(0.5, 5), index, ScheduledEvent::Kind::attempt_end, outcome);
   }
 
   void carry_out(int index, const scheduler::SetTimer& timer) {
     nodes_[static_cast<std::size_t>(index)].timer = timer.id;
-    schedule(std::max(timer.when, now_), index, Happening::Kind::event,
+    schedule(std::max(timer.when, now_), index, ScheduledEvent::Kind::event,
              scheduler::TimerFired{timer.id});
   }
 
-  void carry_out(int index, const scheduler::SendPeerMessage& tell) {
-    bool to_sibling = tell.peer == rank_of(index);
-    int to = tell.peer;
-    if (to_sibling) {
-      if (!plan_.sibling || to != 0)
+  void carry_out(int index, const scheduler::SendPeerMessage& message) {
+    bool is_to_sibling = message.peer == rank_of(index);
+    int to = message.peer;
+    if (is_to_sibling) {
+      if (!options_.sibling || to != 0)
         return;
-      to = index == 0 ? plan_.dispatchers : 0;
-    } else if (tell.peer >= plan_.dispatchers) {
+      to = index == 0 ? options_.dispatchers : 0;
+    } else if (message.peer >= options_.dispatchers) {
       return;
     }
-    if (!to_sibling && draw_.chance(0.1))
+    if (!is_to_sibling && rng_.chance(0.1))
       return;  // lost
-    schedule(now_ + draw_.between(0.2, 4), to, Happening::Kind::event,
-             scheduler::PeerMessage{rank_of(index), tell.bytes});
+    schedule(now_ + rng_.between(0.2, 4), to, ScheduledEvent::Kind::event,
+             scheduler::PeerMessage{rank_of(index), message.bytes});
   }
 
   void carry_out(int index, const scheduler::PollEndpointList&) {
-    bool fails = draw_.chance(0.3);
-    schedule(now_ + draw_.between(1, 200), index, Happening::Kind::event,
-             whole_list(fails ? scheduler::ListScope::failed : scheduler::ListScope::full));
+    bool has_failed = rng_.chance(0.3);
+    schedule(now_ + rng_.between(1, 200), index, ScheduledEvent::Kind::event,
+             whole_list(has_failed ? scheduler::ListScope::failed : scheduler::ListScope::full));
   }
 
   void carry_out(int, const scheduler::RejectRequest&) {}
@@ -363,91 +368,92 @@
   void carry_out(int, const scheduler::SendHealthCheck&) {}
 
   void change_endpoint() {
-    schedule(now_ + draw_.between(300, 1500), 0, Happening::Kind::endpoint_change);
-    EndpointModel& e = endpoints_[static_cast<std::size_t>(draw_.below(plan_.endpoints))];
-    if (e.entry.state == EndpointState::ready) {
-      e.entry.state = draw_.chance(0.5) ? EndpointState::draining : EndpointState::gone;
-      if (plan_.cold_starts && draw_.chance(0.5)) {
-        e.entry.state = EndpointState::ready;
-        e.entry.started_at = now_;
+    schedule(now_ + rng_.between(300, 1500), 0, ScheduledEvent::Kind::endpoint_change);
+    EndpointModel& endpoint = endpoints_[static_cast<std::size_t>(rng_.below(options_.endpoints))];
+    if (endpoint.entry.state == EndpointState::ready) {
+      endpoint.entry.state = rng_.chance(0.5) ? EndpointState::draining : EndpointState::gone;
+      if (options_.endpoint_restarts && rng_.chance(0.5)) {
+        endpoint.entry.state = EndpointState::ready;
+        endpoint.entry.started_at = now_;
       }
     } else {
-      e.entry.state = EndpointState::ready;
-      if (plan_.cold_starts)
-        e.entry.started_at = now_;
+      endpoint.entry.state = EndpointState::ready;
+      if (options_.endpoint_restarts)
+        endpoint.entry.started_at = now_;
     }
     scheduler::EndpointList list;
-    list.scope = draw_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
+    list.scope = rng_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
     if (list.scope == scheduler::ListScope::full)
       list = whole_list(list.scope);
     else
-      list.entries.push_back(e.entry);
+      list.entries.push_back(endpoint.entry);
     for (int node = 0; node < count(); ++node)
-      schedule(now_ + draw_.between(1, 60), node, Happening::Kind::event, list);
+      schedule(now_ + rng_.between(1, 60), node, ScheduledEvent::Kind::event, list);
   }
 
   void change_nodes() {
-    schedule(now_ + draw_.between(400, 2000), 0, Happening::Kind::node_change);
-    int index = draw_.below(count());
-    if (plan_.sends_forbidden) {
-      give(index, scheduler::SendPermission{false});
-      schedule(now_ + draw_.between(20, 600), index, Happening::Kind::event,
+    schedule(now_ + rng_.between(400, 2000), 0, ScheduledEvent::Kind::node_change);
+    int index = rng_.below(count());
+    if (options_.sends_forbidden) {
+      handle_event(index, scheduler::SendPermission{false});
+      schedule(now_ + rng_.between(20, 600), index, ScheduledEvent::Kind::event,
                scheduler::SendPermission{true});
     }
-    if (plan_.members_change) {
+    if (options_.members_change) {
       scheduler::MembershipChanged members;
-      for (int rank = 0; rank < plan_.dispatchers; ++rank)
-        members.is_alive.push_back(!draw_.chance(0.2));
+      for (int rank = 0; rank < options_.dispatchers; ++rank)
+        members.is_alive.push_back(!rng_.chance(0.2));
       for (int node = 0; node < count(); ++node)
-        give(node, members);
+        handle_event(node, members);
     }
-    if (plan_.restarts && draw_.chance(0.3))
+    if (options_.dispatcher_restarts && rng_.chance(0.3))
       restart(index);
-    if (plan_.settings_change && draw_.chance(0.3))
+    if (options_.settings_change && rng_.chance(0.3))
       change_settings();
-    if (draw_.chance(0.2)) {
-      auto& endpoint = endpoints_[static_cast<std::size_t>(draw_.below(plan_.endpoints))];
-      give(index, scheduler::HealthCheckResult{endpoint.entry.endpoint, draw_.chance(0.5), 3, {}});
+    if (rng_.chance(0.2)) {
+      auto& endpoint = endpoints_[static_cast<std::size_t>(rng_.below(options_.endpoints))];
+      handle_event(index,
+                   scheduler::HealthCheckResult{endpoint.entry.endpoint, rng_.chance(0.5), 3, {}});
     }
   }
 
   // What was out at the former process is forgotten; its requests are its own.
   void restart(int index) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
-    scheduler::LearnedState knowledge = node.dispatcher->learned_state(now_);
+    scheduler::LearnedState learned = node.dispatcher->learned_state(now_);
     for (auto& [request, attempts] : node.attempts)
       for (AttemptModel& attempt : attempts)
-        if (!std::exchange(attempt.ended, true))
+        if (!std::exchange(attempt.has_ended, true))
           --endpoints_[attempt.endpoint].running;
     node.attempts.clear();
     recording_.line("restart " + std::to_string(index));
     start_node(index);
-    give(index, knowledge);
+    handle_event(index, learned);
   }
 
   void change_settings() {
-    settings_.max_attempts = 1 + draw_.below(5);
-    settings_.tick_ms = draw_.chance(0.5) ? 2 : 5;
-    settings_.slow_start_ms = draw_.between(3000, 8000);
-    for (scheduler::ClassSettings& c : settings_.classes)
-      c.latency_objective_ms = draw_.between(200, 800);
+    settings_.max_attempts = 1 + rng_.below(5);
+    settings_.tick_ms = rng_.chance(0.5) ? 2 : 5;
+    settings_.slow_start_ms = rng_.between(3000, 8000);
+    for (scheduler::ClassSettings& class_settings : settings_.classes)
+      class_settings.latency_objective_ms = rng_.between(200, 800);
     std::vector<int> from;
     for (std::size_t i = 0; i < settings_.classes.size(); ++i)
-      from.push_back(draw_.chance(0.2) ? -1 : static_cast<int>(i));
+      from.push_back(rng_.chance(0.2) ? -1 : static_cast<int>(i));
     for (int node = 0; node < count(); ++node) {
       scheduler::Settings own = settings_;
       own.rank = rank_of(node);
-      give(node, scheduler::SettingsChanged{own, from});
+      handle_event(node, scheduler::SettingsChanged{own, from});
     }
   }
 
-  const DayPlan& plan_;
+  const ScenarioOptions& options_;
   Recording& recording_;
-  Draw draw_;
+  Rng rng_;
   scheduler::Settings settings_;
   std::vector<EndpointModel> endpoints_;
   std::vector<Node> nodes_;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
   double now_ = kStart;
   std::uint64_t order_ = 0;
   RequestId last_request_ = 0;
@@ -455,8 +461,8 @@
 
 }  // namespace
 
-void play_day(const DayPlan& plan, Recording& recording) {
-  Day(plan, recording).play();
+void run_scenario(const ScenarioOptions& options, Recording& recording) {
+  Scenario(options, recording).run_to_end();
 }
 
 }  // namespace keelflow::replay
--- a/tests/replay/dispatcher_day.h
+++ b/tests/replay/dispatcher_day.h
@@ -8,7 +8,7 @@
 namespace keelflow::replay {
 
 /// What is unusual about a day; each switch brings in events that the plain day lacks.
-struct DayPlan {
+struct ScenarioOptions {
   std::string name;
   std::uint64_t seed = 1;
   int dispatchers = 1;
@@ -16,27 +16,27 @@
   double length_ms = 6000;
   double load = 0.7;  // offered work over what all endpoints can do
   bool parallel_attempts = false;
-  bool poll_list = false;  // the list has to be asked for
+  bool polls_list = false;  // the list has to be asked for
   bool peers = false;
   bool retry_after = false;
   bool start_reports = true;
   bool keys = false;
   bool several_classes = true;
   bool tenants = false;
-  bool cold_starts = false;    // endpoints start again during the day
-  bool bad_endpoints = false;  // some fail, refuse or hang
+  bool endpoint_restarts = false;  // endpoints start again during the day
+  bool faulty_endpoints = false;   // some fail, refuse or hang
   bool settings_change = false;
-  bool restarts =
+  bool dispatcher_restarts =
       false;             // a Dispatcher is replaced by one that is told what the former had learned
   bool sibling = false;  // a second process of the same node
   bool members_change = false;
   bool sends_forbidden = false;  // for a while now and then
-  bool clients_leave = false;
+  bool clients_disconnect = false;
   bool cancel = true;
   int attempts = 4;
 };
 
 /// Plays the day and returns what was recorded.
-void play_day(const DayPlan& plan, Recording& recording);
+void run_scenario(const ScenarioOptions& options, Recording& recording);
 
 }  // namespace keelflow::replay
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -27,22 +27,22 @@
 
 /// Many members on one network that loses, delays and repeats datagrams, while some stop, stall and
 /// come back.
-class MembershipDay {
+class MembershipScenario {
  public:
-  MembershipDay(int members, std::uint64_t seed, Recording& recording)
-      : draw_(seed), recording_(recording) {
+  MembershipScenario(int members, std::uint64_t seed, Recording& recording)
+      : rng_(seed), recording_(recording) {
     nodes_.resize(static_cast<std::size_t>(members));
     for (int i = 0; i < members; ++i)
       start(i);
   }
 
-  void play() {
+  void run_to_end() {
     for (now_ = kStart; now_ < kStart + 12000; now_ += 5) {
       deliver();
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         run(i);
-      if (draw_.chance(0.01))
-        disturb();
+      if (rng_.chance(0.01))
+        inject_fault();
     }
     for (const Node& node : nodes_)
       describe(node);
@@ -68,16 +68,16 @@
   }
 
   void deliver() {
-    while (!on_way_.empty() && on_way_.begin()->first <= now_) {
-      Datagram datagram = on_way_.begin()->second;
-      on_way_.erase(on_way_.begin());
+    while (!in_transit_.empty() && in_transit_.begin()->first <= now_) {
+      Datagram datagram = in_transit_.begin()->second;
+      in_transit_.erase(in_transit_.begin());
       Node& node = nodes_[datagram.to];
       if (!node.membership || now_ < node.stalled_until)
         continue;
       fleet::Membership::Output out;
       bool known = node.membership->on_datagram(now_, datagram.from, datagram.bytes, out);
       recording_.line("heard " + std::to_string(datagram.to) + " " + std::to_string(known));
-      carry(datagram.to, out);
+      record_and_send(datagram.to, out);
     }
   }
 
@@ -87,11 +87,11 @@
       return;
     fleet::Membership::Output out;
     node.membership->tick(now_, out);
-    carry(i, out);
+    record_and_send(i, out);
     recording_.line("next " + std::to_string(i) + " " + replay::text_of(node.membership->next()));
   }
 
-  void carry(std::size_t from, const fleet::Membership::Output& out) {
+  void record_and_send(std::size_t from, const fleet::Membership::Output& out) {
     for (const auto& change : out.changes)
       recording_.line("change " + std::to_string(from) + " " + std::to_string(change.member) + " " +
                       std::to_string(static_cast<int>(change.from)) + " " +
@@ -100,30 +100,30 @@
     for (const auto& message : out.messages) {
       recording_.line("letter " + std::to_string(from) + " " + std::to_string(message.to) + " " +
                       hex_of(message.bytes));
-      int copies = draw_.chance(0.1) ? 0 : draw_.chance(0.05) ? 2 : 1;
+      int copies = rng_.chance(0.1) ? 0 : rng_.chance(0.05) ? 2 : 1;
       for (int copy = 0; copy < copies; ++copy)
-        on_way_.emplace(
-            now_ + draw_.between(1, draw_.chance(0.05) ? 300 : 12),
+        in_transit_.emplace(
+            now_ + rng_.between(1, rng_.chance(0.05) ? 300 : 12),
             Datagram{static_cast<std::size_t>(message.to), static_cast<int>(from), message.bytes});
     }
   }
 
-  void disturb() {
-    int i = draw_.below(static_cast<int>(nodes_.size()));
+  void inject_fault() {
+    int i = rng_.below(static_cast<int>(nodes_.size()));
     Node& node = nodes_[static_cast<std::size_t>(i)];
     if (!node.membership)
       return start(i);
-    switch (draw_.below(3)) {
+    switch (rng_.below(3)) {
       case 0:
         node.membership.reset();
         return;
       case 1:
-        node.stalled_until = now_ + draw_.between(100, 3000);
+        node.stalled_until = now_ + rng_.between(100, 3000);
         return;
       default:
         fleet::Membership::Output out;
         node.membership->leave(now_, out);
-        carry(static_cast<std::size_t>(i), out);
+        record_and_send(static_cast<std::size_t>(i), out);
         node.membership.reset();
     }
   }
@@ -138,33 +138,33 @@
     recording_.line(line);
   }
 
-  Draw draw_;
+  Rng rng_;
   Recording& recording_;
   double now_ = kStart;
   std::vector<Node> nodes_;
-  std::multimap<double, Datagram> on_way_;
+  std::multimap<double, Datagram> in_transit_;
 };
 
 TEST(RecordedLogic, Membership) {
   for (int members : {3, 12, 40}) {
     Recording recording("membership-" + std::to_string(members));
-    MembershipDay(members, static_cast<std::uint64_t>(members), recording).play();
+    MembershipScenario(members, static_cast<std::uint64_t>(members), recording).run_to_end();
     expect_recorded(recording);
   }
 }
 
 TEST(RecordedLogic, Subsets) {
   Recording recording("subsets");
-  Draw draw(31);
+  Rng rng(31);
   for (int i = 0; i < 60; ++i) {
     std::vector<scheduler::EndpointId> endpoints;
-    for (int e = 1 + draw.below(120); e > 0; --e)
-      endpoints.push_back(static_cast<scheduler::EndpointId>(draw.bits()));
+    for (int e = 1 + rng.below(120); e > 0; --e)
+      endpoints.push_back(static_cast<scheduler::EndpointId>(rng.bits()));
     std::vector<int> dispatchers;
-    for (int d = 0, all = 1 + draw.below(60); d < all; ++d)
-      if (draw.chance(0.9))
+    for (int d = 0, all = 1 + rng.below(60); d < all; ++d)
+      if (rng.chance(0.9))
         dispatchers.push_back(d);
-    int each = 1 + draw.below(12);
+    int each = 1 + rng.below(12);
     for (const auto& at : fleet::subsets(endpoints, dispatchers, each)) {
       std::string line = "at";
       for (int d : at)
@@ -176,25 +176,25 @@
 }
 
 /// A Router whose lists, weights and pools change while requests come.
-class RouterDay {
+class RouterScenario {
  public:
-  RouterDay(std::uint64_t seed, Recording& recording)
-      : draw_(seed), recording_(recording), router_(spec(), names(), classes(), {6000, 1500}, 64) {}
+  RouterScenario(std::uint64_t seed, Recording& recording)
+      : rng_(seed), recording_(recording), router_(spec(), names(), classes(), {6000, 1500}, 64) {}
 
-  void play() {
+  void run_to_end() {
     for (int step = 0; step < 3000; ++step) {
-      now_ += draw_.between(0, 20);
+      now_ += rng_.between(0, 20);
       if (auto due = router_.next_due(); due && *due <= now_)
         write(router_.due(now_));
-      switch (draw_.below(20)) {
+      switch (rng_.below(20)) {
         case 0:
           split();
           break;
         case 1:
-          router_.shift(0, 0, 1, draw_.unit());
+          router_.shift(0, 0, 1, rng_.unit());
           break;
         case 2:
-          if (draw_.chance(0.1))
+          if (rng_.chance(0.1))
             replace();
           break;
         default:
@@ -211,12 +211,12 @@
     spec.pools = {{"new", {}, {}, {"host1", "host2"}, {}},
                   {"old", {"east", "west"}, {}, {}, {}},
                   {"slow", {}, {"slow"}, {}, {1, 2}}};
-    if (draw_.chance(0.5))
+    if (rng_.chance(0.5))
       spec.pools.push_back({"spare", {}, {}, {}, {}});
     routes::RouteSpec first{
-        "sales",          {"sale"}, {}, {"/sale"}, {{"new", draw_.unit() + 0.1}, {"old", 1}},
-        draw_.chance(0.5)};
-    routes::RouteSpec last{"all", {}, {}, {}, {{"old", 1}, {"new", draw_.unit()}, {"slow", 0.5}},
+        "sales",         {"sale"}, {}, {"/sale"}, {{"new", rng_.unit() + 0.1}, {"old", 1}},
+        rng_.chance(0.5)};
+    routes::RouteSpec last{"all", {}, {}, {}, {{"old", 1}, {"new", rng_.unit()}, {"slow", 0.5}},
                            false};
     spec.routes = {first, last};
     return spec;
@@ -234,12 +234,12 @@
 
   void split() {
     scheduler::EndpointList list;
-    list.scope = draw_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
+    list.scope = rng_.chance(0.3) ? scheduler::ListScope::full : scheduler::ListScope::delta;
     for (int i = 0; i < 20; ++i)
-      if (draw_.chance(list.scope == scheduler::ListScope::full ? 0.8 : 0.1))
+      if (rng_.chance(list.scope == scheduler::ListScope::full ? 0.8 : 0.1))
         list.entries.push_back({static_cast<scheduler::EndpointId>(i), i % 2, i % 3 == 0, i / 4,
-                                static_cast<scheduler::EndpointState>(draw_.below(3)), 1.0 + i % 3,
-                                draw_.chance(0.3) ? now_ - draw_.between(0, 8000) : 0});
+                                static_cast<scheduler::EndpointState>(rng_.below(3)), 1.0 + i % 3,
+                                rng_.chance(0.3) ? now_ - rng_.between(0, 8000) : 0});
     hosts_.clear();
     for (int i = 0; i < 20; ++i)
       hosts_.push_back("host" + std::to_string(i));
@@ -255,16 +255,16 @@
   }
 
   void choose() {
-    std::string key = draw_.chance(0.5) ? "key" + std::to_string(draw_.below(200)) : "";
-    std::string id = std::to_string(draw_.bits());
+    std::string key = rng_.chance(0.5) ? "key" + std::to_string(rng_.below(200)) : "";
+    std::string id = std::to_string(rng_.bits());
     routes::Query query;
-    query.class_index = draw_.below(3);
-    query.tenant = draw_.below(2);
-    query.path = draw_.chance(0.5) ? "/sale/x" : "/other";
-    query.object = draw_.chance(0.5) ? 1 + static_cast<std::uint64_t>(draw_.below(100)) : 0;
+    query.class_index = rng_.below(3);
+    query.tenant = rng_.below(2);
+    query.path = rng_.chance(0.5) ? "/sale/x" : "/other";
+    query.object = rng_.chance(0.5) ? 1 + static_cast<std::uint64_t>(rng_.below(100)) : 0;
     query.idempotency_key = key;
     query.id = id;
-    query.patience_ms = draw_.between(100, 3000);
+    query.patience_ms = rng_.between(100, 3000);
     routes::Choice choice = router_.choose(query, now_);
     recording_.line("choice " + std::to_string(choice.pool) + " " + std::to_string(choice.route) +
                     " " + std::to_string(choice.spilled) + " " + std::to_string(choice.kept) + " " +
@@ -276,7 +276,7 @@
       recording_.line("pool " + std::to_string(pool) + " " + replay::text_of(list));
   }
 
-  Draw draw_;
+  Rng rng_;
   Recording& recording_;
   double now_ = 100000;
   std::vector<std::string> hosts_;
@@ -286,28 +286,28 @@
 TEST(RecordedLogic, Router) {
   for (std::uint64_t seed : {41, 42, 43}) {
     Recording recording("router-" + std::to_string(seed));
-    RouterDay(seed, recording).play();
+    RouterScenario(seed, recording).run_to_end();
     expect_recorded(recording);
   }
 }
 
 TEST(RecordedLogic, CallScheduleLeaseAndOutage) {
   Recording recording("discovery");
-  Draw draw(51);
+  Rng rng(51);
   for (int fleet = 0; fleet < 40; ++fleet) {
-    discovery::CallPolicy policy{.pushed = draw.chance(0.5), .processes = 1 + draw.below(400)};
+    discovery::CallPolicy policy{.pushed = rng.chance(0.5), .processes = 1 + rng.below(400)};
     discovery::CallSchedule schedule(policy);
     discovery::LeaseTerms terms{.pushed = policy.pushed,
-                                .drain_grace = std::chrono::milliseconds(draw.below(2000)),
-                                .ask_within = std::chrono::milliseconds(draw.below(9000))};
+                                .drain_grace = std::chrono::milliseconds(rng.below(2000)),
+                                .ask_within = std::chrono::milliseconds(rng.below(9000))};
     discovery::ListLease lease(terms);
     discovery::OutagePresumption outage;
     discovery::TimePoint now{std::chrono::seconds(1000)};
     for (int step = 0; step < 400; ++step) {
-      now += std::chrono::microseconds(draw.below(400000));
-      switch (draw.below(14)) {
+      now += std::chrono::microseconds(rng.below(400000));
+      switch (rng.below(14)) {
         case 0:
-          schedule.watch_lost(now, draw.unit());
+          schedule.watch_lost(now, rng.unit());
           break;
         case 1:
           schedule.call_now(now);
@@ -315,13 +315,13 @@
         case 2:
         case 3:
         case 4:
-          schedule.call_began(now, draw.unit());
+          schedule.call_began(now, rng.unit());
           break;
         case 5:
           schedule.watch_established();
           break;
         case 6:
-          lease.current_as_of(now - std::chrono::milliseconds(draw.below(300)));
+          lease.current_as_of(now - std::chrono::milliseconds(rng.below(300)));
           break;
         case 7:
           lease.unreachable_as_of(now);
@@ -333,19 +333,19 @@
           lease.answered_without_list(now);
           break;
         case 10:
-          draw.chance(0.5) ? lease.discovery_moved(now) : lease.revoke();
+          rng.chance(0.5) ? lease.discovery_moved(now) : lease.revoke();
           break;
         case 11:
-          outage.call_rejected(now - std::chrono::milliseconds(draw.below(3000)), now);
+          outage.call_rejected(now - std::chrono::milliseconds(rng.below(3000)), now);
           break;
         case 12:
-          draw.chance(0.3) ? outage.peer_has_watch(now) : outage.peer_has_none(now);
+          rng.chance(0.3) ? outage.peer_has_watch(now) : outage.peer_has_none(now);
           break;
         default:
-          if (draw.chance(0.2))
+          if (rng.chance(0.2))
             outage.end();
       }
-      auto open = static_cast<std::size_t>(draw.below(4));
+      auto open = static_cast<std::size_t>(rng.below(4));
       recording.line(text_of(now) + " next " + text_of(schedule.next_call(open)) + " " +
                      std::to_string(schedule.max_open_calls()) + " lease " +
                      std::to_string(lease.valid(now)) + " " + text_of(lease.until()) + " outage " +
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -62,18 +62,18 @@
 }
 
 TEST(RecordedMessages, LoadUpdatesOfPeers) {
-  Draw draw(61);
-  for (int sign = 0; sign <= 6; ++sign) {
+  Rng rng(61);
+  for (int signal = 0; signal <= 6; ++signal) {
     for (int i = 0; i < 3; ++i) {
-      scheduler::LoadUpdate note;
-      note.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
-      note.incarnation_tag = static_cast<std::uint8_t>(draw.bits());
-      note.in_flight = i == 2 ? 1000 : draw.between(0, 12);
-      note.signal = static_cast<scheduler::LoadSignal>(sign);
-      note.service_time_ratio = draw.between(0.1, 9);
-      note.work_ms = draw.between(0, 20000);
-      expect_message("load-update-" + std::to_string(sign) + std::to_string(i),
-                     hex_of(scheduler::encode(note)));
+      scheduler::LoadUpdate update;
+      update.endpoint = static_cast<scheduler::EndpointId>(rng.bits());
+      update.incarnation_tag = static_cast<std::uint8_t>(rng.bits());
+      update.in_flight = i == 2 ? 1000 : rng.between(0, 12);
+      update.signal = static_cast<scheduler::LoadSignal>(signal);
+      update.service_time_ratio = rng.between(0.1, 9);
+      update.work_ms = rng.between(0, 20000);
+      expect_message("load-update-" + std::to_string(signal) + std::to_string(i),
+                     hex_of(scheduler::encode(update)));
     }
   }
   for (const std::string& bytes : recorded_bytes("load-update-")) {
@@ -90,11 +90,11 @@
 }
 
 TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
-  Draw draw(62);
+  Rng rng(62);
   for (int i = 0; i < 6; ++i) {
     scheduler::EndpointEntry entry;
-    entry.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
-    entry.started_at = i == 0 ? 0 : draw.between(0, 2e12);
+    entry.endpoint = static_cast<scheduler::EndpointId>(rng.bits());
+    entry.started_at = i == 0 ? 0 : rng.between(0, 2e12);
     expect_message("incarnation-" + std::to_string(i),
                    std::to_string(scheduler::incarnation_of(entry)) + " " +
                        std::to_string(scheduler::incarnation_tag(entry)));
@@ -102,21 +102,21 @@
 }
 
 TEST(RecordedMessages, SlowStartGrants) {
-  Draw draw(63);
+  Rng rng(63);
   for (int kind = 0; kind < 3; ++kind) {
     for (int i = 0; i < 3; ++i) {
       auto number = [&] {
-        return static_cast<std::uint32_t>(draw.bits());
+        return static_cast<std::uint32_t>(rng.bits());
       };
-      fleet::SlowStartMessage word{static_cast<fleet::SlowStartMessage::Kind>(kind),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number()};
+      fleet::SlowStartMessage message{static_cast<fleet::SlowStartMessage::Kind>(kind),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number()};
       expect_message("slow-start-" + std::to_string(kind) + std::to_string(i),
-                     hex_of(fleet::encode(word)));
+                     hex_of(fleet::encode(message)));
     }
   }
   for (const std::string& bytes : recorded_bytes("slow-start-")) {
@@ -127,18 +127,18 @@
 }
 
 TEST(RecordedMessages, Membership) {
-  Draw draw(64);
+  Rng rng(64);
   for (int kind = 0; kind < 5; ++kind) {
-    fleet::MembershipMessage word;
-    word.kind = static_cast<fleet::MembershipMessage::Kind>(kind);
-    word.number = static_cast<std::uint16_t>(draw.bits());
-    word.incarnation = static_cast<std::uint32_t>(draw.bits());
-    word.digest = static_cast<std::uint32_t>(draw.bits());
-    word.subject = draw.below(900);
+    fleet::MembershipMessage message;
+    message.kind = static_cast<fleet::MembershipMessage::Kind>(kind);
+    message.number = static_cast<std::uint16_t>(rng.bits());
+    message.incarnation = static_cast<std::uint32_t>(rng.bits());
+    message.digest = static_cast<std::uint32_t>(rng.bits());
+    message.subject = rng.below(900);
     for (int i = 0; i < 7 * kind; ++i)
-      word.updates.push_back({draw.below(900), static_cast<fleet::MemberState>(1 + draw.below(3)),
-                              static_cast<std::uint32_t>(draw.bits()), draw.below(900)});
-    expect_message("membership-" + std::to_string(kind), hex_of(fleet::encode(word)));
+      message.updates.push_back({rng.below(900), static_cast<fleet::MemberState>(1 + rng.below(3)),
+                                 static_cast<std::uint32_t>(rng.bits()), rng.below(900)});
+    expect_message("membership-" + std::to_string(kind), hex_of(fleet::encode(message)));
   }
   for (const std::string& bytes : recorded_bytes("membership-")) {
     auto read = fleet::decode_membership_message(bytes);
@@ -158,7 +158,7 @@
   }
 }
 
-scheduler::LearnedState some_knowledge() {
+scheduler::LearnedState example_learned_state() {
   scheduler::LearnedState k;
   k.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
   k.kinds = {{4, 0.5}, {2, 1.5}};
@@ -168,7 +168,7 @@
   return k;
 }
 
-Names some_names() {
+Names example_names() {
   return {.classes = {"price", "hold"},
           .tenants = {},
           .zones = {"east", "west"},
@@ -176,13 +176,13 @@
 }
 
 TEST(RecordedMessages, LearnedState) {
-  std::string written = to_json(some_knowledge(), some_names()).dump();
+  std::string written = to_json(example_learned_state(), example_names()).dump();
   expect_message("learned-state", written);
   auto it = recorded_messages().find("learned-state");
   ASSERT_NE(it, recorded_messages().end());
-  scheduler::LearnedState read = from_json(nlohmann::json::parse(it->second), some_names());
-  EXPECT_EQ(to_json(read, some_names()).dump(), it->second);
-  EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(some_knowledge())));
+  scheduler::LearnedState read = from_json(nlohmann::json::parse(it->second), example_names());
+  EXPECT_EQ(to_json(read, example_names()).dump(), it->second);
+  EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(example_learned_state())));
 }
 
 /// One side of a hand-over, and a plain socket in the place of the other process.
@@ -204,24 +204,27 @@
         Handover::Callbacks{
             .welcome =
                 [] {
-                  return nlohmann::json{{"out", {"box-3"}},
-                                        {"knowledge", {to_json(some_knowledge(), some_names())}}};
+                  return nlohmann::json{
+                      {"out", {"box-3"}},
+                      {"knowledge", {to_json(example_learned_state(), example_names())}}};
                 },
             .welcomed =
                 [this](const nlohmann::json& message) {
-                  heard_.push_back("welcome " + message.dump());
+                  received_.push_back("welcome " + message.dump());
                 },
             .on_sibling_process = [](bool) {},
-            .successor_ready = [this] { heard_.push_back("ready"); },
+            .successor_ready = [this] { received_.push_back("ready"); },
             .on_admin_override =
                 [this](const std::string& host, bool out) {
-                  heard_.push_back("by-hand " + host + " " + std::to_string(out));
+                  received_.push_back("by-hand " + host + " " + std::to_string(out));
                 },
             .on_load_update =
-                [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
+                [this](const std::string& update) {
+                  received_.push_back("note " + hex_of(update));
+                },
             .on_status_callback =
                 [this](const std::string& body) {
-                  heard_.push_back("news " + body);
+                  received_.push_back("news " + body);
                   return true;
                 }},
         counters_);
@@ -252,7 +255,7 @@
     auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (static_cast<std::size_t>(std::count(unread_.begin(), unread_.end(), '\n')) < count &&
            std::chrono::steady_clock::now() < latest)
-      turn();
+      poll_once();
     std::vector<std::string> all;
     for (std::size_t end; all.size() < count && (end = unread_.find('\n')) != std::string::npos;
          unread_.erase(0, end + 1))
@@ -261,13 +264,13 @@
     all.resize(count);
     return all;
   }
-  void wait_heard(std::size_t count) {
+  void wait_received(std::size_t count) {
     auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (heard_.size() < count && std::chrono::steady_clock::now() < latest)
-      turn();
-    EXPECT_EQ(heard_.size(), count);
+    while (received_.size() < count && std::chrono::steady_clock::now() < latest)
+      poll_once();
+    EXPECT_EQ(received_.size(), count);
   }
-  void turn() {
+  void poll_once() {
     loop_.at(loop_.now() + std::chrono::milliseconds(1), [this] { loop_.stop(); });
     loop_.run();
     char bytes[4096];
@@ -278,7 +281,7 @@
 
   std::string folder_, unread_;
   int peer_ = -1;
-  std::vector<std::string> heard_;
+  std::vector<std::string> received_;
   Counters counters_;
   net::EventLoop loop_;
 };
@@ -300,8 +303,9 @@
   send(
       "{\"say\":\"ready\"}\n{\"host\":\"box-2\",\"out\":true,\"say\":\"by-hand\"}\n{\"note\":"
       "\"00ff\",\"say\":\"note\"}\n{\"body\":\"x\",\"say\":\"news\"}\n");
-  wait_heard(4);
-  EXPECT_EQ(heard_, (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
+  wait_received(4);
+  EXPECT_EQ(received_,
+            (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
 }
 
 TEST_F(RecordedHandover, TheProcessThatTakesOver) {
@@ -320,7 +324,7 @@
   auto welcome = recorded_messages().find("handover-welcome");
   ASSERT_NE(welcome, recorded_messages().end());
   send(welcome->second + "\n");
-  wait_heard(1);
+  wait_received(1);
   handover->listen();
   expect_message("handover-ready", lines(1)[0]);
   ::close(listening);
--- a/tests/replay/recording.cpp
+++ b/tests/replay/recording.cpp
@@ -209,7 +209,7 @@
   return std::visit(ActionText{}, action);
 }
 
-std::uint64_t Draw::bits() {  // splitmix64
+std::uint64_t Rng::bits() {  // splitmix64
   state_ += 0x9e3779b97f4a7c15ULL;
   std::uint64_t x = state_;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -217,13 +217,13 @@
   return x ^ (x >> 31);
 }
 
-double Draw::unit() {
+double Rng::unit() {
   return static_cast<double>(bits() >> 11) * 0x1p-53;
 }
-double Draw::between(double low, double high) {
+double Rng::between(double low, double high) {
   return low + (high - low) * unit();
 }
-int Draw::below(int bound) {
+int Rng::below(int bound) {
   return static_cast<int>(unit() * bound);
 }
 
--- a/tests/replay/recording.h
+++ b/tests/replay/recording.h
@@ -42,9 +42,9 @@
 
 /// A generator of its own, so that the drawn days depend on no library and on no generator of the
 /// code under test.
-class Draw {
+class Rng {
  public:
-  explicit Draw(std::uint64_t seed) : state_(seed) {}
+  explicit Rng(std::uint64_t seed) : state_(seed) {}
   std::uint64_t bits();
   double unit();                            // in [0, 1)
   double between(double low, double high);  // in [low, high)
--- a/tests/scheduler/dispatcher_harness.h
+++ b/tests/scheduler/dispatcher_harness.h
@@ -30,22 +30,22 @@
 }
 
 /// One Dispatcher with the parts of the node that notify it, driven event by event.
-struct Bench {
-  explicit Bench(Settings settings, std::uint64_t seed = 1)
-      : d(settings, seed), subsets(settings), turns(settings, 0) {}
+struct DispatcherHarness {
+  explicit DispatcherHarness(Settings settings, std::uint64_t seed = 1)
+      : dispatcher(settings, seed), subsets(settings), slow_start_leases(settings, 0) {}
 
   template <typename E>
-  Actions& play(E event) {
-    last.clear();
-    Event played(std::move(event));
-    d.handle(now, played, last);
+  Actions& handle(E event) {
+    last_actions.clear();
+    Event input(std::move(event));
+    dispatcher.handle(now, input, last_actions);
     std::vector<Event> notifications;
-    if (auto subset_change = subsets.after(played))
+    if (auto subset_change = subsets.after(input))
       notifications.push_back(std::move(*subset_change));
-    turns.after(now, played, d, notifications, last);
+    slow_start_leases.after(now, input, dispatcher, notifications, last_actions);
     for (const Event& one : notifications)
-      d.handle(now, one, last);
-    for (const auto& action : last) {
+      dispatcher.handle(now, one, last_actions);
+    for (const auto& action : last_actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
         timers.push_back(*timer);
       if (const auto* send = std::get_if<SendAttempt>(&action))
@@ -53,12 +53,12 @@
       if (const auto* cancel = std::get_if<CancelAttempt>(&action))
         cancels.push_back(*cancel);
       if (const auto* message = std::get_if<SendPeerMessage>(&action))
-        tells.push_back(*message);
+        peer_messages.push_back(*message);
       if (std::holds_alternative<RejectRequest>(action) ||
           std::holds_alternative<FailRequest>(action))
         answers.push_back(action);
     }
-    return last;
+    return last_actions;
   }
 
   /// Moves the clock on and fires every timer that is due.
@@ -73,7 +73,7 @@
       SetTimer timer = timers[next];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(next));
       now = std::max(now, timer.when);
-      play(TimerFired{timer.id});
+      handle(TimerFired{timer.id});
     }
     now = to;
   }
@@ -83,7 +83,7 @@
     for (int i = 0; i < n; ++i)
       list.entries.push_back({static_cast<EndpointId>(100 + i), i % zones, i % kinds, i / 4,
                               EndpointState::ready, 1, 0});
-    play(list);
+    handle(list);
   }
 
   void arrive(RequestId id, double hint, int class_index = 0, double ttl = 10000,
@@ -94,7 +94,7 @@
     arrival.hint = hint;
     arrival.client_timeout_ms = ttl;
     arrival.key = key;
-    play(arrival);
+    handle(arrival);
   }
 
   void outcome(RequestId id, int attempt, AttemptResult result, bool request_finished) {
@@ -103,27 +103,28 @@
     event.attempt = attempt;
     event.result = result;
     event.request_finished = request_finished;
-    play(event);
+    handle(event);
   }
 
-  Dispatcher d;
+  Dispatcher dispatcher;
   fleet::Subsets subsets;
-  fleet::SlowStartLeases turns;
+  fleet::SlowStartLeases slow_start_leases;
   Time now = 1000;
-  Actions last;
+  Actions last_actions;
   std::vector<SendAttempt> sends;
   std::vector<CancelAttempt> cancels;
-  std::vector<SendPeerMessage> tells;
+  std::vector<SendPeerMessage> peer_messages;
   std::vector<Action> answers;
   std::vector<SetTimer> timers;
 };
 
 /// Runs one request to its end on whatever endpoint it is sent to.
-inline void serve(Bench& bench, RequestId id, double hint, double run, int class_index = 0) {
-  bench.arrive(id, hint, class_index);
-  bench.play(AttemptStarted{id, 0});
-  bench.advance(bench.now + run);
-  bench.outcome(id, 0, AttemptResult::ok, true);
+inline void serve(DispatcherHarness& harness, RequestId id, double hint, double run,
+                  int class_index = 0) {
+  harness.arrive(id, hint, class_index);
+  harness.handle(AttemptStarted{id, 0});
+  harness.advance(harness.now + run);
+  harness.outcome(id, 0, AttemptResult::ok, true);
 }
 
 }  // namespace keelflow::scheduler
--- a/tests/scheduler/dispatcher_random_events_test.cpp
+++ b/tests/scheduler/dispatcher_random_events_test.cpp
@@ -31,7 +31,7 @@
 };
 
 /// An attempt in flight.
-struct AttemptName {
+struct AttemptId {
   RequestId request;
   int attempt;
 };
@@ -49,12 +49,12 @@
 
   void run() {
     for (int step = 0; step < kSteps; ++step) {
-      now_ += pick(7);
+      now_ += draw_below(7);
       fire_timers();
-      int what = pick(10);
-      if (what < 3 && step < kStepsWithArrivals) {
+      int event_type = draw_below(10);
+      if (event_type < 3 && step < kStepsWithArrivals) {
         arrive();
-      } else if (what == 3) {
+      } else if (event_type == 3) {
         change_list();
       } else {
         advance_an_attempt();
@@ -72,14 +72,14 @@
   }
 
  private:
-  int pick(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+  int draw_below(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
 
   Settings draw_settings(unsigned seed) {
     Settings settings = basic_settings();
     settings.zones = 2;
     settings.kinds = 2;
     settings.concurrent_attempts = seed % 3 != 0;
-    settings.max_attempts = 1 + pick(5);
+    settings.max_attempts = 1 + draw_below(5);
     settings.classes.resize(4, settings.classes[0]);
     settings.classes[1].idempotency = Idempotency::non_idempotent;
     settings.classes[2].idempotency = Idempotency::idempotent_with_key;
@@ -88,7 +88,7 @@
     settings.classes[3].idempotency = Idempotency::idempotent_with_key;
     settings.classes[3].deduplication_scope = DeduplicationScope::cell;
     settings.classes[3].deduplication_window_ms = 400;
-    settings.classes[3].kind = pick(2);
+    settings.classes[3].kind = draw_below(2);
     return settings;
   }
 
@@ -96,7 +96,7 @@
     return settings_.classes[static_cast<std::size_t>(request.class_index)];
   }
 
-  void act(const Event& event) {
+  void handle_event(const Event& event) {
     Actions actions;
     dispatcher_.handle(now_, event, actions);
     for (const auto& action : actions) {
@@ -119,31 +119,31 @@
     ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
     const EndpointEntry& endpoint = endpoints_.at(send.endpoint);
     ASSERT_EQ(endpoint.state, EndpointState::ready);
-    const ClassSettings& of_class = class_of(request);
-    if (of_class.kind >= 0) {
-      ASSERT_EQ(endpoint.kind, of_class.kind);
+    const ClassSettings& class_settings = class_of(request);
+    if (class_settings.kind >= 0) {
+      ASSERT_EQ(endpoint.kind, class_settings.kind);
     }
     for (const CheckedAttempt& earlier : request.attempts) {
       if (earlier.delivery == DeliveryState::not_delivered)
         continue;
-      check_retry(earlier, of_class, endpoint);
+      check_retry(earlier, class_settings, endpoint);
     }
     request.attempts.push_back({send.endpoint, now_});
   }
 
-  void check_retry(const CheckedAttempt& earlier, const ClassSettings& of_class,
+  void check_retry(const CheckedAttempt& earlier, const ClassSettings& class_settings,
                    const EndpointEntry& endpoint) {
     if (!settings_.concurrent_attempts) {
       ASSERT_NE(earlier.delivery, DeliveryState::in_flight);
     }
-    ASSERT_NE(of_class.idempotency, Idempotency::non_idempotent);
-    if (of_class.idempotency != Idempotency::idempotent_with_key)
+    ASSERT_NE(class_settings.idempotency, Idempotency::non_idempotent);
+    if (class_settings.idempotency != Idempotency::idempotent_with_key)
       return;
     const EndpointEntry& before = endpoints_.at(earlier.endpoint);
-    ASSERT_TRUE(of_class.deduplication_scope == DeduplicationScope::zone
+    ASSERT_TRUE(class_settings.deduplication_scope == DeduplicationScope::zone
                     ? before.zone == endpoint.zone
                     : before.cell == endpoint.cell);
-    ASSERT_LE(now_, earlier.sent + of_class.deduplication_window_ms);
+    ASSERT_LE(now_, earlier.sent + class_settings.deduplication_window_ms);
   }
 
   void check_answer(CheckedRequest& request) {
@@ -170,30 +170,30 @@
       }
       SetTimer timer = timers_[i];
       timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(i));
-      act(TimerFired{timer.id});
+      handle_event(TimerFired{timer.id});
     }
   }
 
   void arrive() {
     RequestArrived arrival;
     arrival.request = ++last_request_;
-    arrival.class_index = pick(4);
-    arrival.hint = pick(3) ? 20 + pick(500) : 0;
-    arrival.client_timeout_ms = 20 + pick(1500);
-    arrival.slots = 1 + pick(2);
-    arrival.key = static_cast<std::uint64_t>(pick(5));
+    arrival.class_index = draw_below(4);
+    arrival.hint = draw_below(3) ? 20 + draw_below(500) : 0;
+    arrival.client_timeout_ms = 20 + draw_below(1500);
+    arrival.slots = 1 + draw_below(2);
+    arrival.key = static_cast<std::uint64_t>(draw_below(5));
     CheckedRequest& request = requests_[arrival.request];
     request.deadline = now_ + arrival.client_timeout_ms;
     request.class_index = arrival.class_index;
-    act(arrival);
+    handle_event(arrival);
   }
 
   void change_list() {
     EndpointList list;
-    list.scope = pick(4) ? ListScope::delta : ListScope::full;
+    list.scope = draw_below(4) ? ListScope::delta : ListScope::full;
     const bool is_full = list.scope == ListScope::full;
     for (EndpointId id = 0; id < kEndpoints; ++id) {
-      bool is_named = is_full ? pick(8) != 0 : pick(8) == 0;
+      bool is_named = is_full ? draw_below(8) != 0 : draw_below(8) == 0;
       if (is_named) {
         endpoints_[id] = draw_entry(id, is_full);
         list.entries.push_back(endpoints_[id]);
@@ -201,7 +201,7 @@
         endpoints_[id].state = EndpointState::gone;
       }
     }
-    act(list);
+    handle_event(list);
   }
 
   EndpointEntry draw_entry(EndpointId id, bool is_full_list) {
@@ -210,32 +210,32 @@
     entry.zone = static_cast<int>(id % 2);
     entry.kind = static_cast<int>(id / 2 % 2);
     entry.cell = static_cast<int>(id / 4);
-    entry.state = static_cast<EndpointState>(is_full_list ? 1 + (pick(6) == 0) : pick(3));
-    entry.started_at = pick(5) ? 0 : now_ - pick(3000);
+    entry.state =
+        static_cast<EndpointState>(is_full_list ? 1 + (draw_below(6) == 0) : draw_below(3));
+    entry.started_at = draw_below(5) ? 0 : now_ - draw_below(3000);
     return entry;
   }
 
   void advance_an_attempt() {
-    std::vector<AttemptName> in_flight;
+    std::vector<AttemptId> in_flight;
     for (const auto& [id, request] : requests_)
       for (std::size_t i = 0; i < request.attempts.size(); ++i)
         if (request.attempts[i].delivery == DeliveryState::in_flight)
           in_flight.push_back({id, static_cast<int>(i)});
     if (in_flight.empty())
       return;
-    AttemptName name =
-        in_flight[static_cast<std::size_t>(pick(static_cast<int>(in_flight.size())))];
-    CheckedAttempt& attempt =
-        requests_[name.request].attempts[static_cast<std::size_t>(name.attempt)];
-    if (!attempt.has_started && pick(3) == 0) {
+    AttemptId id =
+        in_flight[static_cast<std::size_t>(draw_below(static_cast<int>(in_flight.size())))];
+    CheckedAttempt& attempt = requests_[id.request].attempts[static_cast<std::size_t>(id.attempt)];
+    if (!attempt.has_started && draw_below(3) == 0) {
       attempt.has_started = true;
-      act(AttemptStarted{name.request, name.attempt});
+      handle_event(AttemptStarted{id.request, id.attempt});
       return;
     }
-    end(name);
+    finish_attempt(id);
   }
 
-  void end(AttemptName name) {
+  void finish_attempt(AttemptId id) {
     constexpr AttemptResult kResults[] = {AttemptResult::ok,
                                           AttemptResult::ok,
                                           AttemptResult::error,
@@ -245,17 +245,17 @@
                                           AttemptResult::withheld,
                                           AttemptResult::cancelled,
                                           AttemptResult::rejected};
-    CheckedRequest& request = requests_[name.request];
+    CheckedRequest& request = requests_[id.request];
     AttemptFinished event;
-    event.request = name.request;
-    event.attempt = name.attempt;
-    event.result = now_ >= request.deadline ? AttemptResult::timeout : kResults[pick(9)];
-    request.attempts[static_cast<std::size_t>(name.attempt)].delivery =
+    event.request = id.request;
+    event.attempt = id.attempt;
+    event.result = now_ >= request.deadline ? AttemptResult::timeout : kResults[draw_below(9)];
+    request.attempts[static_cast<std::size_t>(id.attempt)].delivery =
         is_harmless(event.result) ? DeliveryState::not_delivered : DeliveryState::may_have_run;
     if (event.result == AttemptResult::ok)
       request.has_ended = true;
     event.request_finished = request.has_ended;
-    act(event);
+    handle_event(event);
   }
 
   std::mt19937 random_;
--- a/tests/scheduler/dispatcher_rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -15,57 +15,57 @@
 }
 
 TEST(AnsweredByDeadline, ARequestWithoutAnyEndpointIsAnsweredByItsDeadline) {
-  Bench bench(basic_settings());
-  bench.arrive(1, 100, 0, 700);
-  bench.advance(1000 + 700);
-  ASSERT_EQ(bench.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<RejectRequest>(bench.answers[0]));
+  DispatcherHarness harness(basic_settings());
+  harness.arrive(1, 100, 0, 700);
+  harness.advance(1000 + 700);
+  ASSERT_EQ(harness.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<RejectRequest>(harness.answers[0]));
 }
 
 TEST(AnsweredByDeadline, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
-  Bench bench(with_idempotency(Idempotency::non_idempotent));
-  bench.endpoints(2);
-  bench.arrive(1, 100, 0, 700);
-  bench.now += 700;
-  bench.outcome(1, 0, AttemptResult::timeout, false);
-  ASSERT_EQ(bench.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
+  DispatcherHarness harness(with_idempotency(Idempotency::non_idempotent));
+  harness.endpoints(2);
+  harness.arrive(1, 100, 0, 700);
+  harness.now += 700;
+  harness.outcome(1, 0, AttemptResult::timeout, false);
+  ASSERT_EQ(harness.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
 }
 
 TEST(AnsweredByDeadline, LateStaleAndUnknownEventsAreHarmless) {
   Settings settings = basic_settings();
   settings.zones = 2;
-  Bench bench(settings);
-  bench.endpoints(2);
-  bench.arrive(1, 100, 0, 700);
-  bench.play(ClientDisconnected{1});
-  bench.outcome(1, 0, AttemptResult::ok, true);
-  bench.outcome(1, 0, AttemptResult::ok, true);
-  bench.outcome(99, 0, AttemptResult::error, false);
-  bench.outcome(1, 7, AttemptResult::error, false);
-  bench.play(AttemptStarted{99, 3});
-  bench.play(TimerFired{12345});
-  bench.play(ResponseStreamStarted{99});
-  bench.play(ClientDisconnected{99});
-  bench.play(HealthCheckResult{});
-  bench.play(PeerMessage{});
-  bench.play(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
-  EXPECT_TRUE(bench.answers.empty());
-  bench.arrive(2, 100, 55);  // a class that does not exist
-  ASSERT_EQ(bench.answers.size(), 1u);
-  bench.advance(bench.now + 5000);
-  EXPECT_EQ(bench.answers.size(), 1u);
+  DispatcherHarness harness(settings);
+  harness.endpoints(2);
+  harness.arrive(1, 100, 0, 700);
+  harness.handle(ClientDisconnected{1});
+  harness.outcome(1, 0, AttemptResult::ok, true);
+  harness.outcome(1, 0, AttemptResult::ok, true);
+  harness.outcome(99, 0, AttemptResult::error, false);
+  harness.outcome(1, 7, AttemptResult::error, false);
+  harness.handle(AttemptStarted{99, 3});
+  harness.handle(TimerFired{12345});
+  harness.handle(ResponseStreamStarted{99});
+  harness.handle(ClientDisconnected{99});
+  harness.handle(HealthCheckResult{});
+  harness.handle(PeerMessage{});
+  harness.handle(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
+  EXPECT_TRUE(harness.answers.empty());
+  harness.arrive(2, 100, 55);  // a class that does not exist
+  ASSERT_EQ(harness.answers.size(), 1u);
+  harness.advance(harness.now + 5000);
+  EXPECT_EQ(harness.answers.size(), 1u);
 }
 
 TEST(RetrySafety, ANonIdempotentRequestThatMayHaveRunIsNotSentAgainAndFails) {
   for (AttemptResult result : {AttemptResult::error, AttemptResult::reset}) {
-    Bench bench(with_idempotency(Idempotency::non_idempotent));
-    bench.endpoints(4);
-    bench.arrive(1, 100);
-    bench.outcome(1, 0, result, false);
-    EXPECT_EQ(bench.sends.size(), 1u);
-    ASSERT_EQ(bench.answers.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
+    DispatcherHarness harness(with_idempotency(Idempotency::non_idempotent));
+    harness.endpoints(4);
+    harness.arrive(1, 100);
+    harness.outcome(1, 0, result, false);
+    EXPECT_EQ(harness.sends.size(), 1u);
+    ASSERT_EQ(harness.answers.size(), 1u);
+    EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
   }
 }
 
@@ -73,46 +73,47 @@
   for (DeduplicationScope scope : {DeduplicationScope::zone, DeduplicationScope::cell}) {
     Settings settings = with_idempotency(Idempotency::idempotent_with_key, scope);
     settings.zones = 2;
-    Bench bench(settings);
+    DispatcherHarness harness(settings);
     EndpointList list;
     for (EndpointId id = 0; id < 16; ++id)
       list.entries.push_back(
           {id, static_cast<int>(id % 2), 0, static_cast<int>(id % 4), EndpointState::ready, 1, 0});
-    bench.play(list);
-    bench.arrive(1, 100);
-    EndpointId first = bench.sends.at(0).endpoint;
-    bench.outcome(1, 0, AttemptResult::reset, false);
-    bench.advance(bench.now + 1000);
-    ASSERT_EQ(bench.sends.size(), 2u);
+    harness.handle(list);
+    harness.arrive(1, 100);
+    EndpointId first = harness.sends.at(0).endpoint;
+    harness.outcome(1, 0, AttemptResult::reset, false);
+    harness.advance(harness.now + 1000);
+    ASSERT_EQ(harness.sends.size(), 2u);
     unsigned groups = scope == DeduplicationScope::zone ? 2 : 4;
-    EXPECT_EQ(bench.sends[1].endpoint % groups, first % groups);
+    EXPECT_EQ(harness.sends[1].endpoint % groups, first % groups);
   }
 }
 
 TEST(RetrySafety, ARequestWithAKeyIsNotRepeatedAfterItsDeduplicationWindow) {
-  Bench bench(with_idempotency(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
-  bench.endpoints(4);
-  bench.arrive(1, 100);
-  bench.now += 300;
-  bench.outcome(1, 0, AttemptResult::reset, false);
-  EXPECT_EQ(bench.sends.size(), 1u);
-  ASSERT_EQ(bench.answers.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<FailRequest>(bench.answers[0]));
+  DispatcherHarness harness(
+      with_idempotency(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
+  harness.endpoints(4);
+  harness.arrive(1, 100);
+  harness.now += 300;
+  harness.outcome(1, 0, AttemptResult::reset, false);
+  EXPECT_EQ(harness.sends.size(), 1u);
+  ASSERT_EQ(harness.answers.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
 }
 
 TEST(EndpointListObeyed, NothingGoesToAnEndpointThatDrainsOrIsMissingFromAFullList) {
-  Bench bench(basic_settings());
-  bench.endpoints(2);
-  bench.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
+  DispatcherHarness harness(basic_settings());
+  harness.endpoints(2);
+  harness.handle(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
   for (RequestId id = 1; id < 20; ++id)
-    bench.arrive(id, 100);
-  bench.play(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
-  std::size_t before = bench.sends.size();
-  for (const auto& send : bench.sends)
+    harness.arrive(id, 100);
+  harness.handle(EndpointList{ListScope::full, {{102, 0, 0, 0, EndpointState::ready, 1, 0}}});
+  std::size_t before = harness.sends.size();
+  for (const auto& send : harness.sends)
     EXPECT_NE(send.endpoint, 100u);
-  bench.advance(bench.now + 2000);
-  for (std::size_t i = before; i < bench.sends.size(); ++i)
-    EXPECT_EQ(bench.sends[i].endpoint, 102u);
+  harness.advance(harness.now + 2000);
+  for (std::size_t i = before; i < harness.sends.size(); ++i)
+    EXPECT_EQ(harness.sends[i].endpoint, 102u);
 }
 
 TEST(EndpointListObeyed, ThePolledListIsPolledAgainOftenEnoughAfterFailures) {
@@ -120,22 +121,22 @@
   settings.polls_list = true;
   settings.dispatchers = 40;
   settings.rank = 3;
-  Bench bench(settings);
+  DispatcherHarness harness(settings);
   std::vector<Time> polled;
   auto collect = [&] {
-    for (const auto& action : bench.last)
+    for (const auto& action : harness.last_actions)
       if (std::holds_alternative<PollEndpointList>(action))
-        polled.push_back(bench.now);
+        polled.push_back(harness.now);
   };
-  bench.play(EndpointList{ListScope::cached, {}});
+  harness.handle(EndpointList{ListScope::cached, {}});
   for (int i = 0; i < 60000; ++i) {
     std::size_t had = polled.size();
     collect();
     if (polled.size() > had) {
-      bench.now += 50;
-      bench.play(EndpointList{ListScope::failed, {}});
+      harness.now += 50;
+      harness.handle(EndpointList{ListScope::failed, {}});
     } else {
-      bench.advance(bench.now + 1);
+      harness.advance(harness.now + 1);
     }
   }
   ASSERT_GE(polled.size(), 10u);
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -13,20 +13,20 @@
   Settings settings = basic_settings();
   settings.dispatchers = 100;
   settings.rank = 3;
-  Bench bench(settings);
-  bench.endpoints(20);
+  DispatcherHarness harness(settings);
+  harness.endpoints(20);
   SubsetChanged subsets;
   for (EndpointId endpoint = 100; endpoint < 120; ++endpoint)
     subsets.endpoints.push_back({endpoint, endpoint == 107, {}});
-  bench.play(subsets);
-  bench.arrive(1, 10);
-  ASSERT_EQ(bench.sends.size(), 1u);
-  EXPECT_EQ(bench.sends[0].endpoint, 107u);
+  harness.handle(subsets);
+  harness.arrive(1, 10);
+  ASSERT_EQ(harness.sends.size(), 1u);
+  EXPECT_EQ(harness.sends[0].endpoint, 107u);
   int own_while_warming_up = 0;
   for (int rank = 0; rank < 100;
        ++rank) {  // the first few of its own order alone, whatever it is notified of
     settings.rank = rank;
-    Bench one(settings);
+    DispatcherHarness one(settings);
     EndpointList list;
     list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
     SubsetChanged none{{{7, true, {}}}};
@@ -34,8 +34,8 @@
       list.entries.push_back({endpoint, 0, 0, 0, EndpointState::ready, 1, 0});
       none.endpoints.push_back({endpoint, false, {}});
     }
-    one.play(list);
-    one.play(none);
+    one.handle(list);
+    one.handle(none);
     one.arrive(1, 4);
     own_while_warming_up += !one.sends.empty() && one.sends[0].endpoint == 7;
   }
@@ -43,27 +43,27 @@
 }
 
 TEST(EndpointSelection, FewestOwnSlotsAmongEndpointsWithCapacity) {
-  Bench bench(basic_settings());
-  bench.endpoints(4);
+  DispatcherHarness harness(basic_settings());
+  harness.endpoints(4);
   for (RequestId id = 1; id <= 4; ++id)
-    bench.arrive(id, 100);
+    harness.arrive(id, 100);
   std::set<EndpointId> used;
-  for (const auto& send : bench.sends)
+  for (const auto& send : harness.sends)
     used.insert(send.endpoint);
   EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
 }
 
 TEST(EndpointSelection, AnEndpointThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
-  Bench bench(basic_settings());
-  bench.endpoints(2);
+  DispatcherHarness harness(basic_settings());
+  harness.endpoints(2);
   int sent_to_slow = 0;
   int all = 0;
   for (RequestId id = 1; id <= 200; ++id) {
-    bench.arrive(id, 100);
-    EndpointId endpoint = bench.sends.back().endpoint;
-    bench.play(AttemptStarted{id, 0});
-    bench.advance(bench.now + (endpoint == 100 ? 600 : 100));
-    bench.outcome(id, 0, AttemptResult::ok, true);
+    harness.arrive(id, 100);
+    EndpointId endpoint = harness.sends.back().endpoint;
+    harness.handle(AttemptStarted{id, 0});
+    harness.advance(harness.now + (endpoint == 100 ? 600 : 100));
+    harness.outcome(id, 0, AttemptResult::ok, true);
     if (id > 50) {
       ++all;
       sent_to_slow += endpoint == 100;
@@ -77,29 +77,29 @@
   settings.kinds = 2;
   settings.classes.resize(2, settings.classes[0]);
   settings.classes[1].kind = 1;
-  Bench bench(settings);
-  bench.endpoints(2, 1, 2);
-  bench.arrive(1, 100, 1);
-  ASSERT_EQ(bench.sends.size(), 1u);
-  EXPECT_EQ(bench.sends[0].endpoint, 101u);
-  bench.play(EndpointList{
+  DispatcherHarness harness(settings);
+  harness.endpoints(2, 1, 2);
+  harness.arrive(1, 100, 1);
+  ASSERT_EQ(harness.sends.size(), 1u);
+  EXPECT_EQ(harness.sends[0].endpoint, 101u);
+  harness.handle(EndpointList{
       ListScope::delta,
       {{100, 0, 0, 0, EndpointState::gone, 1, 0}, {101, 0, 1, 0, EndpointState::gone, 1, 0}}});
-  bench.arrive(2, 100, 1);
-  bench.play(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, 0}}});
-  EXPECT_EQ(bench.sends.size(), 1u);  // the wrong kind never gets it
+  harness.arrive(2, 100, 1);
+  harness.handle(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, 0}}});
+  EXPECT_EQ(harness.sends.size(), 1u);  // the wrong kind never gets it
 }
 
 TEST(Keys, ARequestThatStartsLateStaysUnlessItHasNoKey) {
   for (std::uint64_t key : {0, 7}) {
-    Bench bench(basic_settings());
-    bench.endpoints(8);
-    bench.arrive(1, 100, 0, 10000, key);
-    ASSERT_EQ(bench.sends.size(), 1u);
+    DispatcherHarness harness(basic_settings());
+    harness.endpoints(8);
+    harness.arrive(1, 100, 0, 10000, key);
+    ASSERT_EQ(harness.sends.size(), 1u);
     bool cancelled = false;
     for (int i = 0; i < 300; ++i) {
-      bench.advance(bench.now + 1);
-      for (const auto& action : bench.last)
+      harness.advance(harness.now + 1);
+      for (const auto& action : harness.last_actions)
         cancelled = cancelled || std::holds_alternative<CancelAttempt>(action);
     }
     EXPECT_EQ(cancelled, key == 0);
@@ -112,16 +112,16 @@
   std::map<std::uint64_t, std::set<EndpointId>> used;
   for (int rank = 0; rank < 2; ++rank) {
     settings.rank = rank;
-    Bench bench(settings, 77 + static_cast<std::uint64_t>(rank));
-    bench.endpoints(20);
+    DispatcherHarness harness(settings, 77 + static_cast<std::uint64_t>(rank));
+    harness.endpoints(20);
     RequestId id = 0;
     for (int round = 0; round < 3; ++round)
       for (std::uint64_t key = 1; key <= 60; ++key) {
-        bench.arrive(++id, 100, 0, 10000, key);
-        bench.play(AttemptStarted{id, 0});
-        bench.advance(bench.now + 20);
-        bench.outcome(id, 0, AttemptResult::ok, true);
-        used[key].insert(bench.sends.back().endpoint);
+        harness.arrive(++id, 100, 0, 10000, key);
+        harness.handle(AttemptStarted{id, 0});
+        harness.advance(harness.now + 20);
+        harness.outcome(id, 0, AttemptResult::ok, true);
+        used[key].insert(harness.sends.back().endpoint);
       }
   }
   std::size_t pairs = 0;
@@ -134,23 +134,23 @@
   Settings settings = basic_settings();
   settings.dispatchers = 100;
   std::map<EndpointId, int> fleet;
-  int at_large = 0;  // those to whom the hash gave no subset
+  int without_subset = 0;  // those to whom the hash gave no subset
   for (settings.rank = 0; settings.rank < 100; ++settings.rank) {
-    Bench bench(settings, 11 + static_cast<std::uint64_t>(settings.rank));
-    bench.endpoints(100);
+    DispatcherHarness harness(settings, 11 + static_cast<std::uint64_t>(settings.rank));
+    harness.endpoints(100);
     std::set<EndpointId> mine;
     for (RequestId id = 1; id <= 40; ++id) {
-      bench.arrive(id, 100);
-      bench.play(AttemptStarted{id, 0});
-      bench.advance(bench.now + 20);
-      bench.outcome(id, 0, AttemptResult::ok, true);
-      mine.insert(bench.sends.back().endpoint);
+      harness.arrive(id, 100);
+      harness.handle(AttemptStarted{id, 0});
+      harness.advance(harness.now + 20);
+      harness.outcome(id, 0, AttemptResult::ok, true);
+      mine.insert(harness.sends.back().endpoint);
     }
-    at_large += mine.size() > 15;
+    without_subset += mine.size() > 15;
     for (EndpointId endpoint : mine)
       ++fleet[endpoint];
   }
-  EXPECT_LE(at_large, 3);
+  EXPECT_LE(without_subset, 3);
   EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
 }
 
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -17,50 +17,51 @@
   settings.classes[0].objective_runtime_factor = 10;  // in time even there
   int tried = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    Bench bench(settings, seed);
-    bench.now = 5000;
-    bench.endpoints(4);
-    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, bench.now - 1000};
-    bench.play(EndpointList{ListScope::delta, {back}});
+    DispatcherHarness harness(settings, seed);
+    harness.now = 5000;
+    harness.endpoints(4);
+    EndpointEntry back{103, 0, 0, 0, EndpointState::draining, 1, harness.now - 1000};
+    harness.handle(EndpointList{ListScope::delta, {back}});
     back.state = EndpointState::ready;
-    bench.play(EndpointList{ListScope::delta, {back}});
-    bench.arrive(1, 20);
-    ASSERT_EQ(bench.sends.size(), 1u);
-    tried += bench.sends[0].endpoint == 103;
+    harness.handle(EndpointList{ListScope::delta, {back}});
+    harness.arrive(1, 20);
+    ASSERT_EQ(harness.sends.size(), 1u);
+    tried += harness.sends[0].endpoint == 103;
   }
   EXPECT_GT(tried, 100);
 }
 
 // All dispatchers together, each with a flood of work and an endpoint warming up among others.
-double most_sent_to_warming_up(int dispatchers, double hint, bool whole_fleet_warming_up) {
+double max_fraction_of_warming_up_endpoints(int dispatchers, double hint,
+                                            bool whole_fleet_warming_up) {
   Settings settings = basic_settings();
   settings.dispatchers = dispatchers;
-  Sends sent;
+  SentWorkByEndpoint sent;
   int endpoints_warming_up = whole_fleet_warming_up ? 8 : 1;
   const Time started_at = 5000;
   for (int rank = 0; rank < dispatchers; ++rank) {
     settings.rank = rank;
-    Bench bench(settings, static_cast<std::uint64_t>(rank) * 7 + 3);
-    bench.now = started_at;
+    DispatcherHarness harness(settings, static_cast<std::uint64_t>(rank) * 7 + 3);
+    harness.now = started_at;
     EndpointList list;
     for (int i = 0; i < 8; ++i)
       list.entries.push_back({static_cast<EndpointId>(i), 0, 0, 0, EndpointState::ready, 1,
                               i < endpoints_warming_up ? started_at : 0});
-    bench.play(list);
+    harness.handle(list);
     RequestId id = 0;
     for (Time now = started_at; now < started_at + settings.slow_start_ms; now += 50) {
-      bench.advance(now);
-      bench.sends.clear();
-      bench.arrive(++id, hint);
-      for (const auto& send : std::vector<SendAttempt>(bench.sends)) {
+      harness.advance(now);
+      harness.sends.clear();
+      harness.arrive(++id, hint);
+      for (const auto& send : std::vector<SendAttempt>(harness.sends)) {
         if (send.endpoint < static_cast<EndpointId>(endpoints_warming_up))
-          sent[send.endpoint].push_back({bench.now, hint});
-        bench.play(AttemptStarted{send.request, 0});
-        bench.outcome(send.request, 0, AttemptResult::ok, true);
+          sent[send.endpoint].push_back({harness.now, hint});
+        harness.handle(AttemptStarted{send.request, 0});
+        harness.outcome(send.request, 0, AttemptResult::ok, true);
       }
     }
   }
-  return fullest_window(settings, sent, [&](Time when) {
+  return max_window_fraction(settings, sent, [&](Time when) {
     return settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
                                                       (when - started_at) / settings.slow_start_ms;
   });
@@ -70,39 +71,40 @@
   for (int dispatchers : {1, 3, 20})
     for (double hint : {60.0, 400.0})
       for (bool all : {false, true}) {
-        double worst = most_sent_to_warming_up(dispatchers, hint, all);
+        double worst = max_fraction_of_warming_up_endpoints(dispatchers, hint, all);
         EXPECT_LE(worst, 0.70) << dispatchers << " dispatchers, hint " << hint << ", all cold "
                                << all;
       }
-  EXPECT_GT(most_sent_to_warming_up(3, 60, true), 0.0);  // the endpoint warming up is used at all
+  EXPECT_GT(max_fraction_of_warming_up_endpoints(3, 60, true),
+            0.0);  // the endpoint warming up is used at all
 }
 
 // Two processes of one node, each with a flood of work, and all endpoints warming up. The new one
 // begins half a window later, with the learned state of the old one if they share it.
-double most_sent_by_siblings(bool both, bool share_state) {
+double max_fraction_of_siblings(bool both, bool share_state) {
   Settings settings = basic_settings();
-  Bench old_process(settings, 3);
-  Bench new_process(settings, 4);
-  Sends sent;
+  DispatcherHarness old_process(settings, 3);
+  DispatcherHarness new_process(settings, 4);
+  SentWorkByEndpoint sent;
   const Time started_at = 5000;
   EndpointList list;
   for (EndpointId i = 0; i < 4; ++i)
     list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
   old_process.now = new_process.now = started_at;
-  old_process.play(list);
-  new_process.play(list);
+  old_process.handle(list);
+  new_process.handle(list);
   RequestId id = 0;
-  auto step = [&](Bench& bench, Bench& other, Time now) {
-    bench.advance(now);
-    bench.arrive(++id, 60);
-    for (const SendAttempt& send : std::exchange(bench.sends, {})) {
-      sent[send.endpoint].push_back({bench.now, 60});
-      bench.play(AttemptStarted{send.request, 0});
-      bench.outcome(send.request, 0, AttemptResult::ok, true);
+  auto step = [&](DispatcherHarness& harness, DispatcherHarness& other, Time now) {
+    harness.advance(now);
+    harness.arrive(++id, 60);
+    for (const SendAttempt& send : std::exchange(harness.sends, {})) {
+      sent[send.endpoint].push_back({harness.now, 60});
+      harness.handle(AttemptStarted{send.request, 0});
+      harness.outcome(send.request, 0, AttemptResult::ok, true);
     }
-    for (const SendPeerMessage& message : std::exchange(bench.tells, {})) {
-      other.now = bench.now;
-      other.play(PeerMessage{message.peer, message.bytes});
+    for (const SendPeerMessage& message : std::exchange(harness.peer_messages, {})) {
+      other.now = harness.now;
+      other.handle(PeerMessage{message.peer, message.bytes});
     }
   };
   const Time joined_at = started_at + settings.overload_window_ms / 2;
@@ -110,25 +112,25 @@
     step(old_process, new_process, now);
   new_process.advance(joined_at);
   if (share_state) {
-    new_process.play(old_process.d.learned_state(joined_at));
-    new_process.play(SiblingProcess{true});
-    old_process.play(SiblingProcess{true});
+    new_process.handle(old_process.dispatcher.learned_state(joined_at));
+    new_process.handle(SiblingProcess{true});
+    old_process.handle(SiblingProcess{true});
   }
   for (Time now = joined_at; now < started_at + settings.slow_start_ms; now += 10) {
     step(old_process, new_process, now);
     step(both ? new_process : old_process, old_process, now);
   }
-  return fullest_window(settings, sent, [&](Time when) {
+  return max_window_fraction(settings, sent, [&](Time when) {
     return settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
                                                       (when - started_at) / settings.slow_start_ms;
   });
 }
 
 TEST(SlowStartBudget, TwoProcessesOfOneNodeHaveOneBudget) {
-  double alone = most_sent_by_siblings(false, false);
+  double alone = max_fraction_of_siblings(false, false);
   EXPECT_LE(alone, 0.70);
-  EXPECT_LT(most_sent_by_siblings(true, true), 1.1 * alone);
-  EXPECT_GT(most_sent_by_siblings(true, false), 1.4 * alone);  // so the test would notice
+  EXPECT_LT(max_fraction_of_siblings(true, true), 1.1 * alone);
+  EXPECT_GT(max_fraction_of_siblings(true, false), 1.4 * alone);  // so the test would notice
 }
 
 }  // namespace
--- a/tests/scheduler/dispatcher_test.cpp
+++ b/tests/scheduler/dispatcher_test.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
-  auto run = [](Bench& bench) {
-    bench.endpoints(12, 3, 1);
+  auto run = [](DispatcherHarness& harness) {
+    harness.endpoints(12, 3, 1);
     for (RequestId id = 1; id < 60; ++id)
-      bench.arrive(id, 50 + id % 7);
-    bench.advance(bench.now + 500);
+      harness.arrive(id, 50 + id % 7);
+    harness.advance(harness.now + 500);
     std::vector<std::pair<RequestId, EndpointId>> all;
-    for (const auto& send : bench.sends)
+    for (const auto& send : harness.sends)
       all.emplace_back(send.request, send.endpoint);
     return all;
   };
   Settings settings = basic_settings();
   settings.zones = 3;
-  Bench alone(settings, 5);
-  Bench same(settings, 5);
-  Bench other(settings, 6);
+  DispatcherHarness alone(settings, 5);
+  DispatcherHarness same(settings, 5);
+  DispatcherHarness other(settings, 6);
   auto expected = run(alone);
   // Two instances in one process act as in two: interleaving them changes nothing.
   run(other);
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr EndpointSlot kSlot = 0;
-constexpr double kMeanRun = 1000;  // a tenth of it is the shortest ejection
-constexpr double kBaseEjection = 100;
-constexpr double kLeastDrawn = 0.75;  // ejections are drawn around their length
-constexpr double kMostDrawn = 1.25;
+constexpr double kMeanRunMs = 1000;  // a tenth of it is the shortest ejection
+constexpr double kBaseEjectionMs = 100;
+constexpr double kMinJitterFactor = 0.75;  // ejections are drawn around their length
+constexpr double kMaxJitterFactor = 1.25;
 
 struct EndpointHealthTest : ::testing::Test {
   EndpointHealthTest() : environment(Settings{}, 1), health(environment) {
@@ -19,10 +19,10 @@
   }
   double ejected_for() const { return health.ejected_until(kSlot) - environment.now; }
   void expect_ejected_for_about(double duration) const {
-    EXPECT_GE(ejected_for(), kLeastDrawn * duration);
-    EXPECT_LE(ejected_for(), kMostDrawn * duration);
+    EXPECT_GE(ejected_for(), kMinJitterFactor * duration);
+    EXPECT_LE(ejected_for(), kMaxJitterFactor * duration);
   }
-  void let_ejection_pass() { environment.now = health.ejected_until(kSlot); }
+  void advance_past_ejection() { environment.now = health.ejected_until(kSlot); }
 
   Environment environment;
   EndpointHealth health;
@@ -42,21 +42,21 @@
 }
 
 TEST_F(EndpointHealthTest, OverloadLowersTheLimitToOneAtLeastAndIsNoFault) {
-  health.eject_as_overloaded(kSlot, kMeanRun);
+  health.eject_as_overloaded(kSlot, kMeanRunMs);
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1.4);
   EXPECT_TRUE(health.is_ejected(kSlot));
-  expect_ejected_for_about(kBaseEjection);
-  health.eject_as_overloaded(kSlot, kMeanRun);
-  health.eject_as_overloaded(kSlot, kMeanRun);
+  expect_ejected_for_about(kBaseEjectionMs);
+  health.eject_as_overloaded(kSlot, kMeanRunMs);
+  health.eject_as_overloaded(kSlot, kMeanRunMs);
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1);
   EXPECT_FALSE(health.has_fault_signs(kSlot));
 }
 
 TEST_F(EndpointHealthTest, TheEjectionOfAnOutlierDoublesThreeTimesAndThenStays) {
   for (double duration : {2.0, 4.0, 8.0, 8.0}) {
-    health.eject_as_outlier(kSlot, kMeanRun);
-    expect_ejected_for_about(duration * kBaseEjection);
-    let_ejection_pass();
+    health.eject_as_outlier(kSlot, kMeanRunMs);
+    expect_ejected_for_about(duration * kBaseEjectionMs);
+    advance_past_ejection();
     EXPECT_FALSE(health.is_ejected(kSlot));
   }
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1);
@@ -66,12 +66,12 @@
   for (int i = 0; i < 10; ++i)
     health.record_failure(kSlot);
   EXPECT_TRUE(health.fails_repeatedly(kSlot));
-  health.eject_as_outlier(kSlot, kMeanRun);
-  expect_ejected_for_about(64 * kBaseEjection);
+  health.eject_as_outlier(kSlot, kMeanRunMs);
+  expect_ejected_for_about(64 * kBaseEjectionMs);
 }
 
 TEST_F(EndpointHealthTest, ATimelyStartClearsSignsButOnlyAServedAttemptClearsFailures) {
-  health.eject_as_outlier(kSlot, kMeanRun);
+  health.eject_as_outlier(kSlot, kMeanRunMs);
   health.record_failure(kSlot);
   health.record_success(kSlot, 0);
   EXPECT_TRUE(health.has_fault_signs(kSlot));
@@ -94,7 +94,7 @@
 
 TEST_F(EndpointHealthTest, ANewIncarnationForgetsTheFaultsOfTheFormerOne) {
   health.record_failure(kSlot);
-  health.eject_as_outlier(kSlot, kMeanRun);
+  health.eject_as_outlier(kSlot, kMeanRunMs);
   health.reset(kSlot);
   EXPECT_FALSE(health.is_ejected(kSlot));
   EXPECT_FALSE(health.has_fault_signs(kSlot));
--- a/tests/scheduler/key_frequency_test.cpp
+++ b/tests/scheduler/key_frequency_test.cpp
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr int kMemory = 4096;  // keys after which older ones count half
+constexpr int kKeysPerHalving = 4096;  // keys after which older ones count half
 
 TEST(KeyFrequency, AKeyThatWasNotMetHasNoFraction) {
   KeyFrequency frequency;
@@ -25,12 +25,12 @@
 
 TEST(KeyFrequency, OlderTrafficCountsLessThanNewOne) {
   KeyFrequency frequency;
-  for (int i = 0; i < kMemory; ++i)
+  for (int i = 0; i < kKeysPerHalving; ++i)
     frequency.count(7);
-  for (int i = 0; i < kMemory / 2; ++i)
+  for (int i = 0; i < kKeysPerHalving / 2; ++i)
     frequency.count(8);
   EXPECT_NEAR(frequency.fraction(8), 0.5, 0.01);
-  for (int i = 0; i < 4 * kMemory; ++i)
+  for (int i = 0; i < 4 * kKeysPerHalving; ++i)
     frequency.count(8);
   EXPECT_LT(frequency.fraction(7), 0.01);
 }
@@ -38,7 +38,7 @@
 TEST(KeyFrequency, AKeyThatIsMetNoMoreIsForgotten) {
   KeyFrequency frequency;
   frequency.count(7);
-  for (int i = 0; i < 2 * kMemory; ++i)
+  for (int i = 0; i < 2 * kKeysPerHalving; ++i)
     frequency.count(8);
   EXPECT_DOUBLE_EQ(frequency.fraction(7), 0);
 }
--- a/tests/scheduler/request_queue_test.cpp
+++ b/tests/scheduler/request_queue_test.cpp
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-Request waiting(RequestId id, double cost, std::uint64_t sequence, int class_index = 0) {
+Request make_request(RequestId id, double cost, std::uint64_t sequence, int class_index = 0) {
   Request request;
   request.arrival.request = id;
   request.arrival.class_index = class_index;
@@ -17,9 +17,9 @@
 
 TEST(RequestQueue, TheSmallestCostIsFirstAndOfEqualOnesTheEarlierArrival) {
   RequestQueue queue(1);
-  Request large = waiting(1, 300, 0);
-  Request later = waiting(2, 100, 2);
-  Request earlier = waiting(3, 100, 1);
+  Request large = make_request(1, 300, 0);
+  Request later = make_request(2, 100, 2);
+  Request earlier = make_request(3, 100, 1);
   for (Request* request : {&large, &later, &earlier})
     queue.push(*request, 1000);
   EXPECT_EQ(queue.all(), (std::vector<RequestId>{3, 2, 1}));
@@ -27,12 +27,12 @@
 
 TEST(RequestQueue, ARequestIsQueuedOnceAndNotAfterItsEnd) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
   queue.push(request, 2000);
   EXPECT_EQ(queue.size(), 1u);
   EXPECT_DOUBLE_EQ(request.queued_since, 1000);
-  Request finished = waiting(2, 100, 1);
+  Request finished = make_request(2, 100, 1);
   finished.is_finished = true;
   queue.push(finished, 2000);
   EXPECT_FALSE(finished.is_queued);
@@ -41,8 +41,8 @@
 
 TEST(RequestQueue, RemovingOneThatIsNotQueuedChangesNothing) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
-  Request other = waiting(2, 100, 1);
+  Request request = make_request(1, 100, 0);
+  Request other = make_request(2, 100, 1);
   queue.push(request, 1000);
   queue.remove(other);
   EXPECT_EQ(queue.size(), 1u);
@@ -55,7 +55,7 @@
 
 TEST(RequestQueue, AnOverdueRequestChangesTheTierAndItsWaitCountsAnew) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
   queue.mark_overdue(request, 1500);
   EXPECT_TRUE(queue.of(0, QueueTier::in_time).empty());
@@ -66,7 +66,7 @@
 
 TEST(RequestQueue, ARequestInFlightThatIsOverdueIsNotQueuedByThat) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.mark_overdue(request, 1500);
   EXPECT_TRUE(request.is_overdue);
   EXPECT_EQ(queue.size(), 0u);
@@ -76,10 +76,10 @@
   RequestQueue queue(3);
   CostCalibration calibration(3);
   calibration.restore({{4, 0, 0}, {1, 0, 0}, {1, 0, 0}});
-  Request underrated = waiting(1, 100, 0, 0);
-  Request honest = waiting(2, 300, 1, 1);
-  queue.push(underrated, 1000);
-  queue.push(honest, 1000);
+  Request underestimated = make_request(1, 100, 0, 0);
+  Request accurate = make_request(2, 300, 1, 1);
+  queue.push(underestimated, 1000);
+  queue.push(accurate, 1000);
   EXPECT_EQ(queue.cheapest_class(QueueTier::in_time, {false, false, false}, calibration), 1);
   EXPECT_EQ(queue.cheapest_class(QueueTier::in_time, {false, true, false}, calibration), 0);
   EXPECT_FALSE(queue.cheapest_class(QueueTier::in_time, {true, true, false}, calibration));
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr Time kNow = 10000;
-constexpr double kWindow = 1000;  // deduplication; nine tenths of it are used
+constexpr double kWindowMs = 1000;  // deduplication; nine tenths of it are used
 
 struct RetryPolicyTest : ::testing::Test {
   RetryPolicyTest()
-      : environment(some_settings(), 1),
+      : environment(test_settings(), 1),
         endpoints(2),
         statistics(environment.settings),
         policy(environment, endpoints, statistics) {
@@ -22,24 +22,24 @@
     other_zone = endpoints.add({.endpoint = 3, .zone = 1, .cell = 7});
   }
 
-  static Settings some_settings() {
+  static Settings test_settings() {
     Settings settings;
     settings.kinds = 2;
     settings.max_attempts = 3;
     settings.concurrent_attempts = true;
     settings.tick_ms = 10;
     settings.classes.resize(1);
-    settings.classes[0].deduplication_window_ms = kWindow;
+    settings.classes[0].deduplication_window_ms = kWindowMs;
     return settings;
   }
 
-  ClassSettings& of_class() { return environment.settings.classes[0]; }
+  ClassSettings& class_settings() { return environment.settings.classes[0]; }
   void set_class(Idempotency idempotency, DeduplicationScope scope = DeduplicationScope::all) {
-    of_class().idempotency = idempotency;
-    of_class().deduplication_scope = scope;
+    class_settings().idempotency = idempotency;
+    class_settings().deduplication_scope = scope;
   }
   /// An attempt in zone 0 and cell 5 before.
-  void attempted(DeliveryState delivery, Time sent = kNow - 100) {
+  void add_attempt(DeliveryState delivery, Time sent = kNow - 100) {
     request.attempts.push_back(
         {.endpoint = 9, .zone = 0, .cell = 5, .sent = sent, .delivery = delivery});
   }
@@ -56,7 +56,7 @@
 
 TEST_F(RetryPolicyTest, AnIdempotentRequestMayFollowAnyAttemptAnywhere) {
   set_class(Idempotency::idempotent);
-  attempted(DeliveryState::may_have_run, kNow - 100 * kWindow);
+  add_attempt(DeliveryState::may_have_run, kNow - 100 * kWindowMs);
   EXPECT_TRUE(policy.may_send(request, other_zone));
   EXPECT_TRUE(policy.may_retry(request));
   EXPECT_TRUE(policy.may_reject(request));
@@ -64,11 +64,11 @@
 
 TEST_F(RetryPolicyTest, ANonIdempotentRequestFollowsOnlyAttemptsThatWereNotDelivered) {
   set_class(Idempotency::non_idempotent);
-  attempted(DeliveryState::not_delivered);
+  add_attempt(DeliveryState::not_delivered);
   EXPECT_TRUE(policy.may_send(request, same_cell));
   EXPECT_TRUE(policy.may_retry(request));
   EXPECT_TRUE(policy.may_reject(request));
-  attempted(DeliveryState::may_have_run);
+  add_attempt(DeliveryState::may_have_run);
   EXPECT_FALSE(policy.may_send(request, same_cell));
   EXPECT_FALSE(policy.may_retry(request));
   EXPECT_FALSE(policy.may_reject(request));
@@ -76,13 +76,13 @@
 
 TEST_F(RetryPolicyTest, ANonIdempotentRequestIsNeverHedged) {
   set_class(Idempotency::non_idempotent);
-  attempted(DeliveryState::in_flight);
+  add_attempt(DeliveryState::in_flight);
   EXPECT_FALSE(policy.may_send(request, same_cell));
   EXPECT_FALSE(policy.may_reject(request));
 }
 
 TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinItsDeduplicationScope) {
-  attempted(DeliveryState::may_have_run);
+  add_attempt(DeliveryState::may_have_run);
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
   EXPECT_TRUE(policy.may_send(request, other_zone));
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
@@ -95,8 +95,8 @@
 
 TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinNineTenthsOfItsWindow) {
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
-  attempted(DeliveryState::may_have_run, kNow);
-  environment.now = kNow + 0.9 * kWindow;
+  add_attempt(DeliveryState::may_have_run, kNow);
+  environment.now = kNow + 0.9 * kWindowMs;
   EXPECT_TRUE(policy.may_send(request, same_zone));
   EXPECT_FALSE(policy.may_retry(request));  // a later attempt would be too late
   environment.now += 1;
@@ -104,7 +104,7 @@
 }
 
 TEST_F(RetryPolicyTest, ARequestWithAKeyMayBeRejectedWhereEveryEndpointDropsRepeatsOrNoneHasIt) {
-  attempted(DeliveryState::may_have_run);
+  add_attempt(DeliveryState::may_have_run);
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
   EXPECT_TRUE(policy.may_reject(request));
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
@@ -115,7 +115,7 @@
 
 TEST_F(RetryPolicyTest, WithoutConcurrentAttemptsNothingFollowsOneInFlight) {
   environment.settings.concurrent_attempts = false;
-  attempted(DeliveryState::in_flight);
+  add_attempt(DeliveryState::in_flight);
   EXPECT_FALSE(policy.may_send(request, same_cell));
   request.attempts[0].delivery = DeliveryState::may_have_run;
   EXPECT_TRUE(policy.may_send(request, same_cell));
@@ -130,7 +130,7 @@
   request.is_finished = false;
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(policy.may_send(request, same_cell));
-    attempted(DeliveryState::not_delivered);
+    add_attempt(DeliveryState::not_delivered);
   }
   EXPECT_FALSE(policy.may_send(request, same_cell));
   EXPECT_FALSE(policy.may_retry(request));
@@ -142,7 +142,7 @@
 TEST_F(RetryPolicyTest, NothingIsSentToAnEndpointThatDrainsOrIsOfAnotherKind) {
   endpoints.set_state(same_cell, EndpointState::draining);
   EXPECT_FALSE(policy.may_send(request, same_cell));
-  of_class().kind = 1;
+  class_settings().kind = 1;
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
--- a/tests/scheduler/sent_work.h
+++ b/tests/scheduler/sent_work.h
@@ -18,12 +18,12 @@
   auto operator<=>(const SentWork&) const = default;
 };
 /// All that was sent, by endpoint.
-using Sends = std::map<EndpointId, std::vector<SentWork>>;
+using SentWorkByEndpoint = std::map<EndpointId, std::vector<SentWork>>;
 
 /// The most that was sent to an endpoint within any window, as a fraction of what overloads it at
 /// its capacity then.
 template <typename Capacity>
-double fullest_window(const Settings& settings, Sends sent, Capacity capacity) {
+double max_window_fraction(const Settings& settings, SentWorkByEndpoint sent, Capacity capacity) {
   double most = 0;
   for (auto& [endpoint, all] : sent) {
     std::sort(all.begin(), all.end());
--- a/tests/scheduler/settings_test.cpp
+++ b/tests/scheduler/settings_test.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 TEST(Settings, ImpossibleOnesThrow) {
-  auto broken = [](auto change) {
+  auto modified = [](auto change) {
     Settings settings = basic_settings();
     change(settings);
     return settings;
   };
-  EXPECT_THROW(Dispatcher(broken([](Settings& settings) { settings.dispatchers = 0; }), 1),
+  EXPECT_THROW(Dispatcher(modified([](Settings& settings) { settings.dispatchers = 0; }), 1),
                std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& settings) { settings.rank = 1; }), 1),
+  EXPECT_THROW(Dispatcher(modified([](Settings& settings) { settings.rank = 1; }), 1),
                std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& settings) { settings.classes.clear(); }), 1),
+  EXPECT_THROW(Dispatcher(modified([](Settings& settings) { settings.classes.clear(); }), 1),
                std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& settings) { settings.tick_ms = NAN; }), 1),
+  EXPECT_THROW(Dispatcher(modified([](Settings& settings) { settings.tick_ms = NAN; }), 1),
                std::invalid_argument);
-  EXPECT_THROW(Dispatcher(broken([](Settings& settings) { settings.classes[0].kind = 9; }), 1),
+  EXPECT_THROW(Dispatcher(modified([](Settings& settings) { settings.classes[0].kind = 9; }), 1),
                std::invalid_argument);
 }
 
 /// What `validate` says against the settings; empty: nothing.
-std::string fault_of(const Settings& settings) {
+std::string validation_error(const Settings& settings) {
   try {
     validate(settings);
   } catch (const std::invalid_argument& fault) {
@@ -37,13 +37,13 @@
 }
 
 TEST(Settings, OrdinaryOnesAreValid) {
-  EXPECT_EQ(fault_of(basic_settings()), "");
+  EXPECT_EQ(validation_error(basic_settings()), "");
 }
 
 TEST(Settings, AFaultNamesWhatIsWrong) {
   Settings settings = basic_settings();
   settings.max_attempts = 0;
-  EXPECT_EQ(fault_of(settings), "scheduler settings: max_attempts must be positive");
+  EXPECT_EQ(validation_error(settings), "scheduler settings: max_attempts must be positive");
 }
 
 TEST(Settings, TheOwnRankAndZoneAreAmongTheNumbersOfThem) {
@@ -51,11 +51,11 @@
     Settings ranks = basic_settings();
     ranks.dispatchers = 2;
     ranks.rank = position;
-    EXPECT_EQ(fault_of(ranks), "scheduler settings: rank out of range");
+    EXPECT_EQ(validation_error(ranks), "scheduler settings: rank out of range");
     Settings zones = basic_settings();
     zones.zones = 2;
     zones.zone = position;
-    EXPECT_EQ(fault_of(zones), "scheduler settings: zone out of range");
+    EXPECT_EQ(validation_error(zones), "scheduler settings: zone out of range");
   }
 }
 
@@ -65,7 +65,8 @@
                         &Settings::overload_window_ms, &Settings::over_quota_weight}) {
       Settings settings = basic_settings();
       settings.*member = figure;
-      EXPECT_EQ(fault_of(settings), "scheduler settings: a figure is negative or not finite");
+      EXPECT_EQ(validation_error(settings),
+                "scheduler settings: a figure is negative or not finite");
     }
   }
 }
@@ -77,7 +78,8 @@
       Settings settings = basic_settings();
       settings.classes.emplace_back();
       settings.classes[1].*member = figure;
-      EXPECT_EQ(fault_of(settings), "scheduler settings: a class figure is negative or not finite");
+      EXPECT_EQ(validation_error(settings),
+                "scheduler settings: a class figure is negative or not finite");
     }
   }
 }
@@ -87,10 +89,10 @@
   settings.kinds = 2;
   for (int kind : {-1, 0, 1}) {
     settings.classes[0].kind = kind;
-    EXPECT_EQ(fault_of(settings), "");
+    EXPECT_EQ(validation_error(settings), "");
   }
   settings.classes[0].kind = 2;
-  EXPECT_EQ(fault_of(settings), "scheduler settings: class kind out of range");
+  EXPECT_EQ(validation_error(settings), "scheduler settings: class kind out of range");
 }
 
 }  // namespace
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -25,8 +25,9 @@
 struct FleetOptions {
   unsigned seed = 1;
   bool notifies_peers = false;
-  unsigned lost_percent = 0;    ///< of all messages
-  std::size_t mute_nodes = 0;   ///< the first so many receive all, and nobody receives theirs
+  unsigned lost_percent = 0;  ///< of all messages
+  std::size_t nodes_with_lost_messages =
+      0;                        ///< the first so many receive all, and nobody receives theirs
   unsigned arrival_steps = 67;  ///< a request arrives at a node every so many steps
 };
 
@@ -55,13 +56,13 @@
     nodes_.clear();
   }
 
-  double fullest_window_fraction() const {
-    return fullest_window(settings_, warming_up_,
-                          [&](Time when) { return 2 * capacity_fraction(when); });
+  double max_budget_fraction() const {
+    return max_window_fraction(settings_, warming_up_,
+                               [&](Time when) { return 2 * capacity_fraction(when); });
   }
   double fraction_in_time() const { return 1.0 * in_time_ / arrived_; }
   // On average endpoints that are warming up can do 0.6 of what the others can.
-  double use_of_warming_up() const {
+  double relative_use_of_warming_up() const {
     return mean(warming_up_, kWarmingUp) / mean(warmed_up_, kEndpoints - kWarmingUp);
   }
 
@@ -72,9 +73,9 @@
       list.entries.push_back(
           {.endpoint = id, .nominal_capacity = 2, .started_at = id < kWarmingUp ? kStartedAt : 0});
     for (settings_.rank = 0; settings_.rank < settings_.dispatchers; ++settings_.rank) {
-      nodes_.push_back(std::make_unique<Bench>(settings_, random_()));
+      nodes_.push_back(std::make_unique<DispatcherHarness>(settings_, random_()));
       nodes_.back()->now = kStartedAt;
-      nodes_.back()->play(list);
+      nodes_.back()->handle(list);
     }
   }
 
@@ -86,17 +87,17 @@
   }
 
   void step(std::size_t rank, Time now) {
-    Bench& node = *nodes_[rank];
+    DispatcherHarness& node = *nodes_[rank];
     node.advance(now);
     if (random_() % options_.arrival_steps == 0)
       arrive(node, now);
     for (const SendAttempt& send : std::exchange(node.sends, {}))
       run(node, send, now);
-    for (SendPeerMessage& message : std::exchange(node.tells, {}))
+    for (SendPeerMessage& message : std::exchange(node.peer_messages, {}))
       deliver(rank, message, now);
   }
 
-  void arrive(Bench& node, Time now) {
+  void arrive(DispatcherHarness& node, Time now) {
     RequestId id = static_cast<RequestId>(++arrived_);
     double hint = random_() % 10 == 0 ? 1600 : 200;
     requests_[id] = {now, hint};
@@ -104,15 +105,15 @@
   }
 
   void deliver(std::size_t rank, SendPeerMessage& message, Time now) {
-    if (rank < options_.mute_nodes || random_() % 100 < options_.lost_percent)
+    if (rank < options_.nodes_with_lost_messages || random_() % 100 < options_.lost_percent)
       return;
-    Bench& receiver = *nodes_[static_cast<std::size_t>(message.peer)];
+    DispatcherHarness& receiver = *nodes_[static_cast<std::size_t>(message.peer)];
     PeerMessage received{static_cast<int>(rank), std::move(message.bytes)};
     pending_events_.emplace(now + 2 + random_() % 20,
-                            [&receiver, received] { receiver.play(received); });
+                            [&receiver, received] { receiver.handle(received); });
   }
 
-  void run(Bench& node, const SendAttempt& send, Time now) {
+  void run(DispatcherHarness& node, const SendAttempt& send, Time now) {
     const ClientRequest request = requests_[send.request];
     const bool is_warming_up = send.endpoint < kWarmingUp;
     (is_warming_up ? warming_up_ : warmed_up_)[send.endpoint].push_back({now, request.hint});
@@ -122,7 +123,7 @@
     const Time end = start + request.hint / (is_warming_up ? capacity_fraction(start) : 1);
     core = end;
     pending_events_.emplace(start + 1, [&node, id = send.request] {
-      node.play(AttemptStarted{id, 0});
+      node.handle(AttemptStarted{id, 0});
     });
     pending_events_.emplace(end + 1, [this, &node, id = send.request, request, end] {
       node.outcome(id, 0, AttemptResult::ok, true);
@@ -135,7 +136,7 @@
     return std::min(1.0, least + (1 - least) * (when - kStartedAt) / settings_.slow_start_ms);
   }
 
-  static double mean(const Sends& sends, EndpointId endpoints) {
+  static double mean(const SentWorkByEndpoint& sends, EndpointId endpoints) {
     double sum = 0;
     for (const auto& [endpoint, all] : sends)
       for (const SentWork& one : all)
@@ -146,9 +147,9 @@
   FleetOptions options_;
   std::mt19937 random_;
   Settings settings_ = basic_settings();
-  std::vector<std::unique_ptr<Bench>> nodes_;
-  Sends warming_up_;
-  Sends warmed_up_;
+  std::vector<std::unique_ptr<DispatcherHarness>> nodes_;
+  SentWorkByEndpoint warming_up_;
+  SentWorkByEndpoint warmed_up_;
   std::map<EndpointId, std::array<Time, 2>> free_at_;  // of each core
   std::map<RequestId, ClientRequest> requests_;
   std::multimap<Time, std::function<void()>> pending_events_;
@@ -165,11 +166,11 @@
     // 0.62 of the budget is given out, and a request counts as nine tenths of its hint at least:
     // 0.69 is the most.
     for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
-      EXPECT_LE(fleet->fullest_window_fraction(), 0.70) << "seed " << seed;
-    EXPECT_GT(silent.use_of_warming_up(), 0.25)
+      EXPECT_LE(fleet->max_budget_fraction(), 0.70) << "seed " << seed;
+    EXPECT_GT(silent.relative_use_of_warming_up(), 0.25)
         << "seed " << seed;  // with parts that go by what was received it was 0.18
-    EXPECT_GT(notifying.use_of_warming_up(), 0.35) << "seed " << seed;
-    EXPECT_GT(lossy.use_of_warming_up(), 0.31) << "seed " << seed;
+    EXPECT_GT(notifying.relative_use_of_warming_up(), 0.35) << "seed " << seed;
+    EXPECT_GT(lossy.relative_use_of_warming_up(), 0.31) << "seed " << seed;
     EXPECT_GT(notifying.fraction_in_time(), silent.fraction_in_time() + 0.12) << "seed " << seed;
   }
 }
@@ -177,8 +178,9 @@
 // Twice the ordinary traffic, and the messages of ninety are lost: where budgets went by what was
 // received it was 0.98.
 TEST(SlowStartBudget, NinetyOfAHundredWhoseMessagesAreLostInARushStayUnderTheBudget) {
-  LargeFleet mute({.seed = 3, .notifies_peers = true, .mute_nodes = 90, .arrival_steps = 30});
-  EXPECT_LE(mute.fullest_window_fraction(), 0.70);
+  LargeFleet mute(
+      {.seed = 3, .notifies_peers = true, .nodes_with_lost_messages = 90, .arrival_steps = 30});
+  EXPECT_LE(mute.max_budget_fraction(), 0.70);
 }
 
 }  // namespace
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -7,25 +7,25 @@
 namespace {
 
 constexpr Time kStartedAt = 10000;
-constexpr double kWindow = 2000;
+constexpr double kWindowMs = 2000;
 
 struct SlowStartTest : ::testing::Test {
   SlowStartTest()
-      : environment(some_settings(), 1),
+      : environment(test_settings(), 1),
         endpoints(1),
         statistics(environment.settings),
         slow_start(environment, endpoints, statistics) {
     environment.now = kStartedAt;
-    new_one = add({.endpoint = 7, .started_at = kStartedAt});
+    warming_up_slot = add({.endpoint = 7, .started_at = kStartedAt});
   }
 
-  static Settings some_settings() {
+  static Settings test_settings() {
     Settings settings;
     settings.dispatchers = 4;
     settings.slow_start_initial_fraction = 0.2;
     settings.slow_start_ms = 8000;
     settings.overload_multiple = 3;
-    settings.overload_window_ms = kWindow;
+    settings.overload_window_ms = kWindowMs;
     return settings;
   }
   EndpointSlot add(const EndpointEntry& entry) {
@@ -42,20 +42,20 @@
   EndpointTable endpoints;
   ServiceStatistics statistics;
   SlowStart slow_start;
-  EndpointSlot new_one = 0;
+  EndpointSlot warming_up_slot = 0;
 };
 
 // Of one core at a fifth of its capacity, three times that within 2000 ms, of which 0.62 are used.
-constexpr double kWholeBudget = 0.62 * 3 * 0.2 * kWindow;
+constexpr double kFleetBudgetMs = 0.62 * 3 * 0.2 * kWindowMs;
 
 TEST_F(SlowStartTest, AnEndpointWarmsUpFromItsStartForTheTimeOfTheSettings) {
-  EXPECT_TRUE(slow_start.is_warming_up(new_one));
-  EXPECT_DOUBLE_EQ(slow_start.weight(new_one), 0.2);
+  EXPECT_TRUE(slow_start.is_warming_up(warming_up_slot));
+  EXPECT_DOUBLE_EQ(slow_start.weight(warming_up_slot), 0.2);
   environment.now = kStartedAt + 4000;
-  EXPECT_DOUBLE_EQ(slow_start.weight(new_one), 0.6);
+  EXPECT_DOUBLE_EQ(slow_start.weight(warming_up_slot), 0.6);
   environment.now = kStartedAt + 8000;
-  EXPECT_FALSE(slow_start.is_warming_up(new_one));
-  EXPECT_DOUBLE_EQ(slow_start.weight(new_one), 1);
+  EXPECT_FALSE(slow_start.is_warming_up(warming_up_slot));
+  EXPECT_DOUBLE_EQ(slow_start.weight(warming_up_slot), 1);
 }
 
 TEST_F(SlowStartTest, AnEndpointThatStartedLongAgoDoesNotWarmUp) {
@@ -65,62 +65,62 @@
 }
 
 TEST_F(SlowStartTest, UntilItIsNotifiedADispatcherHasAnEvenPartOfTheBudget) {
-  EXPECT_NEAR(slow_start.budget(new_one).own, kWholeBudget / 4, 1e-9);
-  slow_start.set_fraction(new_one, 0.5);
-  EXPECT_NEAR(slow_start.budget(new_one).own, kWholeBudget / 2, 1e-9);
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 4, 1e-9);
+  slow_start.set_fraction(warming_up_slot, 0.5);
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 2, 1e-9);
 }
 
 TEST_F(SlowStartTest, WhatWasSentCountsUntilTheWindowHasPassed) {
-  double whole = slow_start.budget(new_one).own;
-  slow_start.spend(new_one, whole);
-  EXPECT_FALSE(slow_start.has_budget_for(new_one, 1));
-  EXPECT_DOUBLE_EQ(slow_start.work_in_window(new_one, environment.now), whole);
-  environment.now += kWindow + 1;
-  EXPECT_TRUE(slow_start.has_budget_for(new_one, whole));
-  EXPECT_DOUBLE_EQ(slow_start.work_in_window(new_one, environment.now), 0);
+  double whole = slow_start.budget(warming_up_slot).own;
+  slow_start.spend(warming_up_slot, whole);
+  EXPECT_FALSE(slow_start.has_budget_for(warming_up_slot, 1));
+  EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), whole);
+  environment.now += kWindowMs + 1;
+  EXPECT_TRUE(slow_start.has_budget_for(warming_up_slot, whole));
+  EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), 0);
 }
 
 TEST_F(SlowStartTest, AGrantIsSpentBeforeTheOwnPartAndEndsAtItsTime) {
-  double own = slow_start.budget(new_one).own;
-  slow_start.on_grant(new_one, grant(100, kStartedAt + 50, true));
-  EXPECT_NEAR(slow_start.budget(new_one).total(), own + 100, 1e-9);
-  slow_start.spend(new_one, 130);
-  EXPECT_DOUBLE_EQ(slow_start.budget(new_one).granted, 0);
-  EXPECT_NEAR(slow_start.budget(new_one).own, own - 30, 1e-9);
-  slow_start.on_grant(new_one, grant(100, kStartedAt + 50, true));
+  double own = slow_start.budget(warming_up_slot).own;
+  slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).total(), own + 100, 1e-9);
+  slow_start.spend(warming_up_slot, 130);
+  EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).granted, 0);
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).own, own - 30, 1e-9);
+  slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
   environment.now = kStartedAt + 50;
-  EXPECT_DOUBLE_EQ(slow_start.budget(new_one).granted, 0);
+  EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).granted, 0);
 }
 
 TEST_F(SlowStartTest, WhatWasGrantedToAnotherCountsAsSentAndCanBeGivenBack) {
-  double own = slow_start.budget(new_one).own;
-  slow_start.on_grant(new_one, grant(100, kStartedAt + 50, false));
-  EXPECT_NEAR(slow_start.budget(new_one).own, own - 100, 1e-9);
-  slow_start.on_grant(new_one, grant(-40, kStartedAt + 50, false));
-  EXPECT_NEAR(slow_start.budget(new_one).own, own - 60, 1e-9);
+  double own = slow_start.budget(warming_up_slot).own;
+  slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, false));
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).own, own - 100, 1e-9);
+  slow_start.on_grant(warming_up_slot, grant(-40, kStartedAt + 50, false));
+  EXPECT_NEAR(slow_start.budget(warming_up_slot).own, own - 60, 1e-9);
 }
 
 TEST_F(SlowStartTest, AListedSizeIsBelievedUpToTwiceTheCoresThatWereSeen) {
   EndpointSlot large = add({.endpoint = 8, .nominal_capacity = 16, .started_at = kStartedAt});
-  EXPECT_NEAR(slow_start.budget(large).own, 2 * kWholeBudget / 4, 1e-9);
+  EXPECT_NEAR(slow_start.budget(large).own, 2 * kFleetBudgetMs / 4, 1e-9);
   statistics.record_running(0, 4);
-  EXPECT_NEAR(slow_start.budget(large).own, 8 * kWholeBudget / 4, 1e-9);
+  EXPECT_NEAR(slow_start.budget(large).own, 8 * kFleetBudgetMs / 4, 1e-9);
 }
 
 TEST_F(SlowStartTest, WorkCountsAsNineTenthsOfItsHintAtLeastAndWithTheRatioOfItsKind) {
-  EXPECT_DOUBLE_EQ(slow_start.work_of(new_one, 100, 50), 100);
-  EXPECT_DOUBLE_EQ(slow_start.work_of(new_one, 100, 150), 150);
+  EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 50), 100);
+  EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 150), 150);
   for (int i = 0; i < 200; ++i)
-    statistics.record_ratio(new_one, 0, 0.25, false);
-  EXPECT_DOUBLE_EQ(slow_start.work_of(new_one, 100, 100), 90);
+    statistics.record_ratio(warming_up_slot, 0, 0.25, false);
+  EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 100), 90);
 }
 
 TEST_F(SlowStartTest, ANewIncarnationHasNothingSentAndNothingGranted) {
-  double whole = slow_start.budget(new_one).total();
-  slow_start.spend(new_one, 100);
-  slow_start.on_grant(new_one, grant(100, kStartedAt + 50, true));
-  slow_start.reset(new_one);
-  EXPECT_DOUBLE_EQ(slow_start.budget(new_one).total(), whole);
+  double whole = slow_start.budget(warming_up_slot).total();
+  slow_start.spend(warming_up_slot, 100);
+  slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
+  slow_start.reset(warming_up_slot);
+  EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).total(), whole);
 }
 
 }  // namespace
--- a/tests/scheduler_shape.py
+++ b/tests/scheduler_shape.py
@@ -2,17 +2,17 @@
 import pathlib
 import sys
 
-MOST_LINES = 350
-MOST_DISPATCHER_LINES = 200
+MAX_LINES = 350
+MAX_DISPATCHER_LINES = 200
 
-faults = []
+violations = []
 files = sorted(path for path in pathlib.Path(sys.argv[1]).iterdir() if path.suffix in (".h", ".cpp"))
 for path in files:
     lines = path.read_text(encoding="utf-8").split("\n")
-    most = MOST_DISPATCHER_LINES if path.name == "dispatcher.cpp" else MOST_LINES
-    if len(lines) - 1 > most:
-        faults.append(f"{path.name}: {len(lines) - 1} lines, {most} at most")
+    limit = MAX_DISPATCHER_LINES if path.name == "dispatcher.cpp" else MAX_LINES
+    if len(lines) - 1 > limit:
+        violations.append(f"{path.name}: {len(lines) - 1} lines, {limit} at most")
     if not lines[0].startswith("/// "):
-        faults.append(f"{path.name}: no doc comment in its first line")
-print("\n".join(faults) or f"{len(files)} files in shape")
-sys.exit(bool(faults) or len(files) < 30)
+        violations.append(f"{path.name}: no doc comment in its first line")
+print("\n".join(violations) or f"{len(files)} files in shape")
+sys.exit(bool(violations) or len(files) < 30)
--- a/tests/simulator_adapter/adapter_pipe.py
+++ b/tests/simulator_adapter/adapter_pipe.py
@@ -34,16 +34,16 @@
     return subprocess.run([ADAPTER], input=data, capture_output=True, timeout=60)
 
 
-about = record(60, struct.pack(">I", 3))
+instance_record = record(60, struct.pack(">I", 3))
 entry = struct.pack(">IBBHBfd", 77, 0, 0, 0, 1, 1.0, 0.0)
 spawn = record(90, struct.pack(">QII", 5, 0, len(PROFILE)))
 cached = record(50, struct.pack(">BQII", 0, 1, len(PROFILE), 1))
 request = record(70, struct.pack(">IBIQddffB", 9, 0, 0, 0, 700.0, 100.0, 1.0, 0.0, 1))
-start = batch(1000.0, [about, spawn, cached], PROFILE + entry)
+start = batch(1000.0, [instance_record, spawn, cached], PROFILE + entry)
 
-r = run(batch(999.0, []) + start + batch(1001.0, [about, request]) + batch(1700.0, [about, record(110, struct.pack(">Q", 1))]))
-assert r.returncode == 0, r.stderr
-frames = replies(r.stdout)
+result = run(batch(999.0, []) + start + batch(1001.0, [instance_record, request]) + batch(1700.0, [instance_record, record(110, struct.pack(">Q", 1))]))
+assert result.returncode == 0, result.stderr
+frames = replies(result.stdout)
 assert len(frames) == 4 and frames[0] == [], frames
 codes = [[a[0] for a in f] for f in frames]
 assert codes[2][:2] == [130, 10], codes  # as, hand_off
@@ -51,12 +51,12 @@
 assert 30 in codes[3], codes  # report_failure: it may have run
 
 for cut in (5, 20, len(start) - 3):
-    r = run(start[:cut])
-    assert r.returncode != 0 and r.stderr.count(b"\n") == 1 and b"input ends" in r.stderr, (cut, r)
-r = run(struct.pack(">Idi", 48, 0.0, 2) + bytes(48))
-assert r.returncode != 0 and b"do not fit" in r.stderr, r
-r = run(start.replace(b"safety.fall_ms=2000.0", b"safety.fall_ms=oooo.0"))
-assert r.returncode != 0 and b"safety.fall_ms" in r.stderr and r.stderr.count(b"\n") == 1, r
-r = run(start.replace(b"balancers=1", b"balancers=0"))
-assert r.returncode != 0 and b"dispatchers" in r.stderr, r
+    result = run(start[:cut])
+    assert result.returncode != 0 and result.stderr.count(b"\n") == 1 and b"input ends" in result.stderr, (cut, result)
+result = run(struct.pack(">Idi", 48, 0.0, 2) + bytes(48))
+assert result.returncode != 0 and b"do not fit" in result.stderr, result
+result = run(start.replace(b"safety.fall_ms=2000.0", b"safety.fall_ms=oooo.0"))
+assert result.returncode != 0 and b"safety.fall_ms" in result.stderr and result.stderr.count(b"\n") == 1, result
+result = run(start.replace(b"balancers=1", b"balancers=0"))
+assert result.returncode != 0 and b"dispatchers" in result.stderr, result
 print("adapter pipe: ok")
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -28,27 +28,27 @@
 using scheduler::Settings;
 using scheduler::TimerFired;
 
-std::string hex(std::string_view text) {
+std::string bytes_from_hex(std::string_view text) {
   std::string out;
   int high = -1;
   for (char c : text) {
     if (c == ' ' || c == '\n')
       continue;
-    int v = c <= '9' ? c - '0' : c - 'a' + 10;
+    int digit = c <= '9' ? c - '0' : c - 'a' + 10;
     if (high < 0) {
-      high = v;
+      high = digit;
     } else {
-      out += static_cast<char>(high * 16 + v);
+      out += static_cast<char>(high * 16 + digit);
       high = -1;
     }
   }
   return out;
 }
 
-std::string padded(std::string_view text, std::size_t size = kEventSize) {
-  std::string r = hex(text);
-  r.resize(size, '\0');
-  return r;
+std::string padded_record(std::string_view text, std::size_t size = kEventSize) {
+  std::string record = bytes_from_hex(text);
+  record.resize(size, '\0');
+  return record;
 }
 
 BatchHeader header_for(const std::string& body, std::uint32_t records) {
@@ -56,38 +56,41 @@
 }
 
 template <typename T>
-T event_of(const AddressedRecord& a) {
-  return std::get<T>(std::get<Event>(a.record));
+T event_of(const AddressedRecord& addressed) {
+  return std::get<T>(std::get<Event>(addressed.record));
 }
 
 TEST(Codec, ReadsARequestATimerAndTheirInstances) {
   std::string body =
-      padded("3c 00000003") +
-      padded(
+      padded_record("3c 00000003") +
+      padded_record(
           "46 5d3a91c4 00 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 40000000 "
           "00000000 01") +
-      padded("6e 000000000000004d") + padded("3c 00000005") + padded("50 0e6f2b19");
-  auto all = read_body(header_for(body, 5), body);
-  ASSERT_EQ(all.size(), 3u);
-  auto a = event_of<RequestArrived>(all[0]);
-  EXPECT_EQ(all[0].instance, 3u);
-  EXPECT_EQ(a.request, 0x5d3a91c4u);
-  EXPECT_EQ(a.key, 0x91f03b7c55d20a64ull);
-  EXPECT_DOUBLE_EQ(a.client_timeout_ms, 240);
-  EXPECT_DOUBLE_EQ(a.hint, 12);
-  EXPECT_DOUBLE_EQ(a.slots, 2);
-  EXPECT_EQ(event_of<TimerFired>(all[1]).id, 77u);
-  EXPECT_EQ(all[2].instance, 5u);
-  EXPECT_EQ(event_of<ClientDisconnected>(all[2]).request, 0x0e6f2b19u);
+      padded_record("6e 000000000000004d") + padded_record("3c 00000005") +
+      padded_record("50 0e6f2b19");
+  auto records = read_body(header_for(body, 5), body);
+  ASSERT_EQ(records.size(), 3u);
+  auto arrival = event_of<RequestArrived>(records[0]);
+  EXPECT_EQ(records[0].instance, 3u);
+  EXPECT_EQ(arrival.request, 0x5d3a91c4u);
+  EXPECT_EQ(arrival.key, 0x91f03b7c55d20a64ull);
+  EXPECT_DOUBLE_EQ(arrival.client_timeout_ms, 240);
+  EXPECT_DOUBLE_EQ(arrival.hint, 12);
+  EXPECT_DOUBLE_EQ(arrival.slots, 2);
+  EXPECT_EQ(event_of<TimerFired>(records[1]).id, 77u);
+  EXPECT_EQ(records[2].instance, 5u);
+  EXPECT_EQ(event_of<ClientDisconnected>(records[2]).request, 0x0e6f2b19u);
 }
 
 TEST(Codec, ReadsTheEndpointListAndOutcomes) {
-  std::string body = padded("3c 00000003") + padded("32 00 0000000000000029 00000000 00000002") +
-                     padded("78 5d3a91c4 02 03124a07 000a 4032800000000000 01") +
-                     hex("03124a07 00 00 0000 01 3f800000 0000000000000000"
+  std::string body = padded_record("3c 00000003") +
+                     padded_record("32 00 0000000000000029 00000000 00000002") +
+                     padded_record("78 5d3a91c4 02 03124a07 000a 4032800000000000 01") +
+                     bytes_from_hex(
+                         "03124a07 00 00 0000 01 3f800000 0000000000000000"
                          "2c9011f2 01 00 0007 02 3fc00000 40b7d40000000000");
-  auto all = read_body(header_for(body, 3), body);
-  auto list = event_of<EndpointList>(all[0]);
+  auto records = read_body(header_for(body, 3), body);
+  auto list = event_of<EndpointList>(records[0]);
   EXPECT_EQ(list.scope, ListScope::cached);
   ASSERT_EQ(list.entries.size(), 2u);
   EXPECT_EQ(list.entries[1].endpoint, 0x2c9011f2u);
@@ -95,35 +98,36 @@
   EXPECT_EQ(list.entries[1].state, EndpointState::draining);
   EXPECT_DOUBLE_EQ(list.entries[1].nominal_capacity, 1.5);
   EXPECT_DOUBLE_EQ(list.entries[1].started_at, 6100);
-  auto o = event_of<AttemptFinished>(all[1]);
-  EXPECT_EQ(o.attempt, 2);
-  EXPECT_EQ(o.result, AttemptResult::reset);
-  EXPECT_DOUBLE_EQ(o.elapsed_ms, 18.5);
-  EXPECT_TRUE(o.request_finished);
+  auto outcome = event_of<AttemptFinished>(records[1]);
+  EXPECT_EQ(outcome.attempt, 2);
+  EXPECT_EQ(outcome.result, AttemptResult::reset);
+  EXPECT_DOUBLE_EQ(outcome.elapsed_ms, 18.5);
+  EXPECT_TRUE(outcome.request_finished);
 }
 
 TEST(Codec, WritesActions) {
-  ReplyWriter w;
-  w.instance(3);
-  w.action(SendAttempt{0x5d3a91c4, 0x03124a07, 80});
-  w.action(SetTimer{77, 12508.25});
-  w.action(SendPeerMessage{7, "hi q"});
-  w.instance(5);
-  w.give_in("two servers left");
-  std::string expected = hex("000000a4 00000006") + padded("82 00000003", 24) +
-                         padded("0a 5d3a91c4 03124a07 4054000000000000", 24);
-  std::string timer = padded("32 000000000000004d", 24);
+  ReplyWriter writer;
+  writer.instance(3);
+  writer.action(SendAttempt{0x5d3a91c4, 0x03124a07, 80});
+  writer.action(SetTimer{77, 12508.25});
+  writer.action(SendPeerMessage{7, "hi q"});
+  writer.instance(5);
+  writer.give_in("two servers left");
+  std::string expected = bytes_from_hex("000000a4 00000006") + padded_record("82 00000003", 24) +
+                         padded_record("0a 5d3a91c4 03124a07 4054000000000000", 24);
+  std::string timer = padded_record("32 000000000000004d", 24);
   auto bits = std::bit_cast<std::uint64_t>(12508.25);
   for (std::size_t i = 0; i < 8; ++i)
     timer[9 + i] = static_cast<char>(bits >> (56 - 8 * i));
-  expected += timer + padded("50 0007 00000000 00000004", 24) + padded("82 00000005", 24) +
-              padded("64 00000004 00000010", 24) + "hi q" + "two servers left";
-  EXPECT_EQ(w.finish(), expected);
-  EXPECT_EQ(w.finish(), hex("00000000 00000000"));
+  expected += timer + padded_record("50 0007 00000000 00000004", 24) +
+              padded_record("82 00000005", 24) + padded_record("64 00000004 00000010", 24) +
+              "hi q" + "two servers left";
+  EXPECT_EQ(writer.finish(), expected);
+  EXPECT_EQ(writer.finish(), bytes_from_hex("00000000 00000000"));
 }
 
 TEST(Codec, MalformedFramesAreNamed) {
-  auto fault = [](const std::string& body, std::uint32_t records) -> std::string {
+  auto error_of = [](const std::string& body, std::uint32_t records) -> std::string {
     try {
       read_body(header_for(body, records), body);
     } catch (const WireError& e) {
@@ -131,17 +135,19 @@
     }
     return "";
   };
-  EXPECT_NE(fault("short", 1).find("do not fit"), std::string::npos);
-  EXPECT_NE(fault("", 0xffffffffu).find("do not fit"), std::string::npos);
-  EXPECT_NE(fault(padded("6e 000000000000004d"), 1).find("before any"), std::string::npos);
-  std::string about = padded("3c 00000003");
+  EXPECT_NE(error_of("short", 1).find("do not fit"), std::string::npos);
+  EXPECT_NE(error_of("", 0xffffffffu).find("do not fit"), std::string::npos);
+  EXPECT_NE(error_of(padded_record("6e 000000000000004d"), 1).find("before any"),
+            std::string::npos);
+  std::string instance_record = padded_record("3c 00000003");
+  EXPECT_NE(error_of(instance_record + padded_record("32 03 0000000000000029 00000000 00000001"), 2)
+                .find("record 1: tail"),
+            std::string::npos);
   EXPECT_NE(
-      fault(about + padded("32 03 0000000000000029 00000000 00000001"), 2).find("record 1: tail"),
+      error_of(instance_record + padded_record("14 00000003 ffffffff ffffffff"), 2).find("tail"),
       std::string::npos);
-  EXPECT_NE(fault(about + padded("14 00000003 ffffffff ffffffff"), 2).find("tail"),
-            std::string::npos);
-  EXPECT_NE(fault(about + padded("32 09"), 2).find("scope"), std::string::npos);
-  EXPECT_EQ(fault(about + padded("ff"), 2), "");  // an unknown code is skipped
+  EXPECT_NE(error_of(instance_record + padded_record("32 09"), 2).find("scope"), std::string::npos);
+  EXPECT_EQ(error_of(instance_record + padded_record("ff"), 2), "");  // an unknown code is skipped
 }
 
 const char* kProfile =
@@ -161,21 +167,21 @@
 }
 
 TEST(SettingsText, IsRead) {
-  Settings s = read_settings(kProfile);
-  EXPECT_EQ(s.dispatchers, 2);
-  EXPECT_EQ(s.zones, 2);
-  EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::idempotent_with_key);
-  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::zone);
-  EXPECT_EQ(s.classes[0].kind, 1);
-  EXPECT_DOUBLE_EQ(s.classes[0].objective_runtime_factor, 1.5);
-  EXPECT_TRUE(s.polls_list);
-  ASSERT_EQ(s.report.size(), 2u);
-  EXPECT_EQ(s.report[0], ReportField::busy);
-  EXPECT_EQ(s.report[1], ReportField::free_slots);
+  Settings settings = read_settings(kProfile);
+  EXPECT_EQ(settings.dispatchers, 2);
+  EXPECT_EQ(settings.zones, 2);
+  EXPECT_EQ(settings.classes.at(0).idempotency, Idempotency::idempotent_with_key);
+  EXPECT_EQ(settings.classes[0].deduplication_scope, DeduplicationScope::zone);
+  EXPECT_EQ(settings.classes[0].kind, 1);
+  EXPECT_DOUBLE_EQ(settings.classes[0].objective_runtime_factor, 1.5);
+  EXPECT_TRUE(settings.polls_list);
+  ASSERT_EQ(settings.report.size(), 2u);
+  EXPECT_EQ(settings.report[0], ReportField::busy);
+  EXPECT_EQ(settings.report[1], ReportField::free_slots);
 }
 
 TEST(SettingsText, FaultsNameTheKey) {
-  auto fault = [](const std::string& text) -> std::string {
+  auto error_of = [](const std::string& text) -> std::string {
     try {
       read_settings(text);
     } catch (const SettingsError& e) {
@@ -183,23 +189,24 @@
     }
     return "";
   };
-  EXPECT_NE(fault(without(kProfile, "safety.fall_ms")).find("'safety.fall_ms' is missing"),
+  EXPECT_NE(error_of(without(kProfile, "safety.fall_ms")).find("'safety.fall_ms' is missing"),
             std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "balancers")).find("'balancers' is missing"),
+  EXPECT_NE(error_of(without(kProfile, "balancers")).find("'balancers' is missing"),
             std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "rank") + "rank=1.5\n").find("'rank'"), std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "rank") + "rank=one\n").find("not a number"),
+  EXPECT_NE(error_of(without(kProfile, "rank") + "rank=1.5\n").find("'rank'"), std::string::npos);
+  EXPECT_NE(error_of(without(kProfile, "rank") + "rank=one\n").find("not a number"),
             std::string::npos);
-  EXPECT_NE(fault(without(kProfile, "classes.0.effect") + "classes.0.effect=odd\n").find("odd"),
+  EXPECT_NE(error_of(without(kProfile, "classes.0.effect") + "classes.0.effect=odd\n").find("odd"),
             std::string::npos);
-  EXPECT_NE(fault("nonsense\n").find("nonsense"), std::string::npos);
+  EXPECT_NE(error_of("nonsense\n").find("nonsense"), std::string::npos);
 }
 
 TEST(InstanceTable, AnEventForAnInstanceThatDoesNotRunIsSkippedAndUnknownCodesAreLoggedOnce) {
   InstanceTable table;
   std::string log;
-  std::string body = padded("3c 00000003") + padded("50 0e6f2b19") + padded("ff") + padded("ff");
-  EXPECT_EQ(table.play(header_for(body, 4), body, log), hex("00000000 00000000"));
+  std::string body = padded_record("3c 00000003") + padded_record("50 0e6f2b19") +
+                     padded_record("ff") + padded_record("ff");
+  EXPECT_EQ(table.play(header_for(body, 4), body, log), bytes_from_hex("00000000 00000000"));
   EXPECT_EQ(log, "simulator_adapter: event code 255 skipped\n");
 }
 
