--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -1,6 +1,6 @@
-// Every message between processes, to the byte: a release and the one before it run side by side.
-// What each encoder writes is compared with recordings/messages.txt, and what is recorded there is
-// read and written again.
+/// Checks every message between processes byte for byte, because consecutive releases run side by
+/// side. The output of each encoder is compared with recordings/messages.txt, and each recorded
+/// message is decoded and encoded again.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -51,7 +51,7 @@
             name + " " + (it == recorded_messages().end() ? "(not recorded)" : it->second));
 }
 
-// The recorded messages of that kind, as bytes.
+// The recorded messages whose names begin with `prefix`, as bytes.
 std::vector<std::string> recorded_bytes(const std::string& prefix) {
   std::vector<std::string> all;
   for (const auto& [name, text] : recorded_messages())
@@ -61,25 +61,25 @@
   return all;
 }
 
-TEST(RecordedMessages, LoadUpdatesOfPeers) {
-  Draw draw(61);
-  for (int sign = 0; sign <= 6; ++sign) {
+TEST(RecordedMessages, LoadUpdatesKeepTheirBytes) {
+  Rng rng(61);
+  for (int signal = 0; signal <= 6; ++signal) {
     for (int i = 0; i < 3; ++i) {
-      scheduler::LoadUpdate note;
-      note.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
-      note.incarnation_tag = static_cast<std::uint8_t>(draw.bits());
-      note.in_flight = i == 2 ? 1000 : draw.between(0, 12);
-      note.signal = static_cast<scheduler::LoadSignal>(sign);
-      note.service_time_ratio = draw.between(0.1, 9);
-      note.work_ms = draw.between(0, 20000);
-      expect_message("load-update-" + std::to_string(sign) + std::to_string(i),
-                     hex_of(scheduler::encode(note)));
+      scheduler::LoadUpdate update;
+      update.endpoint = static_cast<scheduler::EndpointId>(rng.bits());
+      update.incarnation_tag = static_cast<std::uint8_t>(rng.bits());
+      update.in_flight = i == 2 ? 1000 : rng.between(0, 12);
+      update.signal = static_cast<scheduler::LoadSignal>(signal);
+      update.service_time_ratio = rng.between(0.1, 9);
+      update.work_ms = rng.between(0, 20000);
+      expect_message("load-update-" + std::to_string(signal) + std::to_string(i),
+                     hex_of(scheduler::encode(update)));
     }
   }
   for (const std::string& bytes : recorded_bytes("load-update-")) {
     auto read = scheduler::decode_load_update(bytes);
     ASSERT_TRUE(read);
-    // The last byte is read of two signals only.
+    // The last byte is significant for two signals only.
     bool has_detail = read->signal == scheduler::LoadSignal::served ||
                       read->signal == scheduler::LoadSignal::sent;
     std::size_t read_bytes = has_detail ? bytes.size() : bytes.size() - 1;
@@ -89,34 +89,34 @@
   EXPECT_FALSE(scheduler::decode_load_update("1234567"));
 }
 
-TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
-  Draw draw(62);
+TEST(RecordedMessages, IncarnationTagsKeepTheirValues) {
+  Rng rng(62);
   for (int i = 0; i < 6; ++i) {
     scheduler::EndpointEntry entry;
-    entry.endpoint = static_cast<scheduler::EndpointId>(draw.bits());
-    entry.started_at = i == 0 ? 0 : draw.between(0, 2e12);
+    entry.endpoint = static_cast<scheduler::EndpointId>(rng.bits());
+    entry.started_at = i == 0 ? 0 : rng.between(0, 2e12);
     expect_message("incarnation-" + std::to_string(i),
                    std::to_string(scheduler::incarnation_of(entry)) + " " +
                        std::to_string(scheduler::incarnation_tag(entry)));
   }
 }
 
-TEST(RecordedMessages, SlowStartGrants) {
-  Draw draw(63);
+TEST(RecordedMessages, SlowStartMessagesKeepTheirBytes) {
+  Rng rng(63);
   for (int kind = 0; kind < 3; ++kind) {
     for (int i = 0; i < 3; ++i) {
       auto number = [&] {
-        return static_cast<std::uint32_t>(draw.bits());
+        return static_cast<std::uint32_t>(rng.bits());
       };
-      fleet::SlowStartMessage word{static_cast<fleet::SlowStartMessage::Kind>(kind),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number(),
-                                   number()};
+      fleet::SlowStartMessage message{static_cast<fleet::SlowStartMessage::Kind>(kind),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number(),
+                                      number()};
       expect_message("slow-start-" + std::to_string(kind) + std::to_string(i),
-                     hex_of(fleet::encode(word)));
+                     hex_of(fleet::encode(message)));
     }
   }
   for (const std::string& bytes : recorded_bytes("slow-start-")) {
@@ -126,19 +126,19 @@
   }
 }
 
-TEST(RecordedMessages, Membership) {
-  Draw draw(64);
+TEST(RecordedMessages, MembershipMessagesKeepTheirBytes) {
+  Rng rng(64);
   for (int kind = 0; kind < 5; ++kind) {
-    fleet::MembershipMessage word;
-    word.kind = static_cast<fleet::MembershipMessage::Kind>(kind);
-    word.number = static_cast<std::uint16_t>(draw.bits());
-    word.incarnation = static_cast<std::uint32_t>(draw.bits());
-    word.digest = static_cast<std::uint32_t>(draw.bits());
-    word.subject = draw.below(900);
+    fleet::MembershipMessage message;
+    message.kind = static_cast<fleet::MembershipMessage::Kind>(kind);
+    message.number = static_cast<std::uint16_t>(rng.bits());
+    message.incarnation = static_cast<std::uint32_t>(rng.bits());
+    message.digest = static_cast<std::uint32_t>(rng.bits());
+    message.subject = rng.below(900);
     for (int i = 0; i < 7 * kind; ++i)
-      word.updates.push_back({draw.below(900), static_cast<fleet::MemberState>(1 + draw.below(3)),
-                              static_cast<std::uint32_t>(draw.bits()), draw.below(900)});
-    expect_message("membership-" + std::to_string(kind), hex_of(fleet::encode(word)));
+      message.updates.push_back({rng.below(900), static_cast<fleet::MemberState>(1 + rng.below(3)),
+                                 static_cast<std::uint32_t>(rng.bits()), rng.below(900)});
+    expect_message("membership-" + std::to_string(kind), hex_of(fleet::encode(message)));
   }
   for (const std::string& bytes : recorded_bytes("membership-")) {
     auto read = fleet::decode_membership_message(bytes);
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(RecordedMessages, WatchQuestions) {
+TEST(RecordedMessages, WatchMessagesKeepTheirBytes) {
   for (int kind = 1; kind <= 3; ++kind)
     expect_message("watch-" + std::to_string(kind),
                    hex_of(discovery::encode({static_cast<discovery::WatchMessage::Kind>(kind)})));
@@ -158,34 +158,34 @@
   }
 }
 
-scheduler::LearnedState some_knowledge() {
-  scheduler::LearnedState k;
-  k.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
-  k.kinds = {{4, 0.5}, {2, 1.5}};
-  k.fleet = {{11, 22.125}, 150, 0.25};
-  k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
-                 {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
-  return k;
+scheduler::LearnedState example_learned_state() {
+  scheduler::LearnedState state;
+  state.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
+  state.kinds = {{4, 0.5}, {2, 1.5}};
+  state.fleet = {{11, 22.125}, 150, 0.25};
+  state.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
+                     {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
+  return state;
 }
 
-Names some_names() {
+Names example_names() {
   return {.classes = {"price", "hold"},
           .tenants = {},
           .zones = {"east", "west"},
           .kinds = {"fast", "slow"}};
 }
 
-TEST(RecordedMessages, LearnedState) {
-  std::string written = to_json(some_knowledge(), some_names()).dump();
+TEST(RecordedMessages, LearnedStateKeepsItsText) {
+  std::string written = to_json(example_learned_state(), example_names()).dump();
   expect_message("learned-state", written);
   auto it = recorded_messages().find("learned-state");
   ASSERT_NE(it, recorded_messages().end());
-  scheduler::LearnedState read = from_json(nlohmann::json::parse(it->second), some_names());
-  EXPECT_EQ(to_json(read, some_names()).dump(), it->second);
-  EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(some_knowledge())));
+  scheduler::LearnedState read = from_json(nlohmann::json::parse(it->second), example_names());
+  EXPECT_EQ(to_json(read, example_names()).dump(), it->second);
+  EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(example_learned_state())));
 }
 
-/// One side of a hand-over, and a plain socket in the place of the other process.
+/// One side of a handover, with a plain socket in place of the other process.
 class RecordedHandover : public testing::Test {
  protected:
   RecordedHandover() {
@@ -204,30 +204,33 @@
         Handover::Callbacks{
             .welcome =
                 [] {
-                  return nlohmann::json{{"out", {"box-3"}},
-                                        {"knowledge", {to_json(some_knowledge(), some_names())}}};
+                  return nlohmann::json{
+                      {"out", {"box-3"}},
+                      {"knowledge", {to_json(example_learned_state(), example_names())}}};
                 },
             .welcomed =
                 [this](const nlohmann::json& message) {
-                  heard_.push_back("welcome " + message.dump());
+                  received_.push_back("welcome " + message.dump());
                 },
             .on_sibling_process = [](bool) {},
-            .successor_ready = [this] { heard_.push_back("ready"); },
+            .successor_ready = [this] { received_.push_back("ready"); },
             .on_admin_override =
                 [this](const std::string& host, bool out) {
-                  heard_.push_back("by-hand " + host + " " + std::to_string(out));
+                  received_.push_back("by-hand " + host + " " + std::to_string(out));
                 },
             .on_load_update =
-                [this](const std::string& note) { heard_.push_back("note " + hex_of(note)); },
+                [this](const std::string& update) {
+                  received_.push_back("note " + hex_of(update));
+                },
             .on_status_callback =
                 [this](const std::string& body) {
-                  heard_.push_back("news " + body);
+                  received_.push_back("news " + body);
                   return true;
                 }},
         counters_);
   }
 
-  // The one socket that stands in the folder.
+  // The name of the only socket in the folder.
   std::string socket_name() const {
     for (const auto& entry : std::filesystem::directory_iterator(folder_))
       return entry.path().filename();
@@ -247,12 +250,12 @@
   void send(const std::string& line) const {
     ASSERT_EQ(::write(peer_, line.data(), line.size()), static_cast<ssize_t>(line.size()));
   }
-  // Runs the loop until the other side has read that many lines.
+  // Runs the event loop until the peer socket has received `count` lines.
   std::vector<std::string> lines(std::size_t count) {
-    auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (static_cast<std::size_t>(std::count(unread_.begin(), unread_.end(), '\n')) < count &&
-           std::chrono::steady_clock::now() < latest)
-      turn();
+           std::chrono::steady_clock::now() < deadline)
+      poll_once();
     std::vector<std::string> all;
     for (std::size_t end; all.size() < count && (end = unread_.find('\n')) != std::string::npos;
          unread_.erase(0, end + 1))
@@ -261,29 +264,30 @@
     all.resize(count);
     return all;
   }
-  void wait_heard(std::size_t count) {
-    auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (heard_.size() < count && std::chrono::steady_clock::now() < latest)
-      turn();
-    EXPECT_EQ(heard_.size(), count);
+  void wait_received(std::size_t count) {
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (received_.size() < count && std::chrono::steady_clock::now() < deadline)
+      poll_once();
+    EXPECT_EQ(received_.size(), count);
   }
-  void turn() {
+  void poll_once() {
     loop_.at(loop_.now() + std::chrono::milliseconds(1), [this] { loop_.stop(); });
     loop_.run();
     char bytes[4096];
-    ssize_t got = peer_ < 0 ? 0 : ::recv(peer_, bytes, sizeof bytes, MSG_DONTWAIT);
-    if (got > 0)
-      unread_.append(bytes, static_cast<std::size_t>(got));
+    ssize_t received = peer_ < 0 ? 0 : ::recv(peer_, bytes, sizeof bytes, MSG_DONTWAIT);
+    if (received > 0)
+      unread_.append(bytes, static_cast<std::size_t>(received));
   }
 
-  std::string folder_, unread_;
+  std::string folder_;
+  std::string unread_;
   int peer_ = -1;
-  std::vector<std::string> heard_;
+  std::vector<std::string> received_;
   Counters counters_;
   net::EventLoop loop_;
 };
 
-TEST_F(RecordedHandover, TheProcessThatServes) {
+TEST_F(RecordedHandover, TheServingProcessKeepsItsMessages) {
   auto handover = make();
   handover->listen();
   expect_message("handover-socket", socket_name());
@@ -300,11 +304,12 @@
   send(
       "{\"say\":\"ready\"}\n{\"host\":\"box-2\",\"out\":true,\"say\":\"by-hand\"}\n{\"note\":"
       "\"00ff\",\"say\":\"note\"}\n{\"body\":\"x\",\"say\":\"news\"}\n");
-  wait_heard(4);
-  EXPECT_EQ(heard_, (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
+  wait_received(4);
+  EXPECT_EQ(received_,
+            (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
 }
 
-TEST_F(RecordedHandover, TheProcessThatTakesOver) {
+TEST_F(RecordedHandover, TheProcessThatTakesOverKeepsItsMessages) {
   std::string name = recorded_messages().contains("handover-socket")
                          ? recorded_messages().at("handover-socket")
                          : "none";
@@ -320,7 +325,7 @@
   auto welcome = recorded_messages().find("handover-welcome");
   ASSERT_NE(welcome, recorded_messages().end());
   send(welcome->second + "\n");
-  wait_heard(1);
+  wait_received(1);
   handover->listen();
   expect_message("handover-ready", lines(1)[0]);
   ::close(listening);
--- a/tests/scheduler/request_queue_test.cpp
+++ b/tests/scheduler/request_queue_test.cpp
@@ -1,4 +1,4 @@
-/// The order of the queue, by class and tier.
+/// Tests of the order of the request queue, by class and tier.
 #include "scheduler/request_queue.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-Request waiting(RequestId id, double cost, std::uint64_t sequence, int class_index = 0) {
+Request make_request(RequestId id, double cost, std::uint64_t sequence, int class_index = 0) {
   Request request;
   request.arrival.request = id;
   request.arrival.class_index = class_index;
@@ -15,34 +15,34 @@
   return request;
 }
 
-TEST(RequestQueue, TheSmallestCostIsFirstAndOfEqualOnesTheEarlierArrival) {
+TEST(RequestQueue, OrdersByCostAndThenByArrival) {
   RequestQueue queue(1);
-  Request large = waiting(1, 300, 0);
-  Request later = waiting(2, 100, 2);
-  Request earlier = waiting(3, 100, 1);
+  Request large = make_request(1, 300, 0);
+  Request later = make_request(2, 100, 2);
+  Request earlier = make_request(3, 100, 1);
   for (Request* request : {&large, &later, &earlier})
     queue.push(*request, 1000);
   EXPECT_EQ(queue.all(), (std::vector<RequestId>{3, 2, 1}));
 }
 
-TEST(RequestQueue, ARequestIsQueuedOnceAndNotAfterItsEnd) {
+TEST(RequestQueue, ARequestIsQueuedOnlyOnceAndNotAfterItFinished) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
   queue.push(request, 2000);
   EXPECT_EQ(queue.size(), 1u);
   EXPECT_DOUBLE_EQ(request.queued_since, 1000);
-  Request finished = waiting(2, 100, 1);
+  Request finished = make_request(2, 100, 1);
   finished.is_finished = true;
   queue.push(finished, 2000);
   EXPECT_FALSE(finished.is_queued);
   EXPECT_EQ(queue.size(), 1u);
 }
 
-TEST(RequestQueue, RemovingOneThatIsNotQueuedChangesNothing) {
+TEST(RequestQueue, RemovingARequestThatIsNotQueuedChangesNothing) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
-  Request other = waiting(2, 100, 1);
+  Request request = make_request(1, 100, 0);
+  Request other = make_request(2, 100, 1);
   queue.push(request, 1000);
   queue.remove(other);
   EXPECT_EQ(queue.size(), 1u);
@@ -53,9 +53,9 @@
   EXPECT_TRUE(queue.all().empty());
 }
 
-TEST(RequestQueue, AnOverdueRequestChangesTheTierAndItsWaitCountsAnew) {
+TEST(RequestQueue, AnOverdueRequestMovesToTheOverdueTierAndItsWaitRestarts) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
   queue.mark_overdue(request, 1500);
   EXPECT_TRUE(queue.of(0, QueueTier::in_time).empty());
@@ -64,22 +64,22 @@
   EXPECT_EQ(queue.size(), 1u);
 }
 
-TEST(RequestQueue, ARequestInFlightThatIsOverdueIsNotQueuedByThat) {
+TEST(RequestQueue, MarkingARequestInFlightOverdueDoesNotQueueIt) {
   RequestQueue queue(1);
-  Request request = waiting(1, 100, 0);
+  Request request = make_request(1, 100, 0);
   queue.mark_overdue(request, 1500);
   EXPECT_TRUE(request.is_overdue);
   EXPECT_EQ(queue.size(), 0u);
 }
 
-TEST(RequestQueue, TheCheapestClassIsByCalibratedCostAmongThoseThatAreNotBlocked) {
+TEST(RequestQueue, TheCheapestClassIsTheUnblockedOneWithTheLowestCalibratedCost) {
   RequestQueue queue(3);
   CostCalibration calibration(3);
   calibration.restore({{4, 0, 0}, {1, 0, 0}, {1, 0, 0}});
-  Request underrated = waiting(1, 100, 0, 0);
-  Request honest = waiting(2, 300, 1, 1);
-  queue.push(underrated, 1000);
-  queue.push(honest, 1000);
+  Request underestimated = make_request(1, 100, 0, 0);
+  Request accurate = make_request(2, 300, 1, 1);
+  queue.push(underestimated, 1000);
+  queue.push(accurate, 1000);
   EXPECT_EQ(queue.cheapest_class(QueueTier::in_time, {false, false, false}, calibration), 1);
   EXPECT_EQ(queue.cheapest_class(QueueTier::in_time, {false, true, false}, calibration), 0);
   EXPECT_FALSE(queue.cheapest_class(QueueTier::in_time, {true, true, false}, calibration));
