--- a/logic/discovery/list_lease.cpp
+++ b/logic/discovery/list_lease.cpp
@@ -16,17 +16,17 @@
 
 }  // namespace
 
-Duration ListLease::span() const {
+Duration ListLease::lease_duration() const {
   return kListDeadline - kMaxWriteDelay - std::min(terms_.drain_grace, kMaxGraceReserve);
 }
 
 void ListLease::current_as_of(TimePoint when) {
-  current_ = std::max(current_.value_or(when), when);
-  until_ = std::max(until_, when + span());
+  last_proof_ = std::max(last_proof_.value_or(when), when);
+  expires_at_ = std::max(expires_at_, when + lease_duration());
 }
 
 void ListLease::unreachable_as_of(TimePoint when) {
-  until_ = std::max(until_, when + span());
+  expires_at_ = std::max(expires_at_, when + lease_duration());
 }
 
 // A change that an agent has counts as received at once.
@@ -34,22 +34,23 @@
   if (!terms_.pushed)
     return;
   Duration grace = std::max(Duration::zero(), terms_.drain_grace - kMaxWriteDelay);
-  until_ = std::min(until_, now + grace);
+  expires_at_ = std::min(expires_at_, now + grace);
 }
 
 void ListLease::watch_closed(TimePoint now) {
   answered_without_list(now);
-  if (!terms_.pushed && current_)
-    until_ = std::min(until_, std::max(now, *current_ + terms_.ask_within - kMaxWriteDelay));
+  if (!terms_.pushed && last_proof_)
+    expires_at_ =
+        std::min(expires_at_, std::max(now, *last_proof_ + terms_.poll_deadline - kMaxWriteDelay));
 }
 
 void ListLease::discovery_moved(TimePoint now) {
-  until_ = std::min(until_, now + kReconfigurationDeadline - kMaxWriteDelay);
+  expires_at_ = std::min(expires_at_, now + kReconfigurationDeadline - kMaxWriteDelay);
 }
 
 void ListLease::revoke() {
-  current_.reset();
-  until_ = TimePoint::min();
+  last_proof_.reset();
+  expires_at_ = TimePoint::min();
 }
 
 }  // namespace keelflow::discovery
--- a/logic/discovery/list_lease.h
+++ b/logic/discovery/list_lease.h
@@ -16,9 +16,9 @@
 /// The settings that decide how long a lease runs.
 struct LeaseTerms {
   bool pushed = false;  ///< lists are pushed to an agent: without a watch a change counts at once
-  Duration drain_grace{};  ///< after a change counts, in which a send is still permitted
-  Duration ask_within{};   ///< lists are polled: without a watch a change counts this long after it
-                           ///< was made, if that is sooner than `kListDeadline`
+  Duration drain_grace{};    ///< after a change counts, in which a send is still permitted
+  Duration poll_deadline{};  ///< lists are polled: without a watch a change counts this long after
+                             ///< it was made, if that is sooner than `kListDeadline`
 };
 
 /// The lease's state. Does no I/O: the caller passes the time. Reports no errors; not thread-safe.
@@ -46,15 +46,15 @@
   /// age.
   void revoke();
 
-  bool valid(TimePoint now) const { return now < until_; }
-  TimePoint until() const { return until_; }
+  bool valid(TimePoint now) const { return now < expires_at_; }
+  TimePoint until() const { return expires_at_; }
 
  private:
-  Duration span() const;
+  Duration lease_duration() const;
 
   LeaseTerms terms_;
-  std::optional<TimePoint> current_;  // the last proof that the list was complete
-  TimePoint until_ = TimePoint::min();
+  std::optional<TimePoint> last_proof_;  // the last proof that the list was complete
+  TimePoint expires_at_ = TimePoint::min();
 };
 
 }  // namespace keelflow::discovery
--- a/logic/discovery/outage_presumption.cpp
+++ b/logic/discovery/outage_presumption.cpp
@@ -31,7 +31,7 @@
   last_peer_with_watch_ = now;
 }
 
-void OutagePresumption::peer_has_none(TimePoint now) {
+void OutagePresumption::peer_has_no_watch(TimePoint now) {
   last_peer_without_watch_ = now;
 }
 
@@ -57,7 +57,7 @@
   if (bytes.size() != kMessageSize || bytes[0] != kTag || bytes[1] != kVersion)
     return std::nullopt;
   auto kind = static_cast<WatchMessage::Kind>(bytes[2]);
-  if (kind < WatchMessage::Kind::question || kind > WatchMessage::Kind::has_none)
+  if (kind < WatchMessage::Kind::question || kind > WatchMessage::Kind::has_no_watch)
     return std::nullopt;
   return WatchMessage{kind};
 }
--- a/logic/discovery/outage_presumption.h
+++ b/logic/discovery/outage_presumption.h
@@ -24,7 +24,7 @@
   /// A call was answered with 503.
   void call_rejected(TimePoint began, TimePoint now);
   void peer_has_watch(TimePoint now);
-  void peer_has_none(TimePoint now);
+  void peer_has_no_watch(TimePoint now);
   /// Discovery can be reached, or its state is not known any more: all evidence is dropped.
   void end();
 
@@ -43,7 +43,7 @@
   enum class Kind : std::uint8_t {
     question = 1,
     has_watch = 2,
-    has_none = 3
+    has_no_watch = 3
   } kind = Kind::question;
 };
 std::string encode(const WatchMessage& message);
--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -5,24 +5,25 @@
 namespace keelflow::operation_guard {
 
 std::string_view to_string(Operation operation) {
-  constexpr std::array<std::string_view, kOperations> kNames = {"send", "repeat", "close", "start"};
+  constexpr std::array<std::string_view, kOperationCount> kNames = {"send", "repeat", "close",
+                                                                    "start"};
   return kNames[static_cast<std::size_t>(operation)];
 }
 
 std::string_view to_string(Reason reason) {
-  constexpr std::array<std::string_view, kReasons> kNames = {"none",
-                                                             "list-lease-expired",
-                                                             "endpoint-not-ready",
-                                                             "endpoint-moved",
-                                                             "deadline-passed",
-                                                             "window-over",
-                                                             "client-gone",
-                                                             "may-have-run",
-                                                             "attempt-out",
-                                                             "request-in-hand",
-                                                             "answer-unsent",
-                                                             "bytes-unread",
-                                                             "process-ended"};
+  constexpr std::array<std::string_view, kReasonCount> kNames = {"none",
+                                                                 "list-lease-expired",
+                                                                 "endpoint-not-ready",
+                                                                 "endpoint-moved",
+                                                                 "deadline-passed",
+                                                                 "window-over",
+                                                                 "client-gone",
+                                                                 "may-have-run",
+                                                                 "attempt-out",
+                                                                 "request-in-hand",
+                                                                 "answer-unsent",
+                                                                 "bytes-unread",
+                                                                 "process-ended"};
   return kNames[static_cast<std::size_t>(reason)];
 }
 
@@ -32,32 +33,32 @@
 }
 
 SendVerdict may_send(const SendFacts& facts) {
-  if (!facts.client_waits)
+  if (!facts.has_waiting_client)
     return SendVerdict(Reason::client_disconnected);
   if (facts.time_left <= std::chrono::nanoseconds::zero())
     return SendVerdict(Reason::deadline_passed);
-  if (!facts.in_window)
+  if (!facts.is_in_window)
     return SendVerdict(Reason::window_expired);
-  if (!facts.endpoint_ready)
+  if (!facts.is_endpoint_ready)
     return SendVerdict(Reason::endpoint_not_ready);
-  if (!facts.same_address)
+  if (!facts.is_address_current)
     return SendVerdict(Reason::endpoint_moved);
   // Last, as the only condition that can become true again: the caller may wait for it.
-  if (!facts.list_lease_valid)
+  if (!facts.is_list_lease_valid)
     return SendVerdict(Reason::list_lease_expired);
   return SendVerdict(Reason::none);
 }
 
 Verdict may_repeat(const RepeatFacts& facts) {
-  if (facts.earlier_out_there)
+  if (facts.has_earlier_attempt_at_endpoint)
     return Verdict(Reason::attempt_in_flight);
-  if (facts.earlier_out && !facts.parallel_allowed)
+  if (facts.has_earlier_attempt_in_flight && !facts.is_hedging_allowed)
     return Verdict(Reason::attempt_in_flight);
-  bool may_have_run = facts.earlier_may_have_run || facts.earlier_out;
+  bool may_have_run = facts.earlier_attempt_may_have_run || facts.has_earlier_attempt_in_flight;
   if (may_have_run && facts.idempotency == scheduler::Idempotency::non_idempotent)
     return Verdict(Reason::may_have_run);
   if (may_have_run && facts.idempotency == scheduler::Idempotency::idempotent_with_key &&
-      !facts.in_window)
+      !facts.is_in_window)
     return Verdict(Reason::window_expired);
   return Verdict(Reason::none);
 }
@@ -75,7 +76,7 @@
 Verdict may_start(const StartFacts& facts) {
   if (facts.phase == Phase::ended)
     return Verdict(Reason::process_ended);
-  if (!facts.client_waits)
+  if (!facts.has_waiting_client)
     return Verdict(Reason::client_disconnected);
   return Verdict(Reason::none);
 }
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -20,7 +20,7 @@
 /// What is checked: sending a request's bytes to an endpoint, a further attempt of a request,
 /// closing a client's connection, starting to process a request.
 enum class Operation : std::uint8_t { send, repeat, close, start };
-constexpr std::size_t kOperations = static_cast<std::size_t>(Operation::start) + 1;
+constexpr std::size_t kOperationCount = static_cast<std::size_t>(Operation::start) + 1;
 
 /// Why an operation is forbidden.
 enum class Reason : std::uint8_t {
@@ -38,7 +38,7 @@
   bytes_unread,         ///< the peer has sent bytes that were not read
   process_ended,        ///< the process accepts no new requests
 };
-constexpr std::size_t kReasons = static_cast<std::size_t>(Reason::process_ended) + 1;
+constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::process_ended) + 1;
 
 /// The names in the log and in /status. Part of both formats, so they stay when an enumerator is
 /// renamed.
@@ -50,22 +50,22 @@
 
 /// Before the first byte, or the last one, of a request is written to an endpoint.
 struct SendFacts {
-  bool list_lease_valid = false;
-  bool endpoint_ready = false;
-  bool same_address = false;  ///< the connection is to the endpoint's present address
-  bool client_waits = false;
-  bool in_window = false;                ///< within the time in which a retry is recognised
+  bool is_list_lease_valid = false;
+  bool is_endpoint_ready = false;
+  bool is_address_current = false;  ///< the connection is to the endpoint's present address
+  bool has_waiting_client = false;
+  bool is_in_window = false;             ///< within the time in which a retry is recognised
   std::chrono::nanoseconds time_left{};  ///< of the client's timeout
 };
 
 /// Before a further attempt of a request.
 struct RepeatFacts {
   scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-  bool parallel_allowed = false;      ///< the settings allow hedged requests
-  bool earlier_out = false;           ///< an earlier attempt is in flight
-  bool earlier_out_there = false;     ///< one is in flight at the same endpoint
-  bool earlier_may_have_run = false;  ///< an earlier attempt that has ended may have run
-  bool in_window = false;             ///< those that may have run are still recognised as such
+  bool is_hedging_allowed = false;               ///< the settings allow hedged requests
+  bool has_earlier_attempt_in_flight = false;    ///< an earlier attempt is in flight
+  bool has_earlier_attempt_at_endpoint = false;  ///< one is in flight at the same endpoint
+  bool earlier_attempt_may_have_run = false;     ///< an earlier attempt that has ended may have run
+  bool is_in_window = false;  ///< those that may have run are still recognised as such
 };
 
 /// Before this process closes a client's connection by its own choice.
@@ -78,7 +78,7 @@
 /// Before a request is accepted.
 struct StartFacts {
   Phase phase = Phase::serving;
-  bool client_waits = true;
+  bool has_waiting_client = true;
 };
 
 class SendPermit;
@@ -119,7 +119,7 @@
 Verdict may_start(const StartFacts& facts);
 
 /// Counts how often each operation was forbidden, by reason.
-class Refusals {
+class RefusalCounts {
  public:
   void count(Operation operation, Reason reason) {
     ++counts_[index(operation)][static_cast<std::size_t>(reason)];
@@ -131,7 +131,7 @@
  private:
   static std::size_t index(Operation operation) { return static_cast<std::size_t>(operation); }
 
-  std::array<std::array<std::uint64_t, kReasons>, kOperations> counts_{};
+  std::array<std::array<std::uint64_t, kReasonCount>, kOperationCount> counts_{};
 };
 
 }  // namespace keelflow::operation_guard
--- a/node/admin/status_report.cpp
+++ b/node/admin/status_report.cpp
@@ -52,7 +52,7 @@
   json all = json::object();
   for (Operation operation :
        {Operation::send, Operation::repeat, Operation::close, Operation::start}) {
-    for (std::size_t i = 1; i < operation_guard::kReasons; ++i) {
+    for (std::size_t i = 1; i < operation_guard::kReasonCount; ++i) {
       auto reason = static_cast<Reason>(i);
       auto count = from_.engine.refusals().of(operation, reason);
       if (count > 0)
--- a/node/core/attempt_tracker.cpp
+++ b/node/core/attempt_tracker.cpp
@@ -143,12 +143,13 @@
   operation_guard::RepeatFacts facts{
       .idempotency =
           settings_.classes.at(static_cast<std::size_t>(request.job.class_index)).idempotency,
-      .parallel_allowed = settings_.concurrent_attempts,
-      .in_window = timers_.now() <= write_deadline(request)};
+      .is_hedging_allowed = settings_.concurrent_attempts,
+      .is_in_window = timers_.now() <= write_deadline(request)};
   for (const Attempt& a : request.attempts) {
-    facts.earlier_out = facts.earlier_out || a.is_open();
-    facts.earlier_out_there = facts.earlier_out_there || (a.is_open() && a.endpoint == endpoint);
-    facts.earlier_may_have_run = facts.earlier_may_have_run || a.may_have_run;
+    facts.has_earlier_attempt_in_flight = facts.has_earlier_attempt_in_flight || a.is_open();
+    facts.has_earlier_attempt_at_endpoint =
+        facts.has_earlier_attempt_at_endpoint || (a.is_open() && a.endpoint == endpoint);
+    facts.earlier_attempt_may_have_run = facts.earlier_attempt_may_have_run || a.may_have_run;
   }
   return operation_guard::may_repeat(facts);
 }
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -112,7 +112,7 @@
   RequestId id = requests_.next_id();
   auto phase = last_answer_ <= timers_.now() ? operation_guard::Phase::ended
                                              : operation_guard::Phase::serving;
-  auto verdict = operation_guard::may_start({.phase = phase, .client_waits = true});
+  auto verdict = operation_guard::may_start({.phase = phase, .has_waiting_client = true});
   if (!verdict.allowed()) {  // nobody would be there to answer it any more
     refusals_.count(operation_guard::Operation::start, verdict.reason());
     reject_at_once(job, sink);
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -63,7 +63,7 @@
   void allow_sends(bool allowed) { pools_.allow_sends(allowed); }
   /// Whether its client still waits for its final answer.
   bool is_client_waiting(RequestId id) const;
-  const operation_guard::Refusals& refusals() const { return refusals_; }
+  const operation_guard::RefusalCounts& refusals() const { return refusals_; }
   void count_refusal(operation_guard::Operation operation, operation_guard::Reason reason) {
     refusals_.count(operation, reason);
   }
@@ -146,7 +146,7 @@
   invariants::Monitor* monitor_ = nullptr;
   PeerSender* peers_ = nullptr;
   std::function<void(const std::string&)> send_to_sibling_;
-  operation_guard::Refusals refusals_;
+  operation_guard::RefusalCounts refusals_;
   TimePoint last_answer_ = TimePoint::max();
   std::size_t pending_ = 0;
 };
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -61,13 +61,13 @@
     return false;
   switch (message->kind) {
     case Kind::question:
-      send(peer, has_watch_() ? Kind::has_watch : Kind::has_none);
+      send(peer, has_watch_() ? Kind::has_watch : Kind::has_no_watch);
       return true;
     case Kind::has_watch:
       presumption_.peer_has_watch(loop_.now());
       break;
-    case Kind::has_none:
-      presumption_.peer_has_none(loop_.now());
+    case Kind::has_no_watch:
+      presumption_.peer_has_no_watch(loop_.now());
       break;
   }
   on_answer_();
--- a/node/lifecycle/derived_settings.cpp
+++ b/node/lifecycle/derived_settings.cpp
@@ -16,7 +16,7 @@
 discovery::LeaseTerms lease_terms(const scheduler::Settings& settings) {
   return {.pushed = !settings.polls_list,
           .drain_grace = from_ms(settings.drain_grace_ms),
-          .ask_within = from_ms(settings.poll_within_ms)};
+          .poll_deadline = from_ms(settings.poll_within_ms)};
 }
 
 invariants::Terms monitor_terms(const scheduler::Settings& settings) {
--- a/node/lifecycle/graceful_shutdown.cpp
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -38,7 +38,7 @@
     parts_.engine.set_last_answer(begun + last_answer());
   });
   parts_.loop.at(begun + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
-  if (handover::leaves_accepting(true, callbacks_.has_successor()))
+  if (handover::should_stop_accepting(true, callbacks_.has_successor()))
     drain();
 }
 
--- a/node/lifecycle/process_upgrade.cpp
+++ b/node/lifecycle/process_upgrade.cpp
@@ -24,7 +24,7 @@
     handover_ = std::make_unique<Handover>(parts_.loop, folder, parts_.config.name,
                                            handover_callbacks(), parts_.counters);
   succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()), handover_ && handover_->ask());
-  parts_.loop.at(parts_.clock.at(succession_->latest()), callbacks_.serve_if_ready);
+  parts_.loop.at(parts_.clock.at(succession_->latest_ready_ms()), callbacks_.serve_if_ready);
 }
 
 Handover::Callbacks ProcessUpgrade::handover_callbacks() {
@@ -68,7 +68,7 @@
 // What discovery has to send follows at once, in this iteration of the loop or the next.
 void ProcessUpgrade::on_watch_established() {
   parts_.loop.at(parts_.loop.now() + kListArrives, [this] {
-    succession_->listed();
+    succession_->endpoint_list_received();
     callbacks_.serve_if_ready();
   });
 }
@@ -102,15 +102,15 @@
     learned_.push_back(from_json(state, parts_.config.names));
   // Of the endpoints on the list that the platform keeps; of the others when they are listed.
   parts_.engine.restore(learned_);
-  succession_->answered();
+  succession_->state_received();
   log::info(Subsystem::node, "taken-over", {{"out", message.at("out").size()}});
   callbacks_.serve_if_ready();
 }
 
 void ProcessUpgrade::on_sibling(bool is_here) {
   log::info(Subsystem::node, is_here ? "partner-here" : "partner-gone");
-  parts_.server.limit(handover::part(limits_.inbound, is_here));
-  parts_.connections.most_idle(handover::part(limits_.idle_outbound, is_here));
+  parts_.server.limit(handover::share_of_limit(limits_.inbound, is_here));
+  parts_.connections.most_idle(handover::share_of_limit(limits_.idle_outbound, is_here));
   if (is_here) {
     parts_.engine.set_sibling(
         [this](const std::string& update) { handover_->send_load_update(update); });
@@ -120,7 +120,7 @@
   has_successor_ = false;
   parts_.server.accepting(true);
   if (succession_)
-    succession_->gone();
+    succession_->predecessor_ended();
   callbacks_.serve_if_ready();
 }
 
--- a/node/lifecycle/process_upgrade.h
+++ b/node/lifecycle/process_upgrade.h
@@ -81,7 +81,7 @@
   Limits limits_;
   Callbacks callbacks_;
   std::unique_ptr<Handover> handover_;
-  std::optional<handover::Succession> succession_;
+  std::optional<handover::TakeoverReadiness> succession_;
   std::vector<scheduler::LearnedState> learned_;  // by the old process
   bool has_successor_ = false;
 };
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -70,12 +70,13 @@
 operation_guard::SendVerdict OutboundCall::may_send() const {
   TimePoint now = owner_.loop_.now();
   const Destination* endpoint = owner_.destinations_.find(endpoint_);
-  return operation_guard::may_send({.list_lease_valid = owner_.destinations_.may_send_by_list(),
-                                    .endpoint_ready = endpoint && endpoint->accepts_new_work(),
-                                    .same_address = endpoint && endpoint->dial == dial_,
-                                    .client_waits = owner_.engine_.is_client_waiting(ref_.request),
-                                    .in_window = now <= terms_.write_by,
-                                    .time_left = terms_.until - now});
+  return operation_guard::may_send(
+      {.is_list_lease_valid = owner_.destinations_.may_send_by_list(),
+       .is_endpoint_ready = endpoint && endpoint->accepts_new_work(),
+       .is_address_current = endpoint && endpoint->dial == dial_,
+       .has_waiting_client = owner_.engine_.is_client_waiting(ref_.request),
+       .is_in_window = now <= terms_.write_by,
+       .time_left = terms_.until - now});
 }
 
 void OutboundCall::withhold(operation_guard::Reason reason) {
--- a/tests/logic/list_lease_test.cpp
+++ b/tests/logic/list_lease_test.cpp
@@ -18,8 +18,8 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kGrace = 500ms, kMaxWriteDelay = 150ms;
-const LeaseTerms kAsked{.pushed = false, .drain_grace = kGrace, .ask_within = 30s};
-const LeaseTerms kPushed{.pushed = true, .drain_grace = kGrace, .ask_within = 30s};
+const LeaseTerms kAsked{.pushed = false, .drain_grace = kGrace, .poll_deadline = 30s};
+const LeaseTerms kPushed{.pushed = true, .drain_grace = kGrace, .poll_deadline = 30s};
 const TimePoint kStart{1h};
 
 TEST(ListLease, ANewLeaseIsNotValid) {
@@ -71,7 +71,7 @@
 }
 
 TEST(ListLease, WithoutAWatchItExpiresWithinThePollInterval) {
-  ListLease lease({.pushed = false, .drain_grace = kGrace, .ask_within = 2s});
+  ListLease lease({.pushed = false, .drain_grace = kGrace, .poll_deadline = 2s});
   lease.current_as_of(kStart);
   lease.watch_closed(kStart + 1s);
   EXPECT_LE(lease.until(), kStart + 2s);
@@ -204,14 +204,14 @@
   EXPECT_FALSE(outage.until(kStart));
   outage.call_rejected(kStart - 2s, kStart);
   EXPECT_FALSE(outage.until(kStart)) << "without answers of peers nothing is presumed";
-  outage.peer_has_none(kStart);
+  outage.peer_has_no_watch(kStart);
   EXPECT_TRUE(outage.until(kStart));
   EXPECT_FALSE(outage.until(kStart + 3s)) << "the answers of the peers have expired";
 }
 
 TEST(OutagePresumption, AnImmediateRejectionIsNoEvidence) {
   OutagePresumption outage;
-  outage.peer_has_none(kStart);
+  outage.peer_has_no_watch(kStart);
   outage.call_rejected(kStart - 10ms, kStart);
   EXPECT_FALSE(outage.until(kStart));
 }
@@ -219,18 +219,18 @@
 TEST(OutagePresumption, OnePeerWithAWatchEndsIt) {
   OutagePresumption outage;
   outage.call_rejected(kStart - 2s, kStart);
-  outage.peer_has_none(kStart);
+  outage.peer_has_no_watch(kStart);
   outage.peer_has_watch(kStart);
-  outage.peer_has_none(kStart + 1s);
+  outage.peer_has_no_watch(kStart + 1s);
   EXPECT_FALSE(outage.until(kStart + 1s));
   outage.call_rejected(kStart + 1s, kStart + 3s);
-  outage.peer_has_none(kStart + 3s);
+  outage.peer_has_no_watch(kStart + 3s);
   EXPECT_TRUE(outage.until(kStart + 3s)) << "a further outage";
 }
 
 TEST(WatchMessage, RoundTripsAndRejectsOtherBytes) {
   using Kind = WatchMessage::Kind;
-  for (Kind kind : {Kind::question, Kind::has_watch, Kind::has_none}) {
+  for (Kind kind : {Kind::question, Kind::has_watch, Kind::has_no_watch}) {
     std::string bytes = encode({kind});
     ASSERT_TRUE(decode_watch_message(bytes));
     EXPECT_EQ(decode_watch_message(bytes)->kind, kind);
--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -13,11 +13,11 @@
 using namespace std::chrono_literals;
 using scheduler::Idempotency;
 
-const SendFacts kSend{.list_lease_valid = true,
-                      .endpoint_ready = true,
-                      .same_address = true,
-                      .client_waits = true,
-                      .in_window = true,
+const SendFacts kSend{.is_list_lease_valid = true,
+                      .is_endpoint_ready = true,
+                      .is_address_current = true,
+                      .has_waiting_client = true,
+                      .is_in_window = true,
                       .time_left = 1ms};
 
 TEST(OperationGuard, ASendIsForbiddenByEachOfItsFacts) {
@@ -25,23 +25,23 @@
   const std::vector<std::pair<Reason, std::function<void(SendFacts&)>>> faults = {
       {Reason::list_lease_expired,
        [](SendFacts& f) {
-         f.list_lease_valid = false;
+         f.is_list_lease_valid = false;
        }},
       {Reason::endpoint_not_ready,
        [](SendFacts& f) {
-         f.endpoint_ready = false;
+         f.is_endpoint_ready = false;
        }},
       {Reason::endpoint_moved,
        [](SendFacts& f) {
-         f.same_address = false;
+         f.is_address_current = false;
        }},
       {Reason::client_disconnected,
        [](SendFacts& f) {
-         f.client_waits = false;
+         f.has_waiting_client = false;
        }},
       {Reason::window_expired,
        [](SendFacts& f) {
-         f.in_window = false;
+         f.is_in_window = false;
        }},
       {Reason::deadline_passed, [](SendFacts& f) {
          f.time_left = 0ms;
@@ -55,38 +55,41 @@
 
 TEST(OperationGuard, AnExpiredLeaseIsReportedOnlyWhenNothingElseForbidsASend) {
   SendFacts facts = kSend;
-  facts.list_lease_valid = facts.endpoint_ready = false;
+  facts.is_list_lease_valid = facts.is_endpoint_ready = false;
   EXPECT_EQ(may_send(facts).reason(), Reason::endpoint_not_ready) << "it would wait in vain";
 }
 
 TEST(OperationGuard, ANonIdempotentRequestThatMayHaveRunIsNotRepeated) {
   for (bool in_flight : {false, true}) {
     RepeatFacts facts{.idempotency = Idempotency::non_idempotent,
-                      .parallel_allowed = true,
-                      .earlier_out = in_flight,
-                      .earlier_may_have_run = !in_flight,
-                      .in_window = true};
+                      .is_hedging_allowed = true,
+                      .has_earlier_attempt_in_flight = in_flight,
+                      .earlier_attempt_may_have_run = !in_flight,
+                      .is_in_window = true};
     EXPECT_EQ(may_repeat(facts).reason(), Reason::may_have_run);
   }
-  EXPECT_TRUE(may_repeat({.idempotency = Idempotency::non_idempotent, .in_window = true}).allowed())
+  EXPECT_TRUE(
+      may_repeat({.idempotency = Idempotency::non_idempotent, .is_in_window = true}).allowed())
       << "it never ran";
 }
 
 TEST(OperationGuard, ARequestWithAnIdempotencyKeyIsRepeatedOnlyWithinItsWindow) {
   RepeatFacts facts{.idempotency = Idempotency::idempotent_with_key,
-                    .earlier_may_have_run = true,
-                    .in_window = true};
+                    .earlier_attempt_may_have_run = true,
+                    .is_in_window = true};
   EXPECT_TRUE(may_repeat(facts).allowed());
-  facts.in_window = false;
+  facts.is_in_window = false;
   EXPECT_EQ(may_repeat(facts).reason(), Reason::window_expired);
 }
 
 TEST(OperationGuard, AHedgedAttemptNeedsPermissionAndAnotherEndpoint) {
-  RepeatFacts facts{.idempotency = Idempotency::idempotent, .earlier_out = true, .in_window = true};
+  RepeatFacts facts{.idempotency = Idempotency::idempotent,
+                    .has_earlier_attempt_in_flight = true,
+                    .is_in_window = true};
   EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_in_flight);
-  facts.parallel_allowed = true;
+  facts.is_hedging_allowed = true;
   EXPECT_TRUE(may_repeat(facts).allowed());
-  facts.earlier_out_there = true;
+  facts.has_earlier_attempt_at_endpoint = true;
   EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_in_flight);
 }
 
@@ -100,11 +103,11 @@
 TEST(OperationGuard, NoRequestIsStartedAtTheEndOrForADisconnectedClient) {
   EXPECT_TRUE(may_start({.phase = Phase::draining}).allowed());
   EXPECT_EQ(may_start({.phase = Phase::ended}).reason(), Reason::process_ended);
-  EXPECT_EQ(may_start({.client_waits = false}).reason(), Reason::client_disconnected);
+  EXPECT_EQ(may_start({.has_waiting_client = false}).reason(), Reason::client_disconnected);
 }
 
 TEST(OperationGuard, RefusalsAreCountedByOperationAndReason) {
-  Refusals refusals;
+  RefusalCounts refusals;
   refusals.count(Operation::send, Reason::client_disconnected);
   refusals.count(Operation::send, Reason::client_disconnected);
   EXPECT_EQ(refusals.of(Operation::send, Reason::client_disconnected), 2u);
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -93,29 +93,29 @@
             3u);
 }
 
-TEST(Succession, WaitsForTheElderAndForDiscoveryAndForNobodyForever) {
-  handover::Succession alone(1000, false);
+TEST(TakeoverReadiness, WaitsForTheElderAndForDiscoveryAndForNobodyForever) {
+  handover::TakeoverReadiness alone(1000, false);
   EXPECT_EQ(alone.waits_for(1000), "");
-  handover::Succession both(1000, true);
+  handover::TakeoverReadiness both(1000, true);
   EXPECT_NE(both.waits_for(1000), "");
-  both.listed();
+  both.endpoint_list_received();
   EXPECT_NE(both.waits_for(1100), "");
-  both.answered();
+  both.state_received();
   EXPECT_EQ(both.waits_for(1100), "");
-  handover::Succession silent(1000, true);
-  silent.listed();
-  EXPECT_NE(silent.waits_for(1000 + handover::kAnswerWithin - 1), "");
-  EXPECT_EQ(silent.waits_for(silent.latest()), "");
-  handover::Succession dead(1000, true);
-  dead.gone();
+  handover::TakeoverReadiness silent(1000, true);
+  silent.endpoint_list_received();
+  EXPECT_NE(silent.waits_for(1000 + handover::kStateTimeoutMs - 1), "");
+  EXPECT_EQ(silent.waits_for(silent.latest_ready_ms()), "");
+  handover::TakeoverReadiness dead(1000, true);
+  dead.predecessor_ended();
   EXPECT_NE(dead.waits_for(1001), "");
-  EXPECT_EQ(dead.waits_for(dead.latest()), "");
+  EXPECT_EQ(dead.waits_for(dead.latest_ready_ms()), "");
 }
 
-TEST(Succession, AnElderLeavesTheSocketOnlyToOneThatIsReady) {
-  EXPECT_FALSE(handover::leaves_accepting(true, false));
-  EXPECT_FALSE(handover::leaves_accepting(false, true));
-  EXPECT_TRUE(handover::leaves_accepting(true, true));
+TEST(TakeoverReadiness, AnElderLeavesTheSocketOnlyToOneThatIsReady) {
+  EXPECT_FALSE(handover::should_stop_accepting(true, false));
+  EXPECT_FALSE(handover::should_stop_accepting(false, true));
+  EXPECT_TRUE(handover::should_stop_accepting(true, true));
 }
 
 }  // namespace
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -299,7 +299,7 @@
     discovery::CallSchedule schedule(policy);
     discovery::LeaseTerms terms{.pushed = policy.pushed,
                                 .drain_grace = std::chrono::milliseconds(draw.below(2000)),
-                                .ask_within = std::chrono::milliseconds(draw.below(9000))};
+                                .poll_deadline = std::chrono::milliseconds(draw.below(9000))};
     discovery::ListLease lease(terms);
     discovery::OutagePresumption outage;
     discovery::TimePoint now{std::chrono::seconds(1000)};
@@ -339,7 +339,7 @@
           outage.call_rejected(now - std::chrono::milliseconds(draw.below(3000)), now);
           break;
         case 12:
-          draw.chance(0.3) ? outage.peer_has_watch(now) : outage.peer_has_none(now);
+          draw.chance(0.3) ? outage.peer_has_watch(now) : outage.peer_has_no_watch(now);
           break;
         default:
           if (draw.chance(0.2))
