--- a/bench/bench_routes.cpp
+++ b/bench/bench_routes.cpp
@@ -48,7 +48,7 @@
       moves.resize(1);
       moves[0].name = "m", moves[0].route = "all", moves[0].from = "old", moves[0].to = "new";
       moves[0].steps = {50, 100};
-      moves[0].least_ms = 1e9, moves[0].most_ms = 2e9;
+      moves[0].min_duration_ms = 1e9, moves[0].max_duration_ms = 2e9;
     }
     traffic_.configure(spec, moves);
     scheduler::EndpointList list;
--- a/bench/moves_table.cpp
+++ b/bench/moves_table.cpp
@@ -32,9 +32,9 @@
     MoveSpec spec;
     spec.name = "m", spec.route = "r", spec.from = "old", spec.to = "new";
     spec.steps = {10, 25, 50, 100};
-    spec.least_ms = 5'000;
-    spec.most_ms = 600'000;
-    spec.least_answers = 40;
+    spec.min_duration_ms = 5'000;
+    spec.max_duration_ms = 600'000;
+    spec.min_answers = 40;
     Move move(spec);
     PoolView fine{.ready = 6, .warm = 6, .draining = 0, .capacity = 6};
     double now = 1e12;
--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -7,8 +7,8 @@
 namespace keelflow::moves {
 namespace {
 
-constexpr std::uint64_t kLeastBlocks = 8;       // fewer say nothing of how answers hang together
-constexpr std::uint64_t kLeastTrialBlocks = 5;  // of the trial's, before anything is concluded
+constexpr std::uint64_t kMinBlocks = 8;       // fewer say nothing of how answers hang together
+constexpr std::uint64_t kMinTrialBlocks = 5;  // of the trial's, before anything is concluded
 
 double normal_cdf(double z) {
   return 0.5 * std::erfc(-z / std::sqrt(2.0));
@@ -22,20 +22,21 @@
   return (low + high) / 2;
 }
 
-double independent(double in_time, double asked, double in_time2, double both, double asked2,
-                   std::uint64_t answers) {
+double independent_variance(double in_time, double asked, double in_time_squared,
+                            double in_time_by_asked, double asked_squared, std::uint64_t answers) {
   double mean = asked / static_cast<double>(answers);
   double total = asked + 2 * mean, ratio = (in_time + mean) / total;
-  double squares = in_time2 - 2 * ratio * both + ratio * ratio * asked2;  // sum of (x - ratio n)^2
-  squares += mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);   // the made-up two
+  double squares = in_time_squared - 2 * ratio * in_time_by_asked +
+                   ratio * ratio * asked_squared;                        // sum of (x - ratio n)^2
+  squares += mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the made-up two
   return squares / (total * total);
 }
 
 }  // namespace
 
 void Comparison::Sums::operator+=(const Sums& o) {
-  asked += o.asked, in_time += o.in_time, in_time2 += o.in_time2, both += o.both,
-      asked2 += o.asked2;
+  asked += o.asked, in_time += o.in_time, in_time_squared += o.in_time_squared,
+      in_time_by_asked += o.in_time_by_asked, asked_squared += o.asked_squared;
   answers += o.answers;
 }
 
@@ -58,8 +59,9 @@
 double Comparison::Totals::variance(double r0, double r1) const {
   double alone = 0;
   for (const Sums& s : arms)
-    alone += independent(s.in_time, s.asked, s.in_time2, s.both, s.asked2, s.answers);
-  if (count < kLeastBlocks)
+    alone += independent_variance(s.in_time, s.asked, s.in_time_squared, s.in_time_by_asked,
+                                  s.asked_squared, s.answers);
+  if (count < kMinBlocks)
     return alone;
   double n0 = arms[0].asked, n1 = arms[1].asked;
   double own0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
@@ -90,17 +92,17 @@
 }
 
 // What the trial pool lacks in a block against the control's share as known so far.
-double Comparison::against_trial(const Block& b) const {
+double Comparison::trial_shortfall(const Block& b) const {
   const Sums& control = kept_.arms[0];
-  double usual = control.asked > 0 ? control.in_time / control.asked : 1;
-  return b[1].asked * usual - b[1].in_time;
+  double control_ratio = control.asked > 0 ? control.in_time / control.asked : 1;
+  return b[1].asked * control_ratio - b[1].in_time;
 }
 
 // The block goes to the worst ones if it is worse than one of them, which then goes to the others.
 void Comparison::close_block() {
   trial_blocks_ += open_[1].answers > 0;
   for (Block& worst : worst_)
-    if (against_trial(open_) > against_trial(worst))
+    if (trial_shortfall(open_) > trial_shortfall(worst))
       std::swap(open_, worst);
   kept_ += open_;
   open_ = {};
@@ -141,12 +143,12 @@
 }
 
 bool Comparison::worse(const Estimate& e) const {
-  return e.blocks >= kLeastTrialBlocks && e.trimmed_loss > settings_.margin &&
+  return e.blocks >= kMinTrialBlocks && e.trimmed_loss > settings_.margin &&
          e.log_evidence >= -std::log(settings_.false_alarm);
 }
 
 bool Comparison::no_worse(const Estimate& e) const {
-  return e.blocks >= kLeastTrialBlocks && e.loss + miss_quantile_ * e.error < settings_.worse;
+  return e.blocks >= kMinTrialBlocks && e.loss + miss_quantile_ * e.error < settings_.worse;
 }
 
 }  // namespace keelflow::moves
--- a/logic/moves/comparison.h
+++ b/logic/moves/comparison.h
@@ -53,7 +53,7 @@
  private:
   static std::size_t index(Arm arm) { return static_cast<std::size_t>(arm); }
   struct Sums {  // over answers
-    double asked = 0, in_time = 0, in_time2 = 0, both = 0, asked2 = 0;
+    double asked = 0, in_time = 0, in_time_squared = 0, in_time_by_asked = 0, asked_squared = 0;
     std::uint64_t answers = 0;
     void operator+=(const Sums& o);
   };
@@ -67,14 +67,14 @@
     void operator+=(const Block& block);
     double variance(double ratio0, double ratio1) const;
   };
-  static constexpr std::size_t kLeftOut = 2;
+  static constexpr std::size_t kDiscardedBlocks = 2;
   void close_block();
-  double against_trial(const Block& block) const;
+  double trial_shortfall(const Block& block) const;
 
   TestSettings settings_;
   double miss_quantile_;  // of settings_.miss
   Totals kept_;           // all closed blocks but the worst
-  std::array<Block, kLeftOut> worst_{};
+  std::array<Block, kDiscardedBlocks> worst_{};
   std::uint64_t trial_blocks_ = 0;
   std::array<std::uint64_t, 2> answers_{};
   Block open_{};
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -9,13 +9,13 @@
 namespace keelflow::moves {
 namespace {
 
-constexpr std::size_t kMostHistory = 64;
+constexpr std::size_t kMaxHistory = 64;
 // What a jump leaves queued is served late for a while after it; at most about as long as clients
 // wait and ask again.
-constexpr double kSettleMs = 6'000;
-constexpr double kClearlyLess =
+constexpr double kSurgeSettleMs = 6'000;
+constexpr double kLoadToCapacityThreshold =
     0.9;  // rates are averages over two seconds, and at equal shares a toss-up
-constexpr std::uint64_t kLeastLook = 8;  // answers of each arm before anything is concluded
+constexpr std::uint64_t kMinAnswersPerArm = 8;  // answers of each arm before anything is concluded
 
 std::string percent(double share) {
   char text[32];
@@ -45,9 +45,9 @@
   switch (wait) {
     case Wait::none:
       return "";
-    case Wait::cold:
+    case Wait::slow_start:
       return "the new pool is cold";
-    case Wait::jump:
+    case Wait::surge:
       return "traffic has jumped";
     case Wait::answers:
       return "too few answers yet";
@@ -67,15 +67,15 @@
        "steps must grow");
   need(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100),
        "steps must be above 0 and end with 100");
-  need(spec.least_ms < spec.most_ms, "'least-time' must be under 'most-time'");
+  need(spec.min_duration_ms < spec.max_duration_ms, "'least-time' must be under 'most-time'");
   need(spec.control > 0 && spec.control <= 50, "'control' must be above 0 and at most 50 percent");
   need(spec.test.margin < spec.test.worse, "'margin' must be under 'worse'");
   return out;
 }
 
-Move::Move(MoveSpec spec) : spec_(std::move(spec)), comparison_(step_test()) {}
+Move::Move(MoveSpec spec) : spec_(std::move(spec)), comparison_(step_test_settings()) {}
 
-TestSettings Move::step_test() const {
+TestSettings Move::step_test_settings() const {
   TestSettings test = spec_.test;
   test.false_alarm /= static_cast<double>(std::max<std::size_t>(1, spec_.steps.size()));
   return test;
@@ -83,37 +83,38 @@
 
 // Until its last step has passed, the old pool keeps a little: without it there is nothing to
 // compare with.
-double Move::share_of(std::size_t step) const {
+double Move::capped_share(std::size_t step) const {
   return std::min(spec_.steps[step], 100 - spec_.control) / 100;
 }
 
-void Move::say(double now_ms, std::string text) {
-  fresh_.push_back({now_ms, text});
-  if (fresh_.size() > kMostHistory)
-    fresh_.erase(fresh_.begin());
+void Move::add_event(double now_ms, std::string text) {
+  pending_events_.push_back({now_ms, text});
+  if (pending_events_.size() > kMaxHistory)
+    pending_events_.erase(pending_events_.begin());
   history_.push_back({now_ms, std::move(text)});
-  if (history_.size() > kMostHistory)
+  if (history_.size() > kMaxHistory)
     history_.pop_front();
 }
 
 std::vector<Event> Move::events() {
-  return std::exchange(fresh_, {});
+  return std::exchange(pending_events_, {});
 }
 
-void Move::measure_anew(double now_ms) {
+void Move::restart_measurement(double now_ms) {
   comparison_.reset();
   last_ = {};
   measured_since_ = now_ms;
 }
 
-void Move::go(std::size_t step, double now_ms) {
+void Move::enter_step(std::size_t step, double now_ms) {
   step_ = step;
-  share_ = share_of(step);
-  step_since_ = looked_ = now_ms;
+  share_ = capped_share(step);
+  step_since_ = last_tick_ms_ = now_ms;
   set_wait(Wait::none, now_ms);
-  measure_anew(now_ms);
-  say(now_ms, "step " + std::to_string(step + 1) + " of " + std::to_string(spec_.steps.size()) +
-                  ": " + percent(share_) + " to " + spec_.to);
+  restart_measurement(now_ms);
+  add_event(now_ms, "step " + std::to_string(step + 1) + " of " +
+                        std::to_string(spec_.steps.size()) + ": " + percent(share_) + " to " +
+                        spec_.to);
 }
 
 std::string Move::start(double now_ms) {
@@ -128,9 +129,9 @@
     return "pool '" + spec_.to + "' has no ready endpoint";
   state_ = State::running;
   reason_.clear();
-  jumped_ = -1;
-  say(now_ms, "started");
-  go(0, now_ms);
+  last_surge_ms_ = -1;
+  add_event(now_ms, "started");
+  enter_step(0, now_ms);
   return "";
 }
 
@@ -138,7 +139,7 @@
   if (state_ != State::running)
     return "it is not running";
   state_ = State::paused;
-  say(now_ms, "paused at " + percent(share_));
+  add_event(now_ms, "paused at " + percent(share_));
   return "";
 }
 
@@ -146,8 +147,8 @@
   if (state_ != State::paused)
     return "it is not paused";
   state_ = State::running;
-  say(now_ms, "resumed");
-  go(step_, now_ms);
+  add_event(now_ms, "resumed");
+  enter_step(step_, now_ms);
   return "";
 }
 
@@ -162,20 +163,20 @@
   reason_ = reason;
   cool_until_ = now_ms + spec_.cool_off_ms;
   set_wait(Wait::none, now_ms);
-  say(now_ms, "undone: " + reason_);
+  add_event(now_ms, "undone: " + reason_);
   return "";
 }
 
-void Move::respec(MoveSpec spec, double now_ms) {
+void Move::update_spec(MoveSpec spec, double now_ms) {
   spec_ = std::move(spec);
-  comparison_ = Comparison(step_test());
+  comparison_ = Comparison(step_test_settings());
   if (!active())
     return;
   std::size_t step = 0;
-  while (step + 1 < spec_.steps.size() && share_of(step + 1) <= share_ + 1e-9)
+  while (step + 1 < spec_.steps.size() && capped_share(step + 1) <= share_ + 1e-9)
     ++step;
-  say(now_ms, "has new settings");
-  go(step, now_ms);
+  add_event(now_ms, "has new settings");
+  enter_step(step, now_ms);
 }
 
 void Move::pools(const PoolView& from, const PoolView& to, double now_ms) {
@@ -198,58 +199,61 @@
 }
 
 void Move::answered(Arm arm, double asked, double in_time, double arrived_ms, double now_ms) {
-  if (!active() || wait_ == Wait::cold || wait_ == Wait::jump || arrived_ms < measured_since_)
+  if (!active() || wait_ == Wait::slow_start || wait_ == Wait::surge ||
+      arrived_ms < measured_since_)
     return;
   comparison_.add(arm, asked, in_time, now_ms);
 }
 
 // Grounds on which what is measured says nothing of the new pool.
-Wait Move::hindrance(double now_ms) {
+Wait Move::measurement_blocker(double now_ms) {
   // Rule 4 holds back what cold boxes get. That is not slowness; it is waited out.
   if (2 * to_.warm < to_.ready || to_.warm == 0)
-    return Wait::cold;
+    return Wait::slow_start;
   // A jump counts against the new pool only if it has clearly less of the load than of the
   // capacity: beyond that it may look worse however good it is, and to move the load back would
   // help nobody.
-  if (!route_load_.jump() && !other_load_.jump())
-    return jumped_ >= 0 && now_ms < jumped_ + kSettleMs ? Wait::jump : Wait::none;
+  if (!route_load_.surge() && !other_load_.surge())
+    return last_surge_ms_ >= 0 && now_ms < last_surge_ms_ + kSurgeSettleMs ? Wait::surge
+                                                                           : Wait::none;
   double load = pool_load_[0].rate() + pool_load_[1].rate(),
          capacity = from_.capacity + to_.capacity;
-  bool more = capacity > 0 && load > 0 &&
-              pool_load_[1].rate() / load > kClearlyLess * to_.capacity / capacity;
-  if (more)
-    jumped_ = now_ms;
-  return more ? Wait::jump : Wait::none;
+  bool is_overloaded =
+      capacity > 0 && load > 0 &&
+      pool_load_[1].rate() / load > kLoadToCapacityThreshold * to_.capacity / capacity;
+  if (is_overloaded)
+    last_surge_ms_ = now_ms;
+  return is_overloaded ? Wait::surge : Wait::none;
 }
 
 void Move::set_wait(Wait wait, double now_ms) {
   if (wait == wait_)
     return;
-  bool blind = wait_ == Wait::cold || wait_ == Wait::jump;
+  bool was_blocked = wait_ == Wait::slow_start || wait_ == Wait::surge;
   wait_ = wait;
-  if (wait == Wait::cold || wait == Wait::jump)
-    say(now_ms, "waits: " + std::string(word(wait)));
-  else if (blind && active())
-    say(now_ms, "goes on"), measure_anew(now_ms);
+  if (wait == Wait::slow_start || wait == Wait::surge)
+    add_event(now_ms, "waits: " + std::string(word(wait)));
+  else if (was_blocked && active())
+    add_event(now_ms, "goes on"), restart_measurement(now_ms);
 }
 
 void Move::tick(double now_ms) {
   route_load_.advance(now_ms);
   other_load_.advance(now_ms);
-  for (LoadWatch& load : pool_load_)
+  for (LoadSurgeDetector& load : pool_load_)
     load.advance(now_ms);
-  double since = std::exchange(looked_, now_ms);
+  double since = std::exchange(last_tick_ms_, now_ms);
   if (!active())
     return;
-  Wait hindered = hindrance(now_ms);
-  if (hindered != Wait::none) {
+  Wait blocker = measurement_blocker(now_ms);
+  if (blocker != Wait::none) {
     step_since_ += now_ms - since;  // the step's clock stands still
-    return set_wait(hindered, now_ms);
+    return set_wait(blocker, now_ms);
   }
-  if (wait_ == Wait::cold || wait_ == Wait::jump)
+  if (wait_ == Wait::slow_start || wait_ == Wait::surge)
     set_wait(Wait::none, now_ms);
   last_ = comparison_.estimate();
-  if (std::min(last_.control_answers, last_.trial_answers) >= kLeastLook &&
+  if (std::min(last_.control_answers, last_.trial_answers) >= kMinAnswersPerArm &&
       comparison_.worse(last_)) {
     undo("in-time worth " + percent(last_.trial) + " against " + percent(last_.control) + " in '" +
              spec_.from + "' over the same time, at step " + std::to_string(step_ + 1) + " (" +
@@ -260,19 +264,20 @@
   if (state_ == State::paused)
     return;  // watched all the same
   double lasted = now_ms - step_since_;
-  bool enough = last_.trial_answers >= spec_.least_answers && last_.control_answers >= kLeastLook;
-  bool passed = lasted >= spec_.least_ms && enough && comparison_.no_worse(last_);
-  set_wait(!passed && lasted >= spec_.least_ms ? Wait::answers : Wait::none, now_ms);
+  bool enough =
+      last_.trial_answers >= spec_.min_answers && last_.control_answers >= kMinAnswersPerArm;
+  bool passed = lasted >= spec_.min_duration_ms && enough && comparison_.no_worse(last_);
+  set_wait(!passed && lasted >= spec_.min_duration_ms ? Wait::answers : Wait::none, now_ms);
   if (!passed) {
-    if (lasted >= spec_.most_ms)
+    if (lasted >= spec_.max_duration_ms)
       undo("step " + std::to_string(step_ + 1) + " stayed undecided", now_ms);
     return;
   }
   if (step_ + 1 < spec_.steps.size())
-    return go(step_ + 1, now_ms);
+    return enter_step(step_ + 1, now_ms);
   state_ = State::done;
   share_ = 1;
-  say(now_ms, "done: all traffic of route '" + spec_.route + "' goes to " + spec_.to);
+  add_event(now_ms, "done: all traffic of route '" + spec_.route + "' goes to " + spec_.to);
 }
 
 }  // namespace keelflow::moves
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -17,9 +17,9 @@
 struct MoveSpec {
   std::string name, route, from, to;
   std::vector<double> steps = {1, 5, 10, 25, 50, 100};  // percent, growing
-  double least_ms = 30'000;                             // a step lasts at least so long
-  double most_ms = 1'800'000;                           // one that is undecided by then is undone
-  std::uint64_t least_answers = 200;                    // of the new pool, in a step
+  double min_duration_ms = 30'000;                      // a step lasts at least so long
+  double max_duration_ms = 1'800'000;                   // one that is undecided by then is undone
+  std::uint64_t min_answers = 200;                      // of the new pool, in a step
   double cool_off_ms = 600'000;                         // after an undo, before it may start again
   double control = 5;  // percent that the old pool keeps until the last step has passed
   TestSettings test;   // false_alarm is that of the whole move; the steps share it
@@ -27,7 +27,12 @@
 std::vector<std::string> faults(const MoveSpec& spec);
 
 enum class State : std::uint8_t { idle, running, paused, undone, done };
-enum class Wait : std::uint8_t { none, cold, jump, answers };  // why a running move does not go on
+enum class Wait : std::uint8_t {
+  none,
+  slow_start,
+  surge,
+  answers
+};  // why a running move does not go on
 std::string_view word(State state);
 std::string_view word(Wait wait);
 
@@ -54,7 +59,7 @@
 
   // Another Spec of the same name, route and pools: a running move goes on at the nearest step not
   // above its share.
-  void respec(MoveSpec spec, double now_ms);
+  void update_spec(MoveSpec spec, double now_ms);
 
   void pools(const PoolView& from, const PoolView& to, double now_ms);
   void arrived(Arm pool, bool of_route, double now_ms);
@@ -66,7 +71,7 @@
 
   double share() const { return share_; }  // of `to`, 0 to 1
   State state() const { return state_; }
-  Wait waits() const { return wait_; }
+  Wait wait_reason() const { return wait_; }
   std::size_t step() const { return step_; }
   double step_since() const { return step_since_; }
   double cool_until() const { return state_ == State::undone ? cool_until_ : 0; }
@@ -80,30 +85,30 @@
   const std::deque<Event>& history() const { return history_; }
 
  private:
-  void go(std::size_t step, double now_ms);
-  void measure_anew(double now_ms);
+  void enter_step(std::size_t step, double now_ms);
+  void restart_measurement(double now_ms);
   void set_wait(Wait wait, double now_ms);
-  Wait hindrance(double now_ms);
-  void say(double now_ms, std::string text);
-  double share_of(std::size_t step) const;
-  TestSettings step_test() const;
+  Wait measurement_blocker(double now_ms);
+  void add_event(double now_ms, std::string text);
+  double capped_share(std::size_t step) const;
+  TestSettings step_test_settings() const;
 
   MoveSpec spec_;
   Comparison comparison_;
-  LoadWatch route_load_,
+  LoadSurgeDetector route_load_,
       other_load_;  // the route's requests; those of other routes to the new pool
-  LoadWatch pool_load_[2];
+  LoadSurgeDetector pool_load_[2];
   PoolView from_, to_;
   State state_ = State::idle;
   Wait wait_ = Wait::none;
   std::size_t step_ = 0;
-  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, looked_ = 0,
-         jumped_ = -1;
+  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, last_tick_ms_ = 0,
+         last_surge_ms_ = -1;
   Estimate last_;
   std::string reason_;
   std::uint64_t undos_ = 0;
   bool pools_known_ = false;
-  std::vector<Event> fresh_;
+  std::vector<Event> pending_events_;
   std::deque<Event> history_;
 };
 
--- a/logic/plugins/breaker.cpp
+++ b/logic/plugins/breaker.cpp
@@ -21,46 +21,47 @@
   return "";
 }
 
-void Breaker::good(double now_ms) {
-  trying_ = false;
-  if (state_ == State::closed && now_ms >= closed_since_ + s_.calm_ms)
-    turns_ = 0;
-  if (state_ != State::trial || ++goods_ < s_.good_trials)
+void Breaker::add_success(double now_ms) {
+  trial_call_pending_ = false;
+  if (state_ == State::closed && now_ms >= closed_since_ + s_.backoff_reset_ms)
+    openings_ = 0;
+  if (state_ != State::trial || ++trial_successes_ < s_.required_trial_successes)
     return;
   state_ = State::closed;
   closed_since_ = now_ms;
-  strikes_ = 0;
+  failures_ = 0;
 }
 
-bool Breaker::strike(double now_ms) {
-  trying_ = false;
+bool Breaker::add_failure(double now_ms) {
+  trial_call_pending_ = false;
   if (state_ == State::trial)
     return open(now_ms), true;
   if (state_ != State::closed)
     return false;
-  if (strikes_ == 0 || now_ms > first_strike_ + s_.window_ms)
-    strikes_ = 0, first_strike_ = now_ms;
-  if (++strikes_ < s_.strikes)
+  if (failures_ == 0 || now_ms > first_failure_ms_ + s_.window_ms)
+    failures_ = 0, first_failure_ms_ = now_ms;
+  if (++failures_ < s_.failures)
     return false;
   open(now_ms);
   return true;
 }
 
-void Breaker::died(double now_ms) {
-  trying_ = false;
+void Breaker::host_died(double now_ms) {
+  trial_call_pending_ = false;
   if (state_ != State::disabled)
     open(now_ms);
 }
 
 void Breaker::open(double now_ms) {
-  if (state_ == State::closed && now_ms >= closed_since_ + s_.calm_ms)
-    turns_ = 0;
-  ++turns_;
-  strikes_ = 0;
-  state_ = turns_ >= s_.give_up ? State::out : State::open;
+  if (state_ == State::closed && now_ms >= closed_since_ + s_.backoff_reset_ms)
+    openings_ = 0;
+  ++openings_;
+  failures_ = 0;
+  state_ = openings_ >= s_.give_up ? State::out : State::open;
   double wait = state_ == State::out
                     ? s_.out_ms
-                    : std::min(s_.most_ms, s_.first_ms * std::exp2(std::min(turns_ - 1, 30)));
+                    : std::min(s_.max_duration_ms,
+                               s_.initial_backoff_ms * std::exp2(std::min(openings_ - 1, 30)));
   until_ = now_ms + wait * (1 + s_.jitter * std::uniform_real_distribution<double>(-1, 1)(random_));
 }
 
@@ -68,8 +69,8 @@
   if ((state_ != State::open && state_ != State::out) || now_ms < until_)
     return false;
   state_ = State::trial;
-  goods_ = 0;
-  trying_ = false;
+  trial_successes_ = 0;
+  trial_call_pending_ = false;
   return true;
 }
 
@@ -78,7 +79,7 @@
     return;
   state_ = State::open;
   until_ = now_ms;
-  turns_ = 0;
+  openings_ = 0;
 }
 
 }  // namespace keelflow::plugins
--- a/logic/plugins/holds.h
+++ b/logic/plugins/holds.h
@@ -17,14 +17,15 @@
 class Holds {
  public:
   using Id = scheduler::RequestId;
-  Holds(std::size_t most, std::size_t most_bytes) : most_(most), most_bytes_(most_bytes) {}
+  Holds(std::size_t max_count, std::size_t max_bytes)
+      : max_count_(max_count), max_bytes_(max_bytes) {}
 
   // Those that must go on now to make room, the oldest first; perhaps this one itself.
   std::vector<Id> add(Id id, std::size_t bytes, double until_ms) {
-    if (most_ == 0 || bytes > most_bytes_)
+    if (max_count_ == 0 || bytes > max_bytes_)
       return ++pushed_out_, std::vector<Id>{id};
     std::vector<Id> out;
-    while (held_.size() >= most_ || bytes_ + bytes > most_bytes_) {
+    while (held_.size() >= max_count_ || bytes_ + bytes > max_bytes_) {
       out.push_back(by_age_.begin()->second);
       remove(out.back());
       ++pushed_out_;
@@ -66,10 +67,10 @@
   }
 
   // Other bounds from now on; those that no longer fit, the oldest first.
-  std::vector<Id> bound(std::size_t most, std::size_t most_bytes) {
-    most_ = most, most_bytes_ = most_bytes;
+  std::vector<Id> set_limits(std::size_t max_count, std::size_t max_bytes) {
+    max_count_ = max_count, max_bytes_ = max_bytes;
     std::vector<Id> out;
-    while (held_.size() > most_ || bytes_ > most_bytes_) {
+    while (held_.size() > max_count_ || bytes_ > max_bytes_) {
       out.push_back(by_age_.begin()->second);
       remove(out.back());
       ++pushed_out_;
@@ -90,7 +91,7 @@
     double until = 0;
     std::uint64_t age = 0;
   };
-  std::size_t most_, most_bytes_, bytes_ = 0;
+  std::size_t max_count_, max_bytes_, bytes_ = 0;
   std::uint64_t last_ = 0, pushed_out_ = 0;
   std::map<Id, Held> held_;
   std::map<std::uint64_t, Id> by_age_;
--- a/logic/plugins/verdict.cpp
+++ b/logic/plugins/verdict.cpp
@@ -6,37 +6,39 @@
 namespace keelflow::plugins {
 namespace {
 
-double sane(double value, double otherwise) {
+double finite_or(double value, double otherwise) {
   return std::isfinite(value) && value >= 0 ? value : otherwise;
 }
 
 }  // namespace
 
-Combined combine(const std::vector<Said>& said, const Subject& subject, const Bounds& bounds) {
+Combined combine(const std::vector<PluginAnswer>& said, const RequestFacts& subject,
+                 const Bounds& bounds) {
   Combined out;
   for (std::size_t i = 0; i < said.size(); ++i) {
-    int place = static_cast<int>(i);
+    int index = static_cast<int>(i);
     Verdict v = said[i].verdict;
-    if (!said[i].spoke) {
+    if (!said[i].has_answered) {
       v = {};
       v.refuse = said[i].fallback == Fallback::refuse;
       v.come_back_ms = bounds.fallback_come_back_ms;
     }
     if (v.refuse && out.refused_by < 0)
-      out.refused_by = place;
+      out.refused_by = index;
     if (v.refuse)
-      out.verdict.come_back_ms = std::max(
-          out.verdict.come_back_ms, std::min(sane(v.come_back_ms, 0), bounds.most_come_back_ms));
-    if (double hold = sane(v.hold_ms, 0); hold > out.verdict.hold_ms)
-      out.verdict.hold_ms = hold, out.held_by = place;
-    if (double queue_weight = sane(v.queue_weight, 1); queue_weight > 0)
+      out.verdict.come_back_ms =
+          std::max(out.verdict.come_back_ms,
+                   std::min(finite_or(v.come_back_ms, 0), bounds.max_come_back_ms));
+    if (double hold = finite_or(v.hold_ms, 0); hold > out.verdict.hold_ms)
+      out.verdict.hold_ms = hold, out.held_by = index;
+    if (double queue_weight = finite_or(v.queue_weight, 1); queue_weight > 0)
       out.verdict.queue_weight *= queue_weight;
     if (!v.label.empty() && out.labelled_by < 0)
-      out.verdict.label = v.label, out.labelled_by = place;
+      out.verdict.label = v.label, out.labelled_by = index;
   }
   out.verdict.refuse = out.refused_by >= 0;
   out.verdict.queue_weight =
-      std::clamp(out.verdict.queue_weight, bounds.least_weigh, bounds.most_weigh);
+      std::clamp(out.verdict.queue_weight, bounds.min_queue_weight, bounds.max_queue_weight);
   if (out.verdict.hold_ms <= 0)
     return out;
   if (subject.idempotency == scheduler::Idempotency::idempotent_with_key && subject.repeat) {
@@ -44,8 +46,8 @@
     out.verdict.hold_ms = 0;
     return out;
   }
-  double most = std::max(0.0, std::min(bounds.most_hold_ms, subject.patience_ms - subject.need_ms));
-  out.hold_cut = out.verdict.hold_ms > most;
+  double most = std::max(0.0, std::min(bounds.max_hold_ms, subject.patience_ms - subject.need_ms));
+  out.hold_shortened = out.verdict.hold_ms > most;
   out.verdict.hold_ms = std::min(out.verdict.hold_ms, most);
   return out;
 }
--- a/logic/plugins/verdict.h
+++ b/logic/plugins/verdict.h
@@ -26,13 +26,13 @@
 };  // what a plug-in counts as having said that said nothing in time
 
 // One plug-in's word, in the order of the settings file. Those that were not asked are left out.
-struct Said {
-  bool spoke = false;  // else its fallback holds
+struct PluginAnswer {
+  bool has_answered = false;  // else its fallback holds
   Fallback fallback = Fallback::allow;
   Verdict verdict;
 };
 
-struct Subject {
+struct RequestFacts {
   scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   bool repeat = false;     // its client marks it as a further try
   double patience_ms = 0;  // that is left
@@ -41,14 +41,15 @@
 };
 
 struct Bounds {
-  double most_hold_ms = 2000, most_come_back_ms = 60'000, least_weigh = 1.0 / 16, most_weigh = 16;
+  double max_hold_ms = 2000, max_come_back_ms = 60'000, min_queue_weight = 1.0 / 16,
+         max_queue_weight = 16;
   double fallback_come_back_ms = 1000;  // advice of a refusal that is only a fallback
 };
 
 struct Combined {
   Verdict verdict;
   int refused_by = -1, held_by = -1, labelled_by = -1;  // places in what was handed in
-  bool hold_forbidden = false, hold_cut = false;
+  bool hold_forbidden = false, hold_shortened = false;
 };
 
 // - One refusal is enough; of several the longest time to come back counts.
@@ -57,7 +58,8 @@
 //   runs from the first try. A hold ends so early that the module has `need_ms` left.
 // - Weights multiply, within bounds. The first label counts.
 // What is no finite number, or below zero, counts as not said.
-Combined combine(const std::vector<Said>& said, const Subject& subject, const Bounds& bounds);
+Combined combine(const std::vector<PluginAnswer>& said, const RequestFacts& subject,
+                 const Bounds& bounds);
 
 struct Shape {  // of one progress event
   bool drop = false, has_label = false, has_share = false;
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -10,9 +10,10 @@
 
 namespace keelflow::routes {
 
-class KeyMemory {
+class PoolByKeyCache {
  public:
-  explicit KeyMemory(std::size_t entries) {  // rounded up to a power of two, at least one bucket
+  explicit PoolByKeyCache(
+      std::size_t entries) {  // rounded up to a power of two, at least one bucket
     std::size_t buckets = 1;
     while (buckets * kWays < entries)
       buckets *= 2;
@@ -37,11 +38,11 @@
         victim = &e;
     }
     if (victim->pool >= 0 && victim->key != key && victim->until > now_ms)
-      ++forgotten_;
+      ++evicted_live_;
     *victim = {key, until_ms, pool};
   }
 
-  std::uint64_t forgotten() const { return forgotten_; }  // that were still in force
+  std::uint64_t evicted_live() const { return evicted_live_; }  // that were still in force
   std::size_t capacity() const { return buckets_.size() * kWays; }
 
  private:
@@ -52,7 +53,7 @@
     int pool = -1;
   };
   std::vector<std::array<Entry, kWays>> buckets_;
-  std::uint64_t forgotten_ = 0;
+  std::uint64_t evicted_live_ = 0;
 };
 
 }  // namespace keelflow::routes
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -24,7 +24,7 @@
   return values.empty() || std::any_of(values.begin(), values.end(), test);
 }
 
-int place(const std::vector<std::string>& list, std::string_view name) {
+int index_of(const std::vector<std::string>& list, std::string_view name) {
   auto it = std::find(list.begin(), list.end(), name);
   return it == list.end() ? -1 : static_cast<int>(it - list.begin());
 }
@@ -40,7 +40,7 @@
     return out;
   out.resize(all.size());
   for (std::size_t i = 0; i < all.size(); ++i)
-    out[i] = place(wanted, all[i]) >= 0;
+    out[i] = index_of(wanted, all[i]) >= 0;
   return out;
 }
 
@@ -48,14 +48,14 @@
   return flags.empty() || (i >= 0 && at(i) < flags.size() && flags[at(i)]);
 }
 
-void find_doubles(const auto& things, const char* what, std::vector<std::string>& out) {
+void find_duplicates(const auto& things, const char* what, std::vector<std::string>& out) {
   std::set<std::string> seen;
   for (const auto& thing : things)
     if (!seen.insert(thing.name).second)
       out.push_back(std::string(what) + " '" + thing.name + "' is there twice");
 }
 
-bool fits_all(const RouteSpec& route) {
+bool matches_all(const RouteSpec& route) {
   return route.classes.empty() && route.tenants.empty() && route.paths.empty();
 }
 
@@ -67,12 +67,12 @@
     out.push_back("there are routes, and no pool");
   if (!spec.pools.empty() && spec.routes.empty())
     out.push_back("there are pools, and no route");
-  if (spec.pools.size() > kMostPools)
-    out.push_back("more than " + std::to_string(kMostPools) + " pools");
-  if (spec.routes.size() > kMostRoutes)
-    out.push_back("more than " + std::to_string(kMostRoutes) + " routes");
-  find_doubles(spec.pools, "pool", out);
-  find_doubles(spec.routes, "route", out);
+  if (spec.pools.size() > kMaxPools)
+    out.push_back("more than " + std::to_string(kMaxPools) + " pools");
+  if (spec.routes.size() > kMaxRoutes)
+    out.push_back("more than " + std::to_string(kMaxRoutes) + " routes");
+  find_duplicates(spec.pools, "pool", out);
+  find_duplicates(spec.routes, "route", out);
   for (std::size_t i = 0; i < spec.routes.size(); ++i) {
     const RouteSpec& route = spec.routes[i];
     double sum = 0;
@@ -91,10 +91,10 @@
     if (!(sum > 0))
       out.push_back("route '" + route.name + "' sends to no pool: its weights are all zero");
     bool last = i + 1 == spec.routes.size();
-    if (!last && fits_all(route))
+    if (!last && matches_all(route))
       out.push_back("route '" + route.name +
                     "' fits all, so that those after it are never reached");
-    if (last && !fits_all(route))
+    if (last && !matches_all(route))
       out.push_back("the last route, '" + route.name + "', must fit all: it may have no match");
   }
   return out;
@@ -102,16 +102,18 @@
 
 std::vector<std::string> unknown_names(const Spec& spec, const NameLists& names) {
   std::vector<std::string> out;
-  auto look = [&](const std::vector<std::string>& wanted, const std::vector<std::string>& all,
-                  const char* what) {
+  auto check_names = [&](const std::vector<std::string>& wanted,
+                         const std::vector<std::string>& all, const char* what) {
     for (const std::string& name : wanted)
-      if (place(all, name) < 0)
+      if (index_of(all, name) < 0)
         out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
   };
   for (const PoolSpec& pool : spec.pools)
-    look(pool.sites, names.zones, "site"), look(pool.kinds, names.kinds, "endpoint class");
+    check_names(pool.sites, names.zones, "site"),
+        check_names(pool.kinds, names.kinds, "endpoint class");
   for (const RouteSpec& route : spec.routes)
-    look(route.classes, names.classes, "class"), look(route.tenants, names.tenants, "tenant");
+    check_names(route.classes, names.classes, "class"),
+        check_names(route.tenants, names.tenants, "tenant");
   return out;
 }
 
@@ -123,7 +125,7 @@
   return static_cast<double>(hash >> 11) * 0x1p-53;
 }
 
-std::uint64_t key_of(const Query& query) {
+std::uint64_t affinity_key(const Query& query) {
   std::string_view text = query.idempotency_key.empty() ? query.id : query.idempotency_key;
   return XXH3_64bits_withSeed(text.data(), text.size(),
                               static_cast<std::uint64_t>(query.class_index) + 1);
@@ -144,7 +146,7 @@
 void Router::compile() {
   pool_numbers_.clear();
   for (const PoolSpec& p : spec_.pools)
-    pool_numbers_.push_back(place(pool_names_, p.name));
+    pool_numbers_.push_back(index_of(pool_names_, p.name));
   routes_.clear();
   for (const RouteSpec& r : spec_.routes) {
     Route route;
@@ -155,42 +157,42 @@
     for (const auto& [name, weight] : r.to)
       sum += weight;
     for (const auto& [name, weight] : r.to)
-      route.segments.push_back({place(pool_names_, name), weight / sum, 0});
-    lay_out(route);
+      route.segments.push_back({index_of(pool_names_, name), weight / sum, 0});
+    layout_segments(route);
     routes_.push_back(std::move(route));
   }
   health_.assign(pool_names_.size(), {});
 }
 
-void Router::lay_out(Route& route) {
+void Router::layout_segments(Route& route) {
   double end = 0;
   for (Segment& s : route.segments)
     s.end = end += s.weight;
   route.segments.back().end = 1;
 }
 
-std::vector<std::string> Router::numbered(const Spec& spec) const {
+std::vector<std::string> Router::numbered_names(const Spec& spec) const {
   std::vector<std::string> numbers = pool_names_;
   for (const PoolSpec& pool : spec.pools)
-    if (place(numbers, pool.name) < 0)
+    if (index_of(numbers, pool.name) < 0)
       numbers.push_back(pool.name);
   return numbers;
 }
 
 bool Router::fits(const Spec& spec) const {
-  return numbered(spec).size() <= kMostPools;
+  return numbered_names(spec).size() <= kMaxPools;
 }
 
 std::optional<Router::Lists> Router::replace(Spec spec, double now_ms) {
   if (!fits(spec))
     return std::nullopt;
-  pool_names_ = numbered(spec);
+  pool_names_ = numbered_names(spec);
   spec_ = std::move(spec);
   compile();
   for (auto& [id, endpoint] : endpoints_)
-    settle(endpoint, now_ms);
-  count(now_ms);
-  return whole();
+    assign_pool(endpoint, now_ms);
+  recount_health(now_ms);
+  return complete_list();
 }
 
 int Router::pool_for(const Endpoint& endpoint) const {
@@ -208,45 +210,46 @@
   return -1;
 }
 
-bool Router::cold(const Endpoint& endpoint, double now_ms) const {
+bool Router::in_slow_start(const Endpoint& endpoint, double now_ms) const {
   return endpoint.entry.started_at > 0 &&
          now_ms < endpoint.entry.started_at + timing_.slow_start_ms;
 }
 
-void Router::settle(Endpoint& endpoint, double now_ms) {
+void Router::assign_pool(Endpoint& endpoint, double now_ms) {
   int pool = pool_for(endpoint);
   if (endpoint.pool >= 0 && pool != endpoint.pool)
-    endpoint.joins = cold(endpoint, now_ms) ? now_ms + timing_.rest_ms : 0;
+    endpoint.joins_at_ms =
+        in_slow_start(endpoint, now_ms) ? now_ms + timing_.pool_change_delay_ms : 0;
   endpoint.pool = pool;
 }
 
 // True: the endpoint has left another pool, whose Dispatcher must be told.
-bool Router::take(EndpointEntry entry, std::string_view host, double now_ms) {
+bool Router::update_endpoint(EndpointEntry entry, std::string_view host, double now_ms) {
   auto [it, fresh] = endpoints_.try_emplace(entry.endpoint);
   Endpoint& endpoint = it->second;
   endpoint.entry = entry;
   if (!host.empty())
     endpoint.host = host;
   int before = fresh ? -1 : endpoint.pool;
-  settle(endpoint, now_ms);
+  assign_pool(endpoint, now_ms);
   return before >= 0 && endpoint.pool != before;
 }
 
 // As cached: to the module such a list is complete, and says nothing of whether discovery is being
 // watched.
-EndpointList Router::whole(int pool) const {
+EndpointList Router::complete_list(int pool) const {
   EndpointList list;
   list.scope = ListScope::cached;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.pool == pool && endpoint.joins <= 0)
+    if (endpoint.pool == pool && endpoint.joins_at_ms <= 0)
       list.entries.push_back(endpoint.entry);
   return list;
 }
 
-Router::Lists Router::whole() const {
+Router::Lists Router::complete_list() const {
   Lists out;
   for (int i = 0; i < numbers(); ++i)
-    out.emplace_back(i, whole(i));
+    out.emplace_back(i, complete_list(i));
   return out;
 }
 
@@ -273,17 +276,17 @@
       endpoints_.erase(e.endpoint);
       continue;
     }
-    bool left = take(e, host(e.endpoint), now_ms);
+    bool left = update_endpoint(e, host(e.endpoint), now_ms);
     const Endpoint& endpoint = endpoints_[e.endpoint];
     if (left && list.scope == ListScope::delta) {
       EndpointEntry gone = e;
       gone.state = EndpointState::gone;
       out[at(before)].second.entries.push_back(gone);
     }
-    if (endpoint.pool >= 0 && endpoint.joins <= 0)
+    if (endpoint.pool >= 0 && endpoint.joins_at_ms <= 0)
       out[at(endpoint.pool)].second.entries.push_back(e);
   }
-  count(now_ms);
+  recount_health(now_ms);
   if (list.scope == ListScope::delta && numbers() > 1)
     std::erase_if(out, [](const auto& told) { return told.second.entries.empty(); });
   return out;
@@ -292,42 +295,42 @@
 Router::Lists Router::due(double now_ms) {
   std::set<int> joined;
   for (auto& [id, endpoint] : endpoints_) {
-    if (endpoint.joins <= 0 || endpoint.joins > now_ms)
+    if (endpoint.joins_at_ms <= 0 || endpoint.joins_at_ms > now_ms)
       continue;
-    endpoint.joins = 0;
+    endpoint.joins_at_ms = 0;
     if (endpoint.pool >= 0)
       joined.insert(endpoint.pool);
   }
   Lists out;
   for (int pool : joined)
-    out.emplace_back(pool, whole(pool));
-  count(now_ms);
+    out.emplace_back(pool, complete_list(pool));
+  recount_health(now_ms);
   return out;
 }
 
 std::optional<double> Router::next_due() const {
   std::optional<double> next;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.joins > 0 && (!next || endpoint.joins < *next))
-      next = endpoint.joins;
+    if (endpoint.joins_at_ms > 0 && (!next || endpoint.joins_at_ms < *next))
+      next = endpoint.joins_at_ms;
   return next;
 }
 
-void Router::count(double now_ms) {
-  warms_ = std::numeric_limits<double>::infinity();
+void Router::recount_health(double now_ms) {
+  next_warm_ms_ = std::numeric_limits<double>::infinity();
   unassigned_ = 0;
   health_.assign(pool_names_.size(), {});
   for (const auto& [id, e] : endpoints_) {
     unassigned_ += e.pool < 0;
-    if (e.pool < 0 || e.joins > 0)
+    if (e.pool < 0 || e.joins_at_ms > 0)
       continue;
     Health& h = health_[at(e.pool)];
     h.draining += e.entry.state == EndpointState::draining;
     if (e.entry.state != EndpointState::ready)
       continue;
     ++h.ready;
-    if (cold(e, now_ms)) {
-      warms_ = std::min(warms_, e.entry.started_at + timing_.slow_start_ms);
+    if (in_slow_start(e, now_ms)) {
+      next_warm_ms_ = std::min(next_warm_ms_, e.entry.started_at + timing_.slow_start_ms);
       continue;
     }
     ++h.warm;
@@ -336,14 +339,14 @@
 }
 
 const Health& Router::health(int pool, double now_ms) {
-  if (now_ms >= warms_)
-    count(now_ms);
+  if (now_ms >= next_warm_ms_)
+    recount_health(now_ms);
   return health_.at(at(pool));
 }
 
 Choice Router::choose(const Query& query, double now_ms) {
-  if (now_ms >= warms_)
-    count(now_ms);
+  if (now_ms >= next_warm_ms_)
+    recount_health(now_ms);
   Choice out;
   const Route* route = nullptr;
   for (std::size_t i = 0; i < routes_.size() && !route; ++i) {
@@ -355,9 +358,9 @@
   }
   const scheduler::ClassSettings& class_settings = classes_.at(at(query.class_index));
   bool keyed = class_settings.idempotency == scheduler::Idempotency::idempotent_with_key;
-  std::uint64_t key = keyed ? key_of(query) : 0;
+  std::uint64_t key = keyed ? affinity_key(query) : 0;
   int before = keyed ? keys_.find(key, now_ms) : -1;
-  if (before >= 0 && live(before)) {
+  if (before >= 0 && is_current(before)) {
     out.pool = before;
     out.kept = true;
   } else {
@@ -397,12 +400,12 @@
   Segment moved = *find(to);
   r.segments.erase(find(to));
   r.segments.insert(find(from), moved);
-  lay_out(r);
+  layout_segments(r);
 }
 
 int Router::pool(std::string_view name) const {
-  int number = place(pool_names_, name);
-  return number >= 0 && live(number) ? number : -1;
+  int number = index_of(pool_names_, name);
+  return number >= 0 && is_current(number) ? number : -1;
 }
 
 int Router::route(std::string_view name) const {
@@ -412,7 +415,7 @@
   return -1;
 }
 
-bool Router::live(int pool) const {
+bool Router::is_current(int pool) const {
   return std::find(pool_numbers_.begin(), pool_numbers_.end(), pool) != pool_numbers_.end();
 }
 
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -46,7 +46,7 @@
 };
 
 struct Timing {  // rule 4's figures, milliseconds
-  double slow_start_ms = 0, rest_ms = 0;
+  double slow_start_ms = 0, pool_change_delay_ms = 0;
 };
 
 // Names in it that the platform does not have.
@@ -97,15 +97,15 @@
     return pool_names_.at(static_cast<std::size_t>(pool));
   }
   int numbers() const { return static_cast<int>(pool_names_.size()); }  // pools, gone ones included
-  bool live(int pool) const;
+  bool is_current(int pool) const;
   const Spec& spec() const { return spec_; }
   const Health& health(int pool, double now_ms);
   double weight(int route, int pool) const;  // its share of the route's traffic, 0 to 1
-  std::uint64_t keys_forgotten() const { return keys_.forgotten(); }
+  std::uint64_t keys_forgotten() const { return keys_.evicted_live(); }
   int unassigned() const { return unassigned_; }  // endpoints that no pool names
 
  private:
-  std::vector<std::string> numbered(
+  std::vector<std::string> numbered_names(
       const Spec& spec) const;  // the names of pools, with those that it adds
   struct Segment {
     int pool;
@@ -120,37 +120,37 @@
     scheduler::EndpointEntry entry;
     std::string host;
     int pool = -1;
-    double joins = 0;  // while > 0: not yet told to its pool
+    double joins_at_ms = 0;  // while > 0: not yet told to its pool
   };
 
   void compile();
-  static void lay_out(Route& route);
+  static void layout_segments(Route& route);
   int pool_for(const Endpoint& endpoint) const;
-  bool cold(const Endpoint& endpoint, double now_ms) const;
-  void settle(Endpoint& endpoint, double now_ms);
-  bool take(scheduler::EndpointEntry entry, std::string_view host, double now_ms);
-  Lists whole() const;
-  scheduler::EndpointList whole(int pool) const;
-  void count(double now_ms);
+  bool in_slow_start(const Endpoint& endpoint, double now_ms) const;
+  void assign_pool(Endpoint& endpoint, double now_ms);
+  bool update_endpoint(scheduler::EndpointEntry entry, std::string_view host, double now_ms);
+  Lists complete_list() const;
+  scheduler::EndpointList complete_list(int pool) const;
+  void recount_health(double now_ms);
 
   Spec spec_;
   NameLists names_;
   std::vector<scheduler::ClassSettings> classes_;
   Timing timing_;
-  KeyMemory keys_;
+  PoolByKeyCache keys_;
   std::vector<std::string> pool_names_;
   std::vector<int> pool_numbers_;  // of spec_.pools
   std::vector<Route> routes_;
   std::map<scheduler::EndpointId, Endpoint>
       endpoints_;               // in order, so that the same events give the same lists
   std::vector<Health> health_;  // by pool; counted at changes, and when an endpoint has warmed up
-  double warms_ = 0;            // the next such moment
+  double next_warm_ms_ = 0;     // the next such moment
   int unassigned_ = 0;
 };
 
 // The point in [0, 1) of what a request is about, and the key by which further tries of it are
 // known.
 double point_of(const Query& query, std::uint64_t seed);
-std::uint64_t key_of(const Query& query);
+std::uint64_t affinity_key(const Query& query);
 
 }  // namespace keelflow::routes
--- a/logic/routes/spec.h
+++ b/logic/routes/spec.h
@@ -37,6 +37,6 @@
 // reached.
 std::vector<std::string> faults(const Spec& spec);
 
-inline constexpr std::size_t kMostPools = 16, kMostRoutes = 64;
+inline constexpr std::size_t kMaxPools = 16, kMaxRoutes = 64;
 
 }  // namespace keelflow::routes
--- a/node/config/own_config.cpp
+++ b/node/config/own_config.cpp
@@ -141,13 +141,13 @@
       form.span(key, value, least, most);
       ms = to_ms(value);
     };
-    span("least-time", m.least_ms, 100ms, 24h);
-    span("most-time", m.most_ms, 1s, 24h * 7);
+    span("least-time", m.min_duration_ms, 100ms, 24h);
+    span("most-time", m.max_duration_ms, 1s, 24h * 7);
     span("cool-off", m.cool_off_ms, 0ms, 24h);
     span("block", m.test.block_ms, 50ms, 60s);
-    double answers = static_cast<double>(m.least_answers);
+    double answers = static_cast<double>(m.min_answers);
     form.number("least-answers", answers, 8, 1e9, "a number");
-    m.least_answers = static_cast<std::uint64_t>(answers);
+    m.min_answers = static_cast<std::uint64_t>(answers);
     form.number("control", m.control, 0.1, 50, "a percentage");
     form.number("false-alarm", m.test.false_alarm, 1e-6, 0.5, "a chance");
     form.number("miss", m.test.miss, 1e-6, 0.5, "a chance");
@@ -243,14 +243,14 @@
         inner.number(key, value, least, most, "a number");
         into = static_cast<int>(value);
       };
-      number("strikes", p.breaker.strikes, 1, 1000);
+      number("strikes", p.breaker.failures, 1, 1000);
       number("give-up", p.breaker.give_up, 1, 30);
-      number("good-trials", p.breaker.good_trials, 1, 1000);
+      number("good-trials", p.breaker.required_trial_successes, 1, 1000);
       auto times = {std::pair{"window", &p.breaker.window_ms},
-                    {"back-off", &p.breaker.first_ms},
-                    {"most-back-off", &p.breaker.most_ms},
+                    {"back-off", &p.breaker.initial_backoff_ms},
+                    {"most-back-off", &p.breaker.max_duration_ms},
                     {"out", &p.breaker.out_ms},
-                    {"calm", &p.breaker.calm_ms}};
+                    {"calm", &p.breaker.backoff_reset_ms}};
       for (auto [key, ms] : times) {
         Duration value = from_ms(*ms);
         inner.span(key, value, 10ms, 24h);
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -128,8 +128,8 @@
 
 void Plugins::configure(const plugins::Settings& settings, std::vector<Package> packages) {
   settings_ = settings;
-  release(holds_.bound(static_cast<std::size_t>(settings.most_held),
-                       static_cast<std::size_t>(settings.most_held_kb * 1024)));
+  release(holds_.set_limits(static_cast<std::size_t>(settings.most_held),
+                            static_cast<std::size_t>(settings.most_held_kb * 1024)));
   std::vector<std::unique_ptr<Plugin>> old = std::exchange(plugins_, {});
   std::vector<std::size_t> begins;
   for (std::size_t i = 0; i < settings.plugins.size(); ++i) {
@@ -222,7 +222,7 @@
   log::warning(Subsystem::plugins, "host-not-started",
                {{"plugin", plugin.wanted.name}, {"fault", plugin.problem}});
   if (!plugin.current)
-    plugin.breaker.died(clock_ms()), watch_restart(plugin);
+    plugin.breaker.host_died(clock_ms()), watch_restart(plugin);
 }
 
 void Plugins::on_ready(Host& host) {
@@ -321,7 +321,7 @@
     counters_.plugin_reloads_failed += plugin->takes_over;
   if (current || (next && !plugin->current)) {
     Breaker::State before = plugin->breaker.state();
-    plugin->breaker.died(clock_ms());
+    plugin->breaker.host_died(clock_ms());
     tell_state(*plugin, before);
     if (!plugin->next)
       watch_restart(*plugin);
@@ -351,7 +351,7 @@
             {{"plugin", plugin.wanted.name},
              {"from", plugins::word(before)},
              {"to", plugins::word(now)},
-             {"turns", plugin.breaker.turns()},
+             {"turns", plugin.breaker.openings()},
              {"why", plugin.problem}});
 }
 
@@ -361,7 +361,7 @@
   ++counters_.plugin_faults;
   plugin.problem = why;
   Breaker::State before = plugin.breaker.state();
-  if (!plugin.breaker.strike(clock_ms()))
+  if (!plugin.breaker.add_failure(clock_ms()))
     return;
   tell_state(plugin, before);
   left_out(plugin);
@@ -399,7 +399,8 @@
 
 // Zero: it cannot be asked now.
 Plugins::CallId Plugins::ask(Plugin& plugin, const wire::ToHost& message, Call call) {
-  if (!plugin.current || !plugin.breaker.asks() || !plugin.current->ask(last_call_, message)) {
+  if (!plugin.current || !plugin.breaker.allows_call() ||
+      !plugin.current->ask(last_call_, message)) {
     ++plugin.busy;
     ++counters_.plugin_not_asked;
     return 0;
@@ -482,7 +483,7 @@
     CallId call =
         time ? ask(*plugin, message, {.request = true, .of = id, .place = s.said.size()}) : 0;
     s.said.push_back(
-        {.spoke = false, .fallback = plugin->package.manifest.fallback, .verdict = {}});
+        {.has_answered = false, .fallback = plugin->package.manifest.fallback, .verdict = {}});
     s.plugins.push_back(plugin.get());
     s.calls.push_back(call);
     s.open += call != 0;
@@ -511,7 +512,7 @@
 RequestFilter::Decision Plugins::said(RequestId id, Screening& s, bool& waits) {
   TimePoint now = world_.loop.now();
   s.subject.patience_ms = to_ms(s.deadline - now);
-  plugins::Bounds bounds{.most_hold_ms = draining_ ? 0 : to_ms(settings_.most_hold)};
+  plugins::Bounds bounds{.max_hold_ms = draining_ ? 0 : to_ms(settings_.most_hold)};
   plugins::Combined all = plugins::combine(s.said, s.subject, bounds);
   auto plugin = [&](int place) {
     return place >= 0 ? s.plugins[static_cast<std::size_t>(place)] : nullptr;
@@ -669,8 +670,8 @@
   if (!known->second.request)
     return on_faulted(host, id, "a verdict on a progress event");
   Call call = *close(id);
-  plugins::Said& said = screenings_.at(static_cast<RequestId>(call.of)).said[call.place];
-  said.spoke = true;
+  plugins::PluginAnswer& said = screenings_.at(static_cast<RequestId>(call.of)).said[call.place];
+  said.has_answered = true;
   said.verdict = std::move(verdict);
   answered(call);
 }
@@ -693,7 +694,7 @@
   plugin.micros += micros;
   plugin.most_micros = std::max(plugin.most_micros, micros);
   Breaker::State before = plugin.breaker.state();
-  plugin.breaker.good(clock_ms());
+  plugin.breaker.add_success(clock_ms());
   tell_state(plugin, before);
   settled(call);
 }
@@ -818,8 +819,8 @@
          {"loading", p->next != nullptr},
          {"pid", p->current ? p->current->pid() : 0},
          {"back_s", waits ? std::max(0.0, (p->breaker.until() - now) / 1000) : 0.0},
-         {"turns", p->breaker.turns()},
-         {"strikes", p->breaker.strikes()},
+         {"turns", p->breaker.openings()},
+         {"strikes", p->breaker.failures()},
          {"fallback",
           p->package.manifest.fallback == plugins::Fallback::allow ? "allow" : "refuse"},
          {"in_flight", p->current ? p->current->in_flight() : 0},
--- a/node/plugins/plugins.h
+++ b/node/plugins/plugins.h
@@ -113,11 +113,11 @@
     std::uint64_t generation = 0;  // of the host that has it
   };
   struct Screening {
-    std::vector<plugins::Said> said;
+    std::vector<plugins::PluginAnswer> said;
     std::vector<Plugin*> plugins;
     std::vector<CallId> calls;  // zero: not open
     std::size_t open = 0, bytes = 0;
-    plugins::Subject subject;
+    plugins::RequestFacts subject;
     TimePoint deadline;
   };
   struct Shaping {
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -68,7 +68,7 @@
   if (router_)
     fits = router_->fits(spec.on() ? spec : one_pool());
   else if (!known_.empty())
-    fits = spec.pools.size() < routes::kMostPools;  // the one pool that was has a number too
+    fits = spec.pools.size() < routes::kMaxPools;  // the one pool that was has a number too
   if (!fits)
     throw ConfigError("pools have come and gone too often: a restart is needed for more names");
 }
@@ -83,7 +83,7 @@
   bool late = !router_ && !known_.empty();  // pools come to a node that has served without
   if (!router_) {
     routes::Timing timing{.slow_start_ms = settings_.module.slow_start_ms,
-                          .rest_ms = settings_.module.overload_window_ms};
+                          .pool_change_delay_ms = settings_.module.overload_window_ms};
     router_ = std::make_unique<routes::Router>(
         late ? one_pool() : spec, routes::NameLists{n.classes, n.tenants, n.zones, n.kinds},
         settings_.module.classes, timing);
@@ -108,7 +108,7 @@
     std::unique_ptr<Moving> moving =
         same == old.end() ? std::make_unique<Moving>(m) : std::move(*same);
     if (same != old.end())
-      moving->move.respec(m, now);
+      moving->move.update_spec(m, now);
     moving->route = router_->route(m.route);
     moving->from = router_->pool(m.from);
     moving->to = router_->pool(m.to);
@@ -129,7 +129,7 @@
     look(*moving, now);
   // What waits in a pool that is no more would wait in vain.
   for (int pool = 0; pool < router_->numbers(); ++pool)
-    if (!router_->live(pool))
+    if (!router_->is_current(pool))
       engine_.reroute(pool);
   wait_for_due();
   tick();
@@ -177,7 +177,7 @@
   for (int pool = 0; pool < router_->numbers(); ++pool) {
     int ready = router_->health(pool, now).ready,
         before = std::exchange(ready_told_[at(pool)], ready);
-    if (router_->live(pool) && before > 0 && ready == 0)
+    if (router_->is_current(pool) && before > 0 && ready == 0)
       log::warning(Subsystem::routes, "pool-empty", {{"pool", router_->pool_name(pool)}});
     if (before == 0 && ready > 0)
       log::info(Subsystem::routes, "pool-ready",
@@ -331,7 +331,7 @@
     const routes::Health& h = router_->health(pool, now);
     const PoolCount& c = counts_[at(pool)];
     out.push_back({{"pool", router_->pool_name(pool)},
-                   {"live", router_->live(pool)},
+                   {"live", router_->is_current(pool)},
                    {"ready", h.ready},
                    {"warm", h.warm},
                    {"draining", h.draining},
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -11,9 +11,9 @@
   MoveSpec m;
   m.name = "m", m.route = "all", m.from = "old", m.to = "new";
   m.steps = {10, 50, 100};
-  m.least_ms = 5'000;
-  m.most_ms = 300'000;
-  m.least_answers = 100;
+  m.min_duration_ms = 5'000;
+  m.max_duration_ms = 300'000;
+  m.min_answers = 100;
   m.cool_off_ms = 60'000;
   return m;
 }
@@ -94,7 +94,7 @@
 TEST(Move, AJumpIsNoGroundWhereTheNewPoolHasMoreLoadThanCapacity) {
   auto play = [](double capacity_new) {
     MoveSpec slow = spec();
-    slow.least_ms = 30'000;  // it stays at one half for as long as this lasts
+    slow.min_duration_ms = 30'000;  // it stays at one half for as long as this lasts
     World world(slow);
     world.move.start(world.now);
     while (world.move.step() < 1)
@@ -111,7 +111,7 @@
   };
   World excused = play(5);  // half the load on a third of the capacity
   EXPECT_EQ(excused.move.state(), State::running) << excused.move.reason();
-  EXPECT_EQ(excused.move.waits(), Wait::jump);
+  EXPECT_EQ(excused.move.wait_reason(), Wait::surge);
   World blamed = play(20);  // half the load on two thirds of it, and still worse
   EXPECT_EQ(blamed.move.state(), State::undone);
 }
@@ -119,7 +119,7 @@
 // The jump is over, and what it left in the queues is still served late: no ground either.
 TEST(Move, WhatAJumpLeavesBehindIsWaitedOut) {
   MoveSpec slow = spec();
-  slow.least_ms = 30'000;
+  slow.min_duration_ms = 30'000;
   World world(slow);
   world.move.start(world.now);
   while (world.move.step() < 1)
@@ -129,7 +129,7 @@
   world.move.pools(kFine, small, world.now);
   world.rate = 300;
   world.run(5);
-  ASSERT_EQ(world.move.waits(), Wait::jump);
+  ASSERT_EQ(world.move.wait_reason(), Wait::surge);
   world.in_time_new = 0.3;
   world.rate = 100;
   world.run(8);  // of which the load takes a few seconds to be seen as usual
@@ -142,7 +142,7 @@
 TEST(Move, AJumpOfOtherRoutesToTheNewPoolIsSeenToo) {
   auto play = [](double others) {
     MoveSpec slow = spec();
-    slow.least_ms = 30'000;
+    slow.min_duration_ms = 30'000;
     World world(slow);
     auto also = [&](double rate, double seconds) {  // requests of another route to the new pool
       for (double end = world.now + 1000 * seconds;
@@ -183,7 +183,7 @@
   world.in_time_new = 0.1;
   world.run(30);
   EXPECT_EQ(world.move.state(), State::running);
-  EXPECT_EQ(world.move.waits(), Wait::cold);
+  EXPECT_EQ(world.move.wait_reason(), Wait::slow_start);
   EXPECT_EQ(world.move.step(), 0u) << "the step's time stands still";
   world.move.pools(kFine, kFine, world.now);
   world.in_time_new = 0.95;
@@ -244,11 +244,11 @@
     world.run(1);
   MoveSpec other = spec();
   other.steps = {20, 40, 60, 100};
-  world.move.respec(other, world.now);
+  world.move.update_spec(other, world.now);
   EXPECT_DOUBLE_EQ(world.move.share(), 0.40);
   EXPECT_EQ(world.move.step(), 1u);
   other.steps = {70, 100};
-  world.move.respec(other, world.now);
+  world.move.update_spec(other, world.now);
   EXPECT_DOUBLE_EQ(world.move.share(), 0.70);
 }
 
@@ -271,8 +271,8 @@
 
 TEST(Move, AnUndecidedStepIsUndoneInTheEnd) {
   MoveSpec s = spec();
-  s.most_ms = 20'000;
-  s.least_answers = 1'000'000;
+  s.max_duration_ms = 20'000;
+  s.min_answers = 1'000'000;
   World world(s);
   world.move.start(world.now);
   world.run(25);
@@ -284,7 +284,7 @@
   EXPECT_TRUE(faults(s).empty());
   s.steps = {10, 5, 90};
   s.to = s.from;
-  s.least_ms = s.most_ms;
+  s.min_duration_ms = s.max_duration_ms;
   EXPECT_EQ(faults(s).size(), 4u);
 }
 
@@ -334,9 +334,9 @@
   EXPECT_LE(alarms, 2) << "of 200";
 }
 
-TEST(LoadWatch, TellsAJumpFromNoiseAndTakesALastingOneForUsualInTheEnd) {
+TEST(LoadSurgeDetector, TellsAJumpFromNoiseAndTakesALastingOneForUsualInTheEnd) {
   std::mt19937 random(11);
-  LoadWatch watch;
+  LoadSurgeDetector watch;
   double now = 0;
   int quiet_jumps = 0;
   auto run = [&](double rate, int seconds) {
@@ -346,7 +346,7 @@
       for (int n = count(random); n > 0; --n)
         watch.arrived(now);
       watch.advance(now + 1000);
-      jumps += watch.jump();
+      jumps += watch.surge();
     }
     return jumps;
   };
@@ -354,20 +354,20 @@
   EXPECT_EQ(quiet_jumps, 0);
   EXPECT_GT(run(48, 10), 5);
   run(48, 600);
-  EXPECT_FALSE(watch.jump());
+  EXPECT_FALSE(watch.surge());
 }
 
-TEST(LoadWatch, AYoungOneDoesNotTakeAJumpForUsual) {
+TEST(LoadSurgeDetector, AYoungOneDoesNotTakeAJumpForUsual) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
-    LoadWatch watch;
+    LoadSurgeDetector watch;
     int jumps = 0;
     for (int second = 0; second < 40; ++second) {
       std::poisson_distribution<int> count(second < 10 ? 100 : 240);
       for (int n = count(random); n > 0; --n)
         watch.arrived(1000.0 * second);
       watch.advance(1000.0 * (second + 1));
-      jumps += watch.jump();
+      jumps += watch.surge();
     }
     EXPECT_GE(jumps, 27) << "of 30 seconds, seed " << seed;
   }
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -13,10 +13,10 @@
 
 using scheduler::Idempotency;
 
-Said said(Verdict v) {
-  return {.spoke = true, .fallback = Fallback::allow, .verdict = std::move(v)};
+PluginAnswer said(Verdict v) {
+  return {.has_answered = true, .fallback = Fallback::allow, .verdict = std::move(v)};
 }
-const Subject kSafe{
+const RequestFacts kSafe{
     .idempotency = Idempotency::idempotent, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
 
 TEST(Verdict, OneRefusalIsEnoughAndTheLongestTimeToComeBackCounts) {
@@ -30,11 +30,12 @@
 }
 
 TEST(Verdict, WhoDoesNotSpeakCountsByItsFallback) {
-  EXPECT_FALSE(combine({{.spoke = false, .fallback = Fallback::allow, .verdict = {.refuse = true}}},
-                       kSafe, {})
-                   .verdict.refuse);
-  auto refused =
-      combine({said({}), {.spoke = false, .fallback = Fallback::refuse, .verdict = {}}}, kSafe, {});
+  EXPECT_FALSE(
+      combine({{.has_answered = false, .fallback = Fallback::allow, .verdict = {.refuse = true}}},
+              kSafe, {})
+          .verdict.refuse);
+  auto refused = combine(
+      {said({}), {.has_answered = false, .fallback = Fallback::refuse, .verdict = {}}}, kSafe, {});
   EXPECT_TRUE(refused.verdict.refuse);
   EXPECT_EQ(refused.refused_by, 1);
   EXPECT_EQ(refused.verdict.come_back_ms, Bounds{}.fallback_come_back_ms);
@@ -44,13 +45,13 @@
   auto all = combine({said({.hold_ms = 300}), said({.hold_ms = 700})}, kSafe, {});
   EXPECT_EQ(all.verdict.hold_ms, 700);
   EXPECT_EQ(all.held_by, 1);
-  EXPECT_FALSE(all.hold_cut);
-  all = combine({said({.hold_ms = 60'000})}, kSafe, {.most_hold_ms = 5000});
+  EXPECT_FALSE(all.hold_shortened);
+  all = combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 5000});
   EXPECT_EQ(all.verdict.hold_ms, 2000)
       << "what is left of its patience beside what the module needs";
-  EXPECT_TRUE(all.hold_cut);
-  EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.most_hold_ms = 50}).verdict.hold_ms, 50);
-  Subject late = kSafe;
+  EXPECT_TRUE(all.hold_shortened);
+  EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 50}).verdict.hold_ms, 50);
+  RequestFacts late = kSafe;
   late.patience_ms = 900;
   EXPECT_EQ(combine({said({.hold_ms = 10})}, late, {}).verdict.hold_ms, 0);
 }
@@ -59,7 +60,7 @@
   for (Idempotency idempotency :
        {Idempotency::idempotent, Idempotency::idempotent_with_key, Idempotency::non_idempotent})
     for (bool repeat : {false, true}) {
-      Subject subject = kSafe;
+      RequestFacts subject = kSafe;
       subject.idempotency = idempotency, subject.repeat = repeat;
       auto all = combine({said({.hold_ms = 100})}, subject, {});
       bool forbidden = idempotency == Idempotency::idempotent_with_key && repeat;
@@ -140,7 +141,7 @@
   Holds holds(10, 1000);
   for (Holds::Id id = 1; id <= 5; ++id)
     holds.add(id, 10, 100);
-  EXPECT_EQ(holds.bound(3, 1000), (std::vector<Holds::Id>{1, 2}));
+  EXPECT_EQ(holds.set_limits(3, 1000), (std::vector<Holds::Id>{1, 2}));
   EXPECT_EQ(holds.all(), (std::vector<Holds::Id>{3, 4, 5}));
   EXPECT_EQ(holds.add(6, 10, 100), (std::vector<Holds::Id>{})) << "there is room again";
 }
@@ -155,27 +156,27 @@
 TEST(Breaker, StrikesWithinTheirWindowOpenIt) {
   Breaker breaker(steady(), 1);
   for (int i = 0; i < 4; ++i)
-    EXPECT_FALSE(breaker.strike(i));
-  EXPECT_TRUE(breaker.strike(5));
+    EXPECT_FALSE(breaker.add_failure(i));
+  EXPECT_TRUE(breaker.add_failure(5));
   EXPECT_EQ(breaker.state(), Breaker::State::open);
-  EXPECT_FALSE(breaker.asks());
+  EXPECT_FALSE(breaker.allows_call());
   Breaker patient(steady(), 1);
   for (int i = 0; i < 100; ++i)
-    EXPECT_FALSE(patient.strike(i * 2501.0)) << "five in more than the window";
+    EXPECT_FALSE(patient.add_failure(i * 2501.0)) << "five in more than the window";
 }
 
 TEST(Breaker, TheBackOffGrowsToItsMostAndThenItIsOut) {
   Breaker breaker(steady(), 1);
   double now = 0, expected = 250;
   for (int turn = 1; turn < 8; ++turn, expected *= 2) {
-    breaker.died(now);
+    breaker.host_died(now);
     EXPECT_EQ(breaker.state(), Breaker::State::open);
     EXPECT_EQ(breaker.until(), now + expected) << turn;
     EXPECT_FALSE(breaker.begin_trial(breaker.until() - 1));
     now = breaker.until();
     ASSERT_TRUE(breaker.begin_trial(now));
   }
-  breaker.died(now);
+  breaker.host_died(now);
   EXPECT_EQ(breaker.state(), Breaker::State::out);
   EXPECT_EQ(breaker.until(), now + 600'000);
   EXPECT_TRUE(breaker.begin_trial(breaker.until())) << "tried again all the same";
@@ -183,42 +184,42 @@
 
 TEST(Breaker, ATrialAsksOneCallAtATimeAndAFewGoodOnesCloseIt) {
   Breaker breaker(steady(), 1);
-  breaker.died(0);
+  breaker.host_died(0);
   ASSERT_TRUE(breaker.begin_trial(250));
   for (int i = 0; i < 3; ++i) {
-    ASSERT_TRUE(breaker.asks());
+    ASSERT_TRUE(breaker.allows_call());
     breaker.asked();
-    EXPECT_FALSE(breaker.asks());
-    breaker.good(260 + i);
+    EXPECT_FALSE(breaker.allows_call());
+    breaker.add_success(260 + i);
   }
   EXPECT_EQ(breaker.state(), Breaker::State::closed);
   for (int i = 0; i < 5; ++i)
-    breaker.strike(300 + i);
+    breaker.add_failure(300 + i);
   EXPECT_EQ(breaker.until(), 304 + 500) << "not calm for long enough: the back-off goes on growing";
   ASSERT_TRUE(breaker.begin_trial(804));
   breaker.asked();
-  EXPECT_TRUE(breaker.strike(805)) << "one strike ends a trial";
+  EXPECT_TRUE(breaker.add_failure(805)) << "one strike ends a trial";
   breaker.begin_trial(breaker.until());
   breaker.asked();
   breaker.dropped();
-  EXPECT_TRUE(breaker.asks()) << "a call that came to nothing is no trial";
+  EXPECT_TRUE(breaker.allows_call()) << "a call that came to nothing is no trial";
 }
 
 TEST(Breaker, CalmForgetsFormerTurns) {
   Breaker breaker(steady(), 1);
-  breaker.died(0);
+  breaker.host_died(0);
   breaker.begin_trial(250);
   for (int i = 0; i < 3; ++i)
-    breaker.good(300);
-  breaker.died(300 + 30'001);
+    breaker.add_success(300);
+  breaker.host_died(300 + 30'001);
   EXPECT_EQ(breaker.until(), 300 + 30'001 + 250);
 }
 
 TEST(Breaker, DisabledStaysSoUntilItIsEnabled) {
   Breaker breaker(steady(), 1);
   breaker.disable();
-  breaker.died(1);
-  EXPECT_FALSE(breaker.strike(2));
+  breaker.host_died(1);
+  EXPECT_FALSE(breaker.add_failure(2));
   EXPECT_FALSE(breaker.begin_trial(1e9));
   EXPECT_EQ(breaker.state(), Breaker::State::disabled);
   breaker.enable(10);
@@ -229,7 +230,7 @@
   double least = 1e9, most = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Breaker breaker({}, seed);
-    breaker.died(0);
+    breaker.host_died(0);
     least = std::min(least, breaker.until()), most = std::max(most, breaker.until());
   }
   EXPECT_GE(least, 187.5);
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -15,7 +15,7 @@
 using scheduler::EndpointState;
 using scheduler::ListScope;
 
-constexpr double kCold = 20'000, kRest = 2'000;
+constexpr double kSlowStart = 20'000, kPoolChangeDelay = 2'000;
 const NameLists kNames{
     {"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
 
@@ -43,14 +43,14 @@
     list.entries.push_back({id, 0, 0, 0, state, 1, started_at});
     return *this;
   }
-  Router::Lists tell(Router& router, double now) {
+  Router::Lists apply_to(Router& router, double now) {
     return router.split(
         list, [this](scheduler::EndpointId id) { return std::string_view(names[id]); }, now);
   }
 };
 
 Router make(Spec spec) {
-  return Router(std::move(spec), kNames, classes(), {kCold, kRest});
+  return Router(std::move(spec), kNames, classes(), {kSlowStart, kPoolChangeDelay});
 }
 
 Query query(std::uint64_t object, int class_index = 0) {
@@ -62,8 +62,8 @@
 }
 
 const EndpointEntry* find(const Router::Lists& lists, int pool, scheduler::EndpointId endpoint) {
-  for (const auto& [told, list] : lists)
-    if (told == pool)
+  for (const auto& [pool_lists, list] : lists)
+    if (pool_lists == pool)
       for (const auto& entry : list.entries)
         if (entry.endpoint == endpoint)
           return &entry;
@@ -83,14 +83,14 @@
                   {2, 0, 1, 3, EndpointState::ready, 1, 0},
                   {3, 1, 1, 9, EndpointState::ready, 1, 0},
                   {4, 1, 0, 9, EndpointState::ready, 1, 0}};
-  auto told = router.split(
+  auto pool_lists = router.split(
       list, [&](scheduler::EndpointId id) { return std::string_view(names[id]); }, 1000);
-  EXPECT_TRUE(find(told, 0, 1));
-  EXPECT_TRUE(find(told, 1, 2));
-  EXPECT_TRUE(find(told, 2, 3));
+  EXPECT_TRUE(find(pool_lists, 0, 1));
+  EXPECT_TRUE(find(pool_lists, 1, 2));
+  EXPECT_TRUE(find(pool_lists, 2, 3));
   EXPECT_EQ(router.unassigned(), 1);
   std::map<scheduler::EndpointId, int> count;
-  for (const auto& [pool, part] : told)
+  for (const auto& [pool, part] : pool_lists)
     for (const auto& entry : part.entries)
       ++count[entry.endpoint];
   for (const auto& [endpoint, times] : count)
@@ -99,7 +99,7 @@
 
 TEST(Router, AStepMovesTheAddedShareAndNothingBack) {
   Router router = make(two_pools(100, 0));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   std::set<std::uint64_t> moved;
   for (double share : {0.01, 0.05, 0.10, 0.25, 0.50, 1.0}) {
     router.shift(0, 1, 0, share);
@@ -120,7 +120,7 @@
   spec.pools.insert(spec.pools.begin(), {"third", {}, {}, {"t"}, {}});
   spec.routes[0].to = {{"old", 50}, {"third", 50}, {"new", 0}};
   Router router = make(spec);
-  Fleet().add(1, "o1").add(2, "n1").add(3, "t1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").add(3, "t1").apply_to(router, 0);
   router.shift(0, router.pool("old"), router.pool("new"), 0);
   std::map<std::uint64_t, int> before;
   for (std::uint64_t object = 1; object <= 5000; ++object)
@@ -137,7 +137,7 @@
 
 TEST(Router, WithoutAnObjectAFurtherTryGoesByItsIdempotencyKey) {
   Router router = make(two_pools(50, 50));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   int apart = 0;
   for (int i = 0; i < 200; ++i) {
     std::string key = "k" + std::to_string(i), first = "a" + std::to_string(i),
@@ -154,7 +154,7 @@
 
 TEST(Router, AKeyedRequestsFurtherTryKeepsItsPoolForItsWindow) {
   Router router = make(two_pools(100, 0));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   router.shift(0, 1, 0, 1.0);
   Query hold = query(7, 1);
   hold.idempotency_key = "k";
@@ -176,7 +176,7 @@
                  {"books", {}, {}, {"/price/books"}, {{"new", 1}}, false},
                  {"rest", {}, {}, {}, {{"old", 1}}, false}};
   Router router = make(spec);
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   Query q = query(1, 2);
   q.path = "/sale/x";
   EXPECT_EQ(router.choose(q, 0).route, 2);
@@ -189,25 +189,25 @@
 
 TEST(Router, APoolWithNothingReadyOrAllColdSpillsToOneThatHasBetter) {
   Router router = make(two_pools(0, 100));
-  Fleet().add(1, "o1").tell(router, 0);
+  Fleet().add(1, "o1").apply_to(router, 0);
   EXPECT_TRUE(router.choose(query(1), 0).spilled);
   EXPECT_EQ(router.choose(query(1), 0).pool, 1);
-  Fleet().add(1, "o1").add(2, "n1", 10'000).tell(router, 11'000);
+  Fleet().add(1, "o1").add(2, "n1", 10'000).apply_to(router, 11'000);
   EXPECT_EQ(router.choose(query(1), 11'000).pool, 1)
       << "cold boxes get no share while others are warm";
-  EXPECT_EQ(router.choose(query(1), 10'000 + kCold + 200).pool, 0)
+  EXPECT_EQ(router.choose(query(1), 10'000 + kSlowStart + 200).pool, 0)
       << "warm by the clock alone, without a list";
-  Fleet().add(2, "n1", 40'000).tell(router, 41'000);
+  Fleet().add(2, "n1", 40'000).apply_to(router, 41'000);
   EXPECT_EQ(router.choose(query(1), 41'000).pool, 0) << "cold is better than nothing";
 }
 
 TEST(Router, AKeyedRequestIsNotSpilledAwayFromWhereItMayHaveRun) {
   Router router = make(two_pools(0, 100));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   Query hold = query(1, 1);
   hold.idempotency_key = "k";
   ASSERT_EQ(router.choose(hold, 0).pool, 0);
-  Fleet().add(1, "o1").tell(router, 100);
+  Fleet().add(1, "o1").apply_to(router, 100);
   EXPECT_EQ(router.choose(hold, 200).pool, 0);
   EXPECT_EQ(router.choose(query(1), 200).pool, 1);
 }
@@ -216,28 +216,28 @@
   Router router = make(two_pools(100, 0));
   Fleet fleet;
   fleet.add(1, "o1", 1000).add(2, "o2", 0);
-  auto told = fleet.tell(router, 2000);
-  ASSERT_TRUE(find(told, 1, 1) && find(told, 1, 2));
+  auto pool_lists = fleet.apply_to(router, 2000);
+  ASSERT_TRUE(find(pool_lists, 1, 1) && find(pool_lists, 1, 2));
   fleet.names = {{1, "n1"}, {2, "n2"}};
   fleet.list.scope = ListScope::delta;
-  told = fleet.tell(router, 3000);
-  ASSERT_TRUE(find(told, 1, 1)) << "the old pool hears that it is gone";
-  EXPECT_EQ(find(told, 1, 1)->state, EndpointState::gone);
-  EXPECT_FALSE(find(told, 0, 1)) << "rule 4's window is not over";
-  EXPECT_TRUE(find(told, 0, 2)) << "a warm one joins at once";
+  pool_lists = fleet.apply_to(router, 3000);
+  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool hears that it is gone";
+  EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
+  EXPECT_FALSE(find(pool_lists, 0, 1)) << "rule 4's window is not over";
+  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm one joins at once";
   ASSERT_TRUE(router.next_due());
-  EXPECT_EQ(*router.next_due(), 3000 + kRest);
-  EXPECT_TRUE(router.due(3000 + kRest - 1).empty());
-  told = router.due(3000 + kRest);
-  ASSERT_TRUE(find(told, 0, 1));
-  EXPECT_EQ(find(told, 0, 1)->state, EndpointState::ready);
+  EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
+  EXPECT_TRUE(router.due(3000 + kPoolChangeDelay - 1).empty());
+  pool_lists = router.due(3000 + kPoolChangeDelay);
+  ASSERT_TRUE(find(pool_lists, 0, 1));
+  EXPECT_EQ(find(pool_lists, 0, 1)->state, EndpointState::ready);
   EXPECT_FALSE(router.next_due());
 }
 
 TEST(Router, AnotherSpecKeepsNumbersAndRunsOutOfThemPlainly) {
   Router router = make(two_pools(100, 0));
   Fleet fleet;
-  fleet.add(1, "o1").add(2, "n1").tell(router, 0);
+  fleet.add(1, "o1").add(2, "n1").apply_to(router, 0);
   Spec spec = two_pools(100, 0);
   spec.pools.insert(spec.pools.begin(), {"extra", {}, {}, {"n1"}, {}});
   auto lists = router.replace(spec, 100);
@@ -246,7 +246,7 @@
   EXPECT_EQ(router.pool("extra"), 2);
   EXPECT_TRUE(find(*lists, 2, 2));
   EXPECT_FALSE(find(*lists, 0, 2));
-  for (int i = 0; router.numbers() < static_cast<int>(kMostPools); ++i) {
+  for (int i = 0; router.numbers() < static_cast<int>(kMaxPools); ++i) {
     spec.pools[0].name = "extra" + std::to_string(i);
     ASSERT_TRUE(router.replace(spec, 100));
   }
@@ -268,13 +268,13 @@
         fleet.add(w, "h", 0, random() % 4 ? EndpointState::ready : EndpointState::draining);
     fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta,
                                   ListScope::failed}[random() % 4];
-    auto told = fleet.tell(router, i);
-    ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].second.scope, fleet.list.scope);
+    auto pool_lists = fleet.apply_to(router, i);
+    ASSERT_EQ(pool_lists.size(), 1u);
+    EXPECT_EQ(pool_lists[0].second.scope, fleet.list.scope);
     std::size_t count = fleet.list.scope == ListScope::failed ? 0 : fleet.list.entries.size();
-    ASSERT_EQ(told[0].second.entries.size(), count);
+    ASSERT_EQ(pool_lists[0].second.entries.size(), count);
     for (std::size_t k = 0; k < count; ++k)
-      EXPECT_EQ(told[0].second.entries[k].endpoint, fleet.list.entries[k].endpoint);
+      EXPECT_EQ(pool_lists[0].second.entries[k].endpoint, fleet.list.entries[k].endpoint);
   }
 }
 
@@ -291,17 +291,17 @@
   EXPECT_EQ(unknown_names(spec, kNames).size(), 2u);
 }
 
-TEST(KeyMemory, IsOfFixedSizeAndCountsWhatItForgets) {
-  KeyMemory memory(1024);
+TEST(PoolByKeyCache, IsOfFixedSizeAndCountsWhatItForgets) {
+  PoolByKeyCache memory(1024);
   std::mt19937_64 random(5);
   for (int i = 0; i < 100'000; ++i)
     memory.put(random(), 1, 10'000, i * 0.001);
   EXPECT_EQ(memory.capacity(), 1024u);
-  EXPECT_GT(memory.forgotten(), 90'000u);
-  KeyMemory calm(1024);
+  EXPECT_GT(memory.evicted_live(), 90'000u);
+  PoolByKeyCache calm(1024);
   for (int i = 0; i < 100'000; ++i)
     calm.put(random(), 1, i + 50, i);
-  EXPECT_LT(calm.forgotten(),
+  EXPECT_LT(calm.evicted_live(),
             100u);  // expired entries are no loss; now and then five live ones meet in a bucket
 }
 
--- a/tests/node/own_config_test.cpp
+++ b/tests/node/own_config_test.cpp
@@ -51,8 +51,8 @@
   EXPECT_TRUE(own.routes.routes[0].rehome);
   EXPECT_EQ(own.routes.routes[0].tenants[0], "river street");
   ASSERT_EQ(own.moves.size(), 1u);
-  EXPECT_EQ(own.moves[0].least_ms, 1500);
-  EXPECT_EQ(own.moves[0].most_ms, 7'200'000);
+  EXPECT_EQ(own.moves[0].min_duration_ms, 1500);
+  EXPECT_EQ(own.moves[0].max_duration_ms, 7'200'000);
   EXPECT_EQ(own.moves[0].test.block_ms, 500);
   EXPECT_EQ(own.log.levels.at(log::Subsystem::moves), log::Level::debug);
   EXPECT_TRUE(own.members.on);
