--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -7,14 +7,14 @@
 namespace keelflow::moves {
 namespace {
 
-constexpr std::uint64_t kMinBlocks = 8;       // fewer say nothing of how answers hang together
-constexpr std::uint64_t kMinTrialBlocks = 5;  // of the trial's, before anything is concluded
+constexpr std::uint64_t kMinBlocks = 8;       // fewer cannot show correlation between answers
+constexpr std::uint64_t kMinTrialBlocks = 5;  // with trial answers, before any conclusion
 
 double normal_cdf(double z) {
   return 0.5 * std::erfc(-z / std::sqrt(2.0));
 }
 
-// The upper quantile of the normal distribution, by bisection.
+// Returns the upper quantile of the normal distribution, by bisection.
 double upper_quantile(double tail) {
   double low = 0, high = 10;
   for (int i = 0; i < 60; ++i)
@@ -22,21 +22,26 @@
   return (low + high) / 2;
 }
 
+// Returns the variance of the ratio under independent answers, from sums over the answers.
 double independent_variance(double in_time, double asked, double in_time_squared,
                             double in_time_by_asked, double asked_squared, std::uint64_t answers) {
   double mean = asked / static_cast<double>(answers);
   double total = asked + 2 * mean, ratio = (in_time + mean) / total;
   double squares = in_time_squared - 2 * ratio * in_time_by_asked +
-                   ratio * ratio * asked_squared;                        // sum of (x - ratio n)^2
-  squares += mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the made-up two
+                   ratio * ratio * asked_squared;  // sum of (x - ratio n)^2
+  squares +=
+      mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the two artificial answers
   return squares / (total * total);
 }
 
 }  // namespace
 
 void Comparison::Sums::operator+=(const Sums& o) {
-  asked += o.asked, in_time += o.in_time, in_time_squared += o.in_time_squared,
-      in_time_by_asked += o.in_time_by_asked, asked_squared += o.asked_squared;
+  asked += o.asked;
+  in_time += o.in_time;
+  in_time_squared += o.in_time_squared;
+  in_time_by_asked += o.in_time_by_asked;
+  asked_squared += o.asked_squared;
   answers += o.answers;
 }
 
@@ -57,20 +62,20 @@
 }
 
 double Comparison::Totals::variance(double r0, double r1) const {
-  double alone = 0;
+  double independent = 0;
   for (const Sums& s : arms)
-    alone += independent_variance(s.in_time, s.asked, s.in_time_squared, s.in_time_by_asked,
-                                  s.asked_squared, s.answers);
+    independent += independent_variance(s.in_time, s.asked, s.in_time_squared, s.in_time_by_asked,
+                                        s.asked_squared, s.answers);
   if (count < kMinBlocks)
-    return alone;
+    return independent;
   double n0 = arms[0].asked, n1 = arms[1].asked;
-  double own0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
-  double own1 = xx[1] - 2 * r1 * xn[1] + r1 * r1 * nn[1];
-  double across = x0x1 - r1 * x0n1 - r0 * n0x1 + r0 * r1 * n0n1;
+  double spread0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
+  double spread1 = xx[1] - 2 * r1 * xn[1] + r1 * r1 * nn[1];
+  double covariance = x0x1 - r1 * x0n1 - r0 * n0x1 + r0 * r1 * n0n1;
   double blocks = static_cast<double>(count);
-  double together =
-      (own0 / (n0 * n0) + own1 / (n1 * n1) - 2 * across / (n0 * n1)) * blocks / (blocks - 1);
-  return std::max(alone, together);
+  double by_block = (spread0 / (n0 * n0) + spread1 / (n1 * n1) - 2 * covariance / (n0 * n1)) *
+                    blocks / (blocks - 1);
+  return std::max(independent, by_block);
 }
 
 Comparison::Comparison(const TestSettings& settings)
@@ -91,14 +96,16 @@
   open_[index(arm)] += {asked, in_time, in_time * in_time, in_time * asked, asked * asked, 1};
 }
 
-// What the trial pool lacks in a block against the control's share as known so far.
+// Returns how far the weight that the trial pool answered in time in a block falls short of what
+// the control pool's ratio so far predicts.
 double Comparison::trial_shortfall(const Block& b) const {
   const Sums& control = kept_.arms[0];
   double control_ratio = control.asked > 0 ? control.in_time / control.asked : 1;
   return b[1].asked * control_ratio - b[1].in_time;
 }
 
-// The block goes to the worst ones if it is worse than one of them, which then goes to the others.
+// Keeps the open block among the worst blocks if it is worse than one of them; the block that it
+// displaces is added to the other blocks.
 void Comparison::close_block() {
   trial_blocks_ += open_[1].answers > 0;
   for (Block& worst : worst_)
@@ -131,8 +138,8 @@
     return e;
   double r0 = control_kept.in_time / control_kept.asked, r1 = trial_kept.in_time / trial_kept.asked;
   e.trimmed_loss = r0 - r1;
-  // The likelihood ratio of "a loss beyond the margin, drawn from a half normal" to "a loss of the
-  // margin".
+  // Log of the likelihood ratio between two hypotheses: a loss beyond the margin, drawn from a
+  // half-normal distribution, and a loss equal to the margin.
   double variance = kept_.variance(r0, r1), tau2 = settings_.spread * settings_.spread,
          sum = variance + tau2;
   double z = (e.trimmed_loss - settings_.margin) / std::sqrt(variance);
--- a/logic/moves/comparison.h
+++ b/logic/moves/comparison.h
@@ -1,17 +1,18 @@
-// Is the trial pool worse than the control pool, over the same moments? A sequential test that may
-// be looked at after every answer without losing its false-alarm rate: the mixture sequential
-// probability ratio test of Robbins (1970) in the form of Johari, Koomen, Pekelis and Walsh
-// ("Always valid inference", 2022), one-sided.
-//
-// Each arm's share is worth answered in time over worth asked. The difference of two such ratios is
-// taken as normal. Its variance is the larger of two estimates: that of independent answers, with
-// one made-up success and one made-up failure in each arm, and that of whole blocks of time, whose
-// errors are compared between the arms block by block: a shock that hits both cancels, and answers
-// that hang together (a queue, a pause) do not count as independent.
-//
-// A few blocks cannot tell a bad pool from a bad moment (docs/design/moves.md has the figures), so
-// the two blocks that speak most against the trial pool are left out, and what remains must still
-// say that it is worse.
+/// Compares the trial pool with the control pool over the same time. The test is sequential: it may
+/// be evaluated after every answer without exceeding its false-alarm rate. It is the mixture
+/// sequential probability ratio test of Robbins (1970) in the form of Johari, Koomen, Pekelis and
+/// Walsh ("Always valid inference", 2022), one-sided.
+///
+/// The ratio of an arm is the priority weight of the requests answered in time divided by that of
+/// all its requests. The difference of the two ratios is treated as normally distributed. Its
+/// variance is the larger of two estimates. The first assumes independent answers and adds one
+/// artificial success and one artificial failure to each arm. The second uses whole blocks of time
+/// and compares the errors of the arms block by block: a disturbance that hits both arms cancels
+/// out, and correlated answers (a queue, a pause) do not count as independent.
+///
+/// A few blocks cannot distinguish a bad pool from a short disturbance (docs/design/moves.md has
+/// the figures). The two blocks with the strongest evidence against the trial pool are therefore
+/// discarded, and the remaining blocks must still show that it is worse.
 #pragma once
 
 #include <array>
@@ -19,48 +20,56 @@
 
 namespace keelflow::moves {
 
+/// The pool that traffic leaves (control) or the pool that traffic is shifted to (trial).
 enum class Arm : std::uint8_t { control, trial };
 
+/// Error rates and effect sizes of the sequential test; losses are differences of ratios.
 struct TestSettings {
-  double false_alarm = 0.01;  // chance, over one whole comparison, to call an equal pool worse
-  double margin = 0.02;       // a loss of the share up to this is no ground
-  double worse = 0.05;        // a loss of this must be ruled out before a step passes
-  double miss = 0.01;         // chance that it is not
-  double spread = 0.10;       // size of the losses that the test is tuned to find
+  double false_alarm = 0.01;  // probability that one whole comparison calls an equal pool worse
+  double margin = 0.02;       // a loss up to this value is tolerated
+  double worse = 0.05;        // a loss of this size must be ruled out before a step passes
+  double miss = 0.01;         // probability that such a loss is ruled out wrongly
+  double spread = 0.10;       // size of the losses that the test is tuned to detect
   double block_ms = 1000;
 };
 
+/// The result of a comparison so far.
 struct Estimate {
-  double control = 0, trial = 0;  // shares, 0 to 1
+  double control = 0, trial = 0;  // ratios, 0 to 1
   double loss = 0, error = 0;     // control - trial, and its standard error
-  double log_evidence =
-      0;  // of the test, without the worst blocks; from -log(false_alarm) on it is called worse
-  double trimmed_loss = 0;   // without them
-  std::uint64_t blocks = 0;  // closed, with answers of the trial
+  // Evidence without the discarded blocks; the trial pool is worse from -log(false_alarm) on.
+  double log_evidence = 0;
+  double trimmed_loss = 0;   // loss without the discarded blocks
+  std::uint64_t blocks = 0;  // closed blocks with answers of the trial pool
   std::uint64_t control_answers = 0, trial_answers = 0;
 };
 
+/// Accumulates the answers of both arms and evaluates the test.
 class Comparison {
  public:
   explicit Comparison(const TestSettings& settings);
 
   void add(Arm arm, double asked, double in_time, double now_ms);
   Estimate estimate() const;
-  bool worse(const Estimate& e) const;     // beyond the margin, surely
-  bool no_worse(const Estimate& e) const;  // a loss of `worse` is ruled out
+  bool worse(const Estimate& e) const;     // the loss exceeds the margin with enough evidence
+  bool no_worse(const Estimate& e) const;  // a loss of `TestSettings::worse` is ruled out
   void reset();
 
  private:
   static std::size_t index(Arm arm) { return static_cast<std::size_t>(arm); }
-  struct Sums {  // over answers
-    double asked = 0, in_time = 0, in_time_squared = 0, in_time_by_asked = 0, asked_squared = 0;
+  /// Sums over the answers of one arm.
+  struct Sums {
+    double asked = 0, in_time = 0;
+    double in_time_squared = 0, in_time_by_asked = 0, asked_squared = 0;
     std::uint64_t answers = 0;
     void operator+=(const Sums& o);
   };
   using Block = std::array<Sums, 2>;  // by arm
+  /// Sums over blocks of time.
   struct Totals {
     Block arms{};
-    // Sums over blocks of products of (x, n) of the arms: xx, xn, nn, and across the arms.
+    // Sums over blocks of products, where x is the weight answered in time and n the weight asked:
+    // xx, xn and nn within an arm, the others across the arms.
     double xx[2] = {}, xn[2] = {}, nn[2] = {};
     double x0x1 = 0, x0n1 = 0, n0x1 = 0, n0n1 = 0;
     std::uint64_t count = 0;
@@ -72,8 +81,8 @@
   double trial_shortfall(const Block& block) const;
 
   TestSettings settings_;
-  double miss_quantile_;  // of settings_.miss
-  Totals kept_;           // all closed blocks but the worst
+  double miss_quantile_;  // normal quantile of settings_.miss
+  Totals kept_;           // all closed blocks except the worst
   std::array<Block, kDiscardedBlocks> worst_{};
   std::uint64_t trial_blocks_ = 0;
   std::array<std::uint64_t, 2> answers_{};
--- a/logic/moves/load_watch.h
+++ b/logic/moves/load_watch.h
@@ -1,7 +1,7 @@
-// Tells a jump of traffic from the usual. Arrivals are counted by the second; a fast average is
-// compared with a slow one that hardly follows while a jump lasts. To be fed from the start, long
-// before anyone asks: a usual that was learned in a few seconds is off by its noise, and a jump
-// measured against it may never seem to end.
+/// Detects surges of traffic. Arrivals are counted per second; a fast moving average is compared
+/// with a slow one, the baseline, which hardly changes during a surge. Arrivals must be reported
+/// from the start, long before the result is needed: a baseline learned in a few seconds is off by
+/// its noise, and a surge measured against it may never appear to end.
 #pragma once
 
 #include <algorithm>
@@ -12,16 +12,19 @@
 
 namespace keelflow::moves {
 
+/// Detects surges in one stream of arrivals.
 class LoadSurgeDetector {
  public:
+  /// Thresholds and time constants of the detection.
   struct Settings {
-    double surge = 1.5;      // times the usual: from here on it is a jump
-    double surge_end = 1.2;  // and until here it lasts
-    double fast_s = 2, slow_s = 30,
-           surge_slow_s = 300;  // the last: how slowly a jump becomes the usual
-    double warm_up_s = 5;       // what has been seen for less is not the usual
-    double surge_start_deviations = 3,
-           surge_end_deviations = 1;  // standard deviations of the fast average that are not a jump
+    double surge = 1.5;         // multiple of the baseline above which a surge begins
+    double surge_end = 1.2;     // multiple of the baseline down to which a surge lasts
+    double fast_s = 2;          // time constant of the fast average
+    double slow_s = 30;         // time constant of the baseline
+    double surge_slow_s = 300;  // time constant of the baseline during a surge
+    double warm_up_s = 5;       // minimum observation time of a baseline
+    // Standard deviations of the fast average that are added to the thresholds as noise allowance.
+    double surge_start_deviations = 3, surge_end_deviations = 1;
   };
   LoadSurgeDetector() : LoadSurgeDetector(Settings{}) {}
   explicit LoadSurgeDetector(Settings settings) : s_(settings) {}
@@ -38,8 +41,8 @@
     double second = std::floor(now_ms / 1000);
     if (current_second_ < 0)
       current_second_ = second;
-    // A clock that is not asked for long has seen nothing arrive; more than a minute of that need
-    // not be counted out.
+    // No call for a long time means that nothing arrived. At most the last minute of that time is
+    // processed second by second.
     if (second > current_second_ + 60)
       current_second_ = second - 60;
     for (; current_second_ < second; ++current_second_, count_ = 0)
@@ -48,35 +51,35 @@
   }
 
   bool surge() const { return surging_; }
-  double rate() const { return fast_; }  // arrivals a second, of late
+  double rate() const { return fast_; }  // recent arrivals per second
   double baseline() const { return slow_; }
 
  private:
   void close(double count) {
     if (!std::exchange(has_started_, true))
-      return;  // only a part of a second
+      return;  // the first second was observed only in part
     if (++seconds_ == 1) {
       fast_ = slow_ = count;
       return;
     }
     fast_ += (count - fast_) / s_.fast_s;
-    slow_ +=
-        (count - slow_) /
-        (surging_ ? s_.surge_slow_s : std::min(seconds_, s_.slow_s));  // at first the plain mean
-    // The usual as of a few seconds ago, so that a jump is not measured against an average that it
-    // has raised itself.
+    // Until slow_s seconds have passed, the baseline is the arithmetic mean.
+    slow_ += (count - slow_) / (surging_ ? s_.surge_slow_s : std::min(seconds_, s_.slow_s));
+    // Compares with the baseline of a few seconds ago, because the surge itself raises the current
+    // one.
     double& previous =
         previous_baselines_[static_cast<std::size_t>(seconds_) % previous_baselines_.size()];
     double before = std::exchange(previous, slow_);
     if (seconds_ < s_.warm_up_s + static_cast<double>(previous_baselines_.size()))
       return;
-    // Of a Poisson count averaged over twice fast_s - 1 seconds.
+    // Standard deviation of a Poisson count averaged over 2 * fast_s - 1 seconds.
     auto noise = [&](double baseline) {
       return std::sqrt(std::max(baseline, 1.0) / (2 * s_.fast_s - 1));
     };
-    if (!surging_ && fast_ > before * s_.surge + s_.surge_start_deviations * noise(before))
-      surging_ = true, slow_ = before;
-    else if (surging_)
+    if (!surging_ && fast_ > before * s_.surge + s_.surge_start_deviations * noise(before)) {
+      surging_ = true;
+      slow_ = before;
+    } else if (surging_)
       surging_ = fast_ > slow_ * s_.surge_end + s_.surge_end_deviations * noise(slow_);
   }
 
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr std::size_t kMaxHistory = 64;
-// What a jump leaves queued is served late for a while after it; at most about as long as clients
-// wait and ask again.
+// Requests queued during a surge are still answered late after it ends, at most for about as long
+// as clients wait and retry.
 constexpr double kSurgeSettleMs = 6'000;
-constexpr double kLoadToCapacityThreshold =
-    0.9;  // rates are averages over two seconds, and at equal shares a toss-up
-constexpr std::uint64_t kMinAnswersPerArm = 8;  // answers of each arm before anything is concluded
+// Below 1 because rates are averages over two seconds: at equal shares of load and capacity, noise
+// would decide the comparison.
+constexpr double kLoadToCapacityThreshold = 0.9;
+constexpr std::uint64_t kMinAnswersPerArm = 8;  // before any conclusion
 
 std::string percent(double share) {
   char text[32];
@@ -46,11 +47,11 @@
     case Wait::none:
       return "";
     case Wait::slow_start:
-      return "the new pool is cold";
+      return "the new pool is in slow start";
     case Wait::surge:
-      return "traffic has jumped";
+      return "traffic has surged";
     case Wait::answers:
-      return "too few answers yet";
+      return "not enough answers yet";
   }
   return "";
 }
@@ -62,14 +63,14 @@
       out.push_back("move '" + spec.name + "': " + what);
   };
   need(spec.from != spec.to, "'from' and 'to' are the same pool");
-  need(!spec.steps.empty() && spec.steps.size() <= 32, "1 to 32 steps are wanted");
+  need(!spec.steps.empty() && spec.steps.size() <= 32, "1 to 32 steps are required");
   need(std::is_sorted(spec.steps.begin(), spec.steps.end(), std::less_equal<>()),
-       "steps must grow");
+       "steps must increase");
   need(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100),
        "steps must be above 0 and end with 100");
-  need(spec.min_duration_ms < spec.max_duration_ms, "'least-time' must be under 'most-time'");
+  need(spec.min_duration_ms < spec.max_duration_ms, "'least-time' must be less than 'most-time'");
   need(spec.control > 0 && spec.control <= 50, "'control' must be above 0 and at most 50 percent");
-  need(spec.test.margin < spec.test.worse, "'margin' must be under 'worse'");
+  need(spec.test.margin < spec.test.worse, "'margin' must be less than 'worse'");
   return out;
 }
 
@@ -81,8 +82,8 @@
   return test;
 }
 
-// Until its last step has passed, the old pool keeps a little: without it there is nothing to
-// compare with.
+// Returns the share of a step. Until the last step has passed, the old pool keeps the `control`
+// percentage, because the comparison needs a control group.
 double Move::capped_share(std::size_t step) const {
   return std::min(spec_.steps[step], 100 - spec_.control) / 100;
 }
@@ -119,9 +120,9 @@
 
 std::string Move::start(double now_ms) {
   if (active())
-    return "it is under way";
+    return "it is already under way";
   if (state_ == State::done)
-    return "it is done; undo it first";
+    return "it is done; undo it before starting it again";
   if (state_ == State::undone && now_ms < cool_until_)
     return "it cools off for another " +
            std::to_string(static_cast<long long>(std::ceil((cool_until_ - now_ms) / 1000))) + " s";
@@ -183,7 +184,7 @@
   from_ = from;
   to_ = to;
   pools_known_ = true;
-  // With nothing to serve there is nothing to measure, and no sense in waiting.
+  // Without a ready endpoint in the new pool there is nothing to measure or to wait for.
   if (active() && to_.ready == 0)
     undo(to_.draining > 0 ? "pool '" + spec_.to + "' is draining"
                           : "pool '" + spec_.to + "' has lost its last ready endpoint",
@@ -205,14 +206,15 @@
   comparison_.add(arm, asked, in_time, now_ms);
 }
 
-// Grounds on which what is measured says nothing of the new pool.
+// Returns the reason why the measurement says nothing about the new pool, if there is one.
 Wait Move::measurement_blocker(double now_ms) {
-  // Rule 4 holds back what cold boxes get. That is not slowness; it is waited out.
+  // Rule 4 limits the traffic of endpoints in slow start. The move waits for its end, because the
+  // limit does not mean that the pool is slow.
   if (2 * to_.warm < to_.ready || to_.warm == 0)
     return Wait::slow_start;
-  // A jump counts against the new pool only if it has clearly less of the load than of the
-  // capacity: beyond that it may look worse however good it is, and to move the load back would
-  // help nobody.
+  // During a surge the new pool is measured only if its share of the load is clearly less than its
+  // share of the capacity. With a larger share it may look worse however good it is, and moving the
+  // load back would not help.
   if (!route_load_.surge() && !other_load_.surge())
     return last_surge_ms_ >= 0 && now_ms < last_surge_ms_ + kSurgeSettleMs ? Wait::surge
                                                                            : Wait::none;
@@ -233,8 +235,10 @@
   wait_ = wait;
   if (wait == Wait::slow_start || wait == Wait::surge)
     add_event(now_ms, "waits: " + std::string(word(wait)));
-  else if (was_blocked && active())
-    add_event(now_ms, "goes on"), restart_measurement(now_ms);
+  else if (was_blocked && active()) {
+    add_event(now_ms, "continues");
+    restart_measurement(now_ms);
+  }
 }
 
 void Move::tick(double now_ms) {
@@ -247,7 +251,7 @@
     return;
   Wait blocker = measurement_blocker(now_ms);
   if (blocker != Wait::none) {
-    step_since_ += now_ms - since;  // the step's clock stands still
+    step_since_ += now_ms - since;  // the time does not count for the step
     return set_wait(blocker, now_ms);
   }
   if (wait_ == Wait::slow_start || wait_ == Wait::surge)
@@ -262,7 +266,7 @@
     return;
   }
   if (state_ == State::paused)
-    return;  // watched all the same
+    return;  // a paused move is measured and may be undone, but takes no step
   double lasted = now_ms - step_since_;
   bool enough =
       last_.trial_answers >= spec_.min_answers && last_.control_answers >= kMinAnswersPerArm;
@@ -270,7 +274,7 @@
   set_wait(!passed && lasted >= spec_.min_duration_ms ? Wait::answers : Wait::none, now_ms);
   if (!passed) {
     if (lasted >= spec_.max_duration_ms)
-      undo("step " + std::to_string(step_ + 1) + " stayed undecided", now_ms);
+      undo("step " + std::to_string(step_ + 1) + " stayed undecided for too long", now_ms);
     return;
   }
   if (step_ + 1 < spec_.steps.size())
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -1,6 +1,6 @@
-// One move: traffic of a route is taken from one pool to another in steps, and taken back at once
-// when the new pool serves it worse. Pure: what happens is told with its time (Unix milliseconds);
-// what is to be done is read from `share()` and `events()`.
+/// Shifts the traffic of a route from one pool to another in steps, and returns it at once when the
+/// new pool serves it worse. Performs no I/O and reads no clock: callers report events with their
+/// time (Unix milliseconds) and read the result from `share()` and `events()`.
 #pragma once
 
 #include <cstdint>
@@ -14,62 +14,64 @@
 
 namespace keelflow::moves {
 
+/// The settings of one traffic shift.
 struct MoveSpec {
   std::string name, route, from, to;
-  std::vector<double> steps = {1, 5, 10, 25, 50, 100};  // percent, growing
-  double min_duration_ms = 30'000;                      // a step lasts at least so long
-  double max_duration_ms = 1'800'000;                   // one that is undecided by then is undone
-  std::uint64_t min_answers = 200;                      // of the new pool, in a step
-  double cool_off_ms = 600'000;                         // after an undo, before it may start again
+  std::vector<double> steps = {1, 5, 10, 25, 50, 100};  // percent, increasing
+  double min_duration_ms = 30'000;                      // minimum duration of a step
+  double max_duration_ms = 1'800'000;  // a step that is undecided after this time is undone
+  std::uint64_t min_answers = 200;     // answers of the new pool that a step needs
+  double cool_off_ms = 600'000;        // time after an undo before the move may start again
   double control = 5;  // percent that the old pool keeps until the last step has passed
-  TestSettings test;   // false_alarm is that of the whole move; the steps share it
+  TestSettings test;   // false_alarm applies to the whole move and is divided among its steps
 };
+/// Returns a message for each fault of the settings; empty if they are valid.
 std::vector<std::string> faults(const MoveSpec& spec);
 
+/// The lifecycle of a move.
 enum class State : std::uint8_t { idle, running, paused, undone, done };
-enum class Wait : std::uint8_t {
-  none,
-  slow_start,
-  surge,
-  answers
-};  // why a running move does not go on
+/// Why a running move does not advance.
+enum class Wait : std::uint8_t { none, slow_start, surge, answers };
 std::string_view word(State state);
 std::string_view word(Wait wait);
 
+/// An entry of a move's history.
 struct Event {
   double when_ms = 0;
   std::string text;
 };
 
-// How the pools are, as of now; from the list in force.
+/// The current state of a pool according to the endpoint list in force.
 struct PoolView {
   int ready = 0, warm = 0, draining = 0;
-  double capacity = 0;  // of its warm endpoints, in any unit that both pools share
+  double capacity = 0;  // of the pool's warm endpoints, in any unit that both pools share
 };
 
+/// One traffic shift: its state machine and its measurement.
 class Move {
  public:
   explicit Move(MoveSpec spec);
 
-  // By an operator. Empty: done; else why not. Each may come at any time and more than once.
+  // Operator commands. Each may be called at any time and repeatedly. Returns an empty string on
+  // success, otherwise the reason for the refusal.
   std::string start(double now_ms);
   std::string pause(double now_ms);
   std::string resume(double now_ms);
   std::string undo(std::string_view reason, double now_ms);
 
-  // Another Spec of the same name, route and pools: a running move goes on at the nearest step not
-  // above its share.
+  // Replaces the settings by others with the same name, route and pools. A running move continues
+  // at the highest step whose share does not exceed the current share, or else at the first step.
   void update_spec(MoveSpec spec, double now_ms);
 
   void pools(const PoolView& from, const PoolView& to, double now_ms);
   void arrived(Arm pool, bool of_route, double now_ms);
-  // Every request of the route ends with one of these, in whatever way. Worth counts as in time by
-  // the class's aim. What came before the present measure began, or while it stood still, is passed
-  // over.
+  // Must be called once for every request of the route, whatever its outcome. `in_time` is the
+  // weight that was answered within the class's latency target. Requests that arrived before the
+  // current measurement began, and answers while measurement is suspended, are ignored.
   void answered(Arm arm, double asked, double in_time, double arrived_ms, double now_ms);
-  void tick(double now_ms);  // at least every few hundred milliseconds
+  void tick(double now_ms);  // must be called at least every few hundred milliseconds
 
-  double share() const { return share_; }  // of `to`, 0 to 1
+  double share() const { return share_; }  // share of `to`, 0 to 1
   State state() const { return state_; }
   Wait wait_reason() const { return wait_; }
   std::size_t step() const { return step_; }
@@ -80,7 +82,7 @@
   const Estimate& last() const { return last_; }
   std::uint64_t undos() const { return undos_; }
   bool active() const { return state_ == State::running || state_ == State::paused; }
-  // Since the last call; the newest 64 stand in `history`.
+  // Returns the events since the last call; `history` keeps the newest 64.
   std::vector<Event> events();
   const std::deque<Event>& history() const { return history_; }
 
@@ -95,15 +97,15 @@
 
   MoveSpec spec_;
   Comparison comparison_;
-  LoadSurgeDetector route_load_,
-      other_load_;  // the route's requests; those of other routes to the new pool
+  LoadSurgeDetector route_load_;  // requests of the route
+  LoadSurgeDetector other_load_;  // requests of other routes to the new pool
   LoadSurgeDetector pool_load_[2];
   PoolView from_, to_;
   State state_ = State::idle;
   Wait wait_ = Wait::none;
   std::size_t step_ = 0;
-  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, last_tick_ms_ = 0,
-         last_surge_ms_ = -1;
+  double share_ = 0, step_since_ = 0, measured_since_ = 0, cool_until_ = 0, last_tick_ms_ = 0;
+  double last_surge_ms_ = -1;  // negative: no surge has suspended the measurement
   Estimate last_;
   std::string reason_;
   std::uint64_t undos_ = 0;
--- a/logic/plugins/breaker.cpp
+++ b/logic/plugins/breaker.cpp
@@ -34,12 +34,16 @@
 
 bool Breaker::add_failure(double now_ms) {
   trial_call_pending_ = false;
-  if (state_ == State::trial)
-    return open(now_ms), true;
+  if (state_ == State::trial) {
+    open(now_ms);
+    return true;
+  }
   if (state_ != State::closed)
     return false;
-  if (failures_ == 0 || now_ms > first_failure_ms_ + s_.window_ms)
-    failures_ = 0, first_failure_ms_ = now_ms;
+  if (failures_ == 0 || now_ms > first_failure_ms_ + s_.window_ms) {
+    failures_ = 0;
+    first_failure_ms_ = now_ms;
+  }
   if (++failures_ < s_.failures)
     return false;
   open(now_ms);
--- a/logic/plugins/breaker.h
+++ b/logic/plugins/breaker.h
@@ -1,7 +1,8 @@
-// Whether a plug-in is asked. Faults are strikes; enough of them, or the death of its host, open
-// the breaker: the plug-in is left out, its host is ended, and after a back-off that grows with
-// every turn, with jitter, another host is started and asked one call at a time. A few good answers
-// close the breaker. Pure: time is an argument, milliseconds.
+/// Circuit breaker of a plug-in: decides whether the plug-in is called. Enough failures within a
+/// window, or the death of its host process, open the breaker. While it is open the plug-in is
+/// skipped and its host is stopped. After a back-off, which doubles with every opening and has
+/// jitter, another host is started and gets one call at a time. A few successful calls close the
+/// breaker. Performs no I/O and reads no clock: the time is an argument in milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +11,21 @@
 
 namespace keelflow::plugins {
 
+/// Thresholds and back-off of a Breaker.
 struct BreakerSettings {
-  int failures = 5;  // within `window_ms` open it
+  int failures = 5;  // failures within `window_ms` that open the breaker
   double window_ms = 10'000;
-  double initial_backoff_ms = 250,
-         max_duration_ms = 60'000;  // back-off: the first, doubled each turn, at most
-  double jitter = 0.25;             // of the back-off, either way
-  int give_up = 8;                  // turns in a row; then it is out, and tried once every `out_ms`
+  // Back-off: its first value and its maximum; it doubles with every opening.
+  double initial_backoff_ms = 250, max_duration_ms = 60'000;
+  double jitter = 0.25;  // fraction of the back-off, added or subtracted
+  int give_up =
+      8;  // consecutive openings after which the state is `out`, with a trial per `out_ms`
   double out_ms = 600'000;
-  int required_trial_successes = 3;  // good answers in a row that close it
-  double backoff_reset_ms = 30'000;  // closed for so long, the back-off begins anew
+  int required_trial_successes = 3;  // consecutive successes that close the breaker
+  double backoff_reset_ms = 30'000;  // time in the closed state that resets the back-off
 };
 
+/// The state machine of one plug-in's circuit breaker.
 class Breaker {
  public:
   enum class State : std::uint8_t { closed, open, trial, out, disabled };
@@ -30,28 +34,32 @@
       : s_(settings), random_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
 
   State state() const { return state_; }
-  double until() const { return until_; }     // of open and out: when the next trial begins
-  int openings() const { return openings_; }  // openings in a row
+  double until() const { return until_; }     // in `open` and `out`: when the next trial may begin
+  int openings() const { return openings_; }  // consecutive openings
   int failures() const { return failures_; }
 
-  // Whether the next call may be made. In a trial there is one at a time.
+  // Whether the next call may be made. A trial allows one call at a time.
   bool allows_call() const {
     return state_ == State::closed || (state_ == State::trial && !trial_call_pending_);
   }
   void asked() { trial_call_pending_ = state_ == State::trial; }
-  // The call's host answered as it should.
+  // Records a call that the host answered correctly.
   void add_success(double now_ms);
-  // The call was not answered as it should: true if that opened the breaker.
+  // Records a call that the host did not answer correctly. Returns whether this opened the breaker.
   bool add_failure(double now_ms);
-  // Its host has died or had to be ended, or would not start.
+  // Records that the host died, had to be stopped or failed to start.
   void host_died(double now_ms);
-  // A call of a trial came to nothing, through no fault of the plug-in: its client has gone, or its
-  // deadline was short.
+  // Records a trial call without a result for which the plug-in is not at fault: the client
+  // disconnected or the deadline was too short.
   void dropped() { trial_call_pending_ = false; }
-  // The back-off is over and another host is ready. False: it is not the time.
+  // Begins a trial once another host is ready. Returns false before the back-off is over and in
+  // states that have no trial.
   bool begin_trial(double now_ms);
-  // By an operator. Enabling ends a back-off too; the trial follows when its host is ready.
-  void disable() { state_ = State::disabled, trial_call_pending_ = false; }
+  // Operator commands. Enabling also ends a back-off; the trial begins when the host is ready.
+  void disable() {
+    state_ = State::disabled;
+    trial_call_pending_ = false;
+  }
   void enable(double now_ms);
 
  private:
--- a/logic/plugins/holds.h
+++ b/logic/plugins/holds.h
@@ -1,5 +1,6 @@
-// Requests that plug-ins hold back, of bounded number and bytes. One that does not fit makes the
-// oldest go on at once; one that is larger than all room goes on itself. Pure: time is an argument.
+/// Requests that plug-ins hold back, limited in number and bytes. A request that does not fit
+/// releases the oldest ones at once; a request that exceeds the byte limit alone is released
+/// itself. Performs no I/O and reads no clock: the time is an argument.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +15,20 @@
 
 namespace keelflow::plugins {
 
+/// The set of held requests, ordered by age and by the end of the hold.
 class Holds {
  public:
   using Id = scheduler::RequestId;
   Holds(std::size_t max_count, std::size_t max_bytes)
       : max_count_(max_count), max_bytes_(max_bytes) {}
 
-  // Those that must go on now to make room, the oldest first; perhaps this one itself.
+  // Returns the requests that must be released now to make room, oldest first. May be the added
+  // request itself.
   std::vector<Id> add(Id id, std::size_t bytes, double until_ms) {
-    if (max_count_ == 0 || bytes > max_bytes_)
-      return ++pushed_out_, std::vector<Id>{id};
+    if (max_count_ == 0 || bytes > max_bytes_) {
+      ++pushed_out_;
+      return {id};
+    }
     std::vector<Id> out;
     while (held_.size() >= max_count_ || bytes_ + bytes > max_bytes_) {
       out.push_back(by_age_.begin()->second);
@@ -37,7 +42,8 @@
     return out;
   }
 
-  bool remove(Id id) {  // its client has gone, or it goes on
+  // Removes a request whose client disconnected or that is released.
+  bool remove(Id id) {
     auto it = held_.find(id);
     if (it == held_.end())
       return false;
@@ -48,6 +54,7 @@
     return true;
   }
 
+  // Removes and returns the requests whose hold has ended, earliest end first.
   std::vector<Id> due(double now_ms) {
     std::vector<Id> out;
     while (!by_end_.empty() && std::get<0>(*by_end_.begin()) <= now_ms) {
@@ -57,7 +64,8 @@
     return out;
   }
 
-  std::vector<Id> all() {  // the oldest first; nothing is held any more
+  // Removes and returns all requests, oldest first.
+  std::vector<Id> all() {
     std::vector<Id> out;
     for (const auto& [age, id] : by_age_)
       out.push_back(id);
@@ -66,9 +74,10 @@
     return out;
   }
 
-  // Other bounds from now on; those that no longer fit, the oldest first.
+  // Changes the limits. Removes and returns the requests that no longer fit, oldest first.
   std::vector<Id> set_limits(std::size_t max_count, std::size_t max_bytes) {
-    max_count_ = max_count, max_bytes_ = max_bytes;
+    max_count_ = max_count;
+    max_bytes_ = max_bytes;
     std::vector<Id> out;
     while (held_.size() > max_count_ || bytes_ > max_bytes_) {
       out.push_back(by_age_.begin()->second);
@@ -78,6 +87,7 @@
     return out;
   }
 
+  // Returns when the next hold ends.
   std::optional<double> next() const {
     return by_end_.empty() ? std::nullopt : std::optional(std::get<0>(*by_end_.begin()));
   }
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -1,6 +1,6 @@
-// Remembers for a while which pool a keyed request went to, so that a client's further try of it
-// goes there too: the boxes that drop its repeats are there. Of fixed size; a full bucket forgets
-// what would have expired first.
+/// Remembers for a limited time which pool a request with an idempotency key was sent to. A
+/// client's retry is sent to the same pool, because the endpoints that drop duplicates of the
+/// request are there. The size is fixed; a full bucket evicts the entry that would expire first.
 #pragma once
 
 #include <array>
@@ -10,17 +10,17 @@
 
 namespace keelflow::routes {
 
+/// A set-associative cache from request keys to pool numbers.
 class PoolByKeyCache {
  public:
-  explicit PoolByKeyCache(
-      std::size_t entries) {  // rounded up to a power of two, at least one bucket
+  explicit PoolByKeyCache(std::size_t entries) {  // rounded up to a power of two
     std::size_t buckets = 1;
     while (buckets * kWays < entries)
       buckets *= 2;
     buckets_.resize(buckets);
   }
 
-  int find(std::uint64_t key, double now_ms) const {  // -1: not known
+  int find(std::uint64_t key, double now_ms) const {  // -1: unknown
     for (const Entry& e : buckets_[key & (buckets_.size() - 1)])
       if (e.pool >= 0 && e.key == key && e.until > now_ms)
         return e.pool;
@@ -42,7 +42,7 @@
     *victim = {key, until_ms, pool};
   }
 
-  std::uint64_t evicted_live() const { return evicted_live_; }  // that were still in force
+  std::uint64_t evicted_live() const { return evicted_live_; }  // evicted before they expired
   std::size_t capacity() const { return buckets_.size() * kWays; }
 
  private:
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -52,7 +52,7 @@
   std::set<std::string> seen;
   for (const auto& thing : things)
     if (!seen.insert(thing.name).second)
-      out.push_back(std::string(what) + " '" + thing.name + "' is there twice");
+      out.push_back(std::string(what) + " '" + thing.name + "' is defined twice");
 }
 
 bool matches_all(const RouteSpec& route) {
@@ -64,9 +64,9 @@
 std::vector<std::string> faults(const Spec& spec) {
   std::vector<std::string> out;
   if (spec.pools.empty() && !spec.routes.empty())
-    out.push_back("there are routes, and no pool");
+    out.push_back("routes are defined, but no pool");
   if (!spec.pools.empty() && spec.routes.empty())
-    out.push_back("there are pools, and no route");
+    out.push_back("pools are defined, but no route");
   if (spec.pools.size() > kMaxPools)
     out.push_back("more than " + std::to_string(kMaxPools) + " pools");
   if (spec.routes.size() > kMaxRoutes)
@@ -82,20 +82,21 @@
       bool known = std::any_of(spec.pools.begin(), spec.pools.end(),
                                [&](const PoolSpec& p) { return p.name == pool; });
       if (!known)
-        out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not there");
+        out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not defined");
       if (!seen.insert(pool).second)
         out.push_back("route '" + route.name + "' names pool '" + pool + "' twice");
       if (!std::isfinite(weight) || weight < 0)
-        out.push_back("route '" + route.name + "' has a weight below zero");
+        out.push_back("route '" + route.name + "' has a weight that is negative or not finite");
     }
     if (!(sum > 0))
-      out.push_back("route '" + route.name + "' sends to no pool: its weights are all zero");
+      out.push_back("route '" + route.name + "' sends to no pool: all its weights are zero");
     bool last = i + 1 == spec.routes.size();
     if (!last && matches_all(route))
       out.push_back("route '" + route.name +
-                    "' fits all, so that those after it are never reached");
+                    "' matches all requests, so later routes are never reached");
     if (last && !matches_all(route))
-      out.push_back("the last route, '" + route.name + "', must fit all: it may have no match");
+      out.push_back("the last route, '" + route.name +
+                    "', must match all requests: it may have no conditions");
   }
   return out;
 }
@@ -108,12 +109,14 @@
       if (index_of(all, name) < 0)
         out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
   };
-  for (const PoolSpec& pool : spec.pools)
-    check_names(pool.sites, names.zones, "site"),
-        check_names(pool.kinds, names.kinds, "endpoint class");
-  for (const RouteSpec& route : spec.routes)
-    check_names(route.classes, names.classes, "class"),
-        check_names(route.tenants, names.tenants, "tenant");
+  for (const PoolSpec& pool : spec.pools) {
+    check_names(pool.sites, names.zones, "site");
+    check_names(pool.kinds, names.kinds, "endpoint class");
+  }
+  for (const RouteSpec& route : spec.routes) {
+    check_names(route.classes, names.classes, "class");
+    check_names(route.tenants, names.tenants, "tenant");
+  }
   return out;
 }
 
@@ -223,7 +226,7 @@
   endpoint.pool = pool;
 }
 
-// True: the endpoint has left another pool, whose Dispatcher must be told.
+// Returns whether the endpoint has left another pool, whose Dispatcher must be notified.
 bool Router::update_endpoint(EndpointEntry entry, std::string_view host, double now_ms) {
   auto [it, fresh] = endpoints_.try_emplace(entry.endpoint);
   Endpoint& endpoint = it->second;
@@ -235,8 +238,8 @@
   return before >= 0 && endpoint.pool != before;
 }
 
-// As cached: to the module such a list is complete, and says nothing of whether discovery is being
-// watched.
+// The scope is `cached` because the scheduler takes such a list as complete, without concluding
+// that the discovery watch works.
 EndpointList Router::complete_list(int pool) const {
   EndpointList list;
   list.scope = ListScope::cached;
@@ -261,7 +264,7 @@
     out.emplace_back(i, EndpointList{list.scope, {}});
   if (list.scope == ListScope::failed)
     return out;
-  if (list.scope != ListScope::delta) {  // complete: whoever is missing is gone
+  if (list.scope != ListScope::delta) {  // complete: missing endpoints are gone
     std::set<scheduler::EndpointId> named;
     for (const EndpointEntry& e : list.entries)
       named.insert(e.endpoint);
@@ -288,7 +291,7 @@
   }
   recount_health(now_ms);
   if (list.scope == ListScope::delta && numbers() > 1)
-    std::erase_if(out, [](const auto& told) { return told.second.entries.empty(); });
+    std::erase_if(out, [](const auto& pool_list) { return pool_list.second.entries.empty(); });
   return out;
 }
 
@@ -353,8 +356,10 @@
     const Route& r = routes_[i];
     bool fits = allowed(r.classes, query.class_index) && allowed(r.tenants, query.tenant) &&
                 any_of(r.paths, [&](const std::string& p) { return query.path.starts_with(p); });
-    if (fits)
-      route = &r, out.route = static_cast<int>(i);
+    if (fits) {
+      route = &r;
+      out.route = static_cast<int>(i);
+    }
   }
   const scheduler::ClassSettings& class_settings = classes_.at(at(query.class_index));
   bool keyed = class_settings.idempotency == scheduler::Idempotency::idempotent_with_key;
@@ -365,20 +370,23 @@
     out.kept = true;
   } else {
     double point = point_of(query, static_cast<std::uint64_t>(out.route));
-    std::size_t own = 0;
-    while (own + 1 < route->segments.size() && point >= route->segments[own].end)
-      ++own;
-    out.pool = route->segments[own].pool;
-    // Where nothing of its pool is ready, or all of it is cold, a request goes to the next pool
-    // that has better.
+    std::size_t own_segment = 0;
+    while (own_segment + 1 < route->segments.size() && point >= route->segments[own_segment].end)
+      ++own_segment;
+    out.pool = route->segments[own_segment].pool;
+    // If its pool has no ready endpoint, or only endpoints in slow start, the request goes to the
+    // next pool of the route that is better off.
     auto fitness = [&](int pool) {
       return health_[at(pool)].warm > 0 ? 2 : health_[at(pool)].ready > 0 ? 1 : 0;
     };
     int best = fitness(out.pool);
     for (std::size_t i = 1; best < 2 && i < route->segments.size(); ++i) {
-      int other = route->segments[(own + i) % route->segments.size()].pool;
-      if (fitness(other) > best)
-        best = fitness(out.pool = other), out.spilled = true;
+      int other = route->segments[(own_segment + i) % route->segments.size()].pool;
+      if (fitness(other) > best) {
+        out.pool = other;
+        best = fitness(other);
+        out.spilled = true;
+      }
     }
   }
   if (keyed)
@@ -396,7 +404,7 @@
   double both = find(from)->weight + find(to)->weight;
   find(to)->weight = both * share;
   find(from)->weight = both * (1 - share);
-  // The two stand side by side, `to` first: only the boundary between them moves.
+  // The two segments are adjacent, `to` first, so that only the boundary between them moves.
   Segment moved = *find(to);
   r.segments.erase(find(to));
   r.segments.insert(find(from), moved);
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -1,10 +1,10 @@
-// Which pool an endpoint belongs to, and which pool a request goes to. Pure: the time (Unix
-// milliseconds, the module's scale) is an argument. What happens within a pool is the module's:
-// each pool has a Dispatcher of its own.
-//
-// A choice is stable. The hash of what a request is about (its object, else its idempotency key,
-// else its id) is a point in [0, 1), and a route's pools share that interval by weight. `shift`
-// moves one boundary only, so that a larger step adds to what was moved and takes nothing back.
+/// Assigns endpoints to pools and requests to pools. Performs no I/O and reads no clock: the time
+/// (Unix milliseconds, as in the scheduler) is an argument. Each pool has its own Dispatcher, which
+/// schedules requests within the pool.
+///
+/// The choice of a pool is stable. A hash of the request's object (or of its idempotency key, or of
+/// its id) is a point in [0, 1), and a route's pools divide that interval by weight. `shift` moves
+/// only one boundary, so a larger step shifts additional traffic and returns none.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,13 @@
 
 namespace keelflow::routes {
 
-// The platform's names by the module's numbers.
+/// The platform's names; the index of a name is its number in the scheduler.
 struct NameLists {
   std::vector<std::string> classes, tenants, zones, kinds;
 };
 
-struct Query {  // what a request shows of itself
+/// The properties of a request that routing uses.
+struct Query {
   int class_index = 0, tenant = 0;
   std::string_view path;
   std::uint64_t object = 0;  // zero: none
@@ -34,93 +35,102 @@
   double patience_ms = 0;
 };
 
+/// The pool and the route chosen for a request.
 struct Choice {
   int pool = 0, route = 0;
-  bool spilled = false;  // its own pool had nothing fit to serve
-  bool kept = false;     // it followed an earlier try of the same keyed request
+  // Sent to another pool, because its own has no ready endpoint or only endpoints in slow start.
+  bool spilled = false;
+  bool kept = false;  // sent to the pool of an earlier try with the same idempotency key
 };
 
-struct Health {  // of one pool, by the list in force
+/// The endpoints of one pool by state, according to the endpoint list in force.
+struct Health {
   int ready = 0, warm = 0, draining = 0;
-  double warm_share = 0;  // sum of nominal_capacity speed over its warm, ready endpoints
+  double warm_share = 0;  // sum of nominal_capacity over the warm, ready endpoints
 };
 
-struct Timing {  // rule 4's figures, milliseconds
+/// The durations of rule 4, in milliseconds.
+struct Timing {
   double slow_start_ms = 0, pool_change_delay_ms = 0;
 };
 
-// Names in it that the platform does not have.
+/// Returns a message for each name in the Spec that the platform does not know.
 std::vector<std::string> unknown_names(const Spec& spec, const NameLists& names);
 
+/// Compiles a Spec and applies it to endpoint lists and requests.
 class Router {
  public:
-  using Lists = std::vector<std::pair<int, scheduler::EndpointList>>;  // pool, what its Dispatcher
-                                                                       // is to be told
+  // Pool numbers, each with the list that the pool's Dispatcher must receive.
+  using Lists = std::vector<std::pair<int, scheduler::EndpointList>>;
 
-  // `classes` tell which are keyed, and for how long repeats are dropped. The Spec must be without
-  // faults.
+  // `classes` define which requests have idempotency keys, and their deduplication windows. The
+  // Spec must have no faults.
   Router(Spec spec, NameLists names, std::vector<scheduler::ClassSettings> classes, Timing timing,
          std::size_t key_entries = 16 * 1024);
 
-  // Another Spec takes over. Pools that it names again keep their numbers, and new ones get free
-  // numbers: none is used for two names in a node's life. Empty: there are no numbers left
-  // (kMostPools in all), nothing is changed. The lists are complete ones, told as cached, for every
-  // pool; pools that are no more get an empty one.
+  // Replaces the Spec. Pools with a known name keep their numbers and new pools get free numbers; a
+  // number is never reused for another name in a node's lifetime. Returns nothing, and changes
+  // nothing, if no numbers are left (kMaxPools in total). Otherwise returns a complete list with
+  // scope `cached` for every pool; the list of a removed pool is empty.
   std::optional<Lists> replace(Spec spec, double now_ms);
-  bool fits(const Spec& spec) const;  // there are numbers left for it
+  bool fits(const Spec& spec) const;  // enough pool numbers are left
 
-  // Names that the platform has added, at the end of each list, or given to a class number that
-  // nobody uses. To be followed by `replace`.
+  // Updates the platform's names after it has appended names to the lists or renamed an unused
+  // class number. `replace` must follow.
   void rename(NameLists names, std::vector<scheduler::ClassSettings> classes) {
     names_ = std::move(names);
     classes_ = std::move(classes);
   }
 
-  // Splits what discovery tells. `host` names a endpoint; empty where it is not known (it then
-  // keeps its pool).
+  // Splits an endpoint list from discovery by pool. `host` returns the host name of an endpoint, or
+  // an empty string if it is unknown; the endpoint then keeps the host name known before.
   Lists split(const scheduler::EndpointList& list,
               const std::function<std::string_view(scheduler::EndpointId)>& host, double now_ms);
-  // A cold endpoint that changes pools joins the new one after rest_ms: the new Dispatcher does not
-  // know what the old one sent to it, and a cold box must not get both shares. To be called when
-  // `next_due` has come.
+  // Returns the lists of pools that endpoints join now; must be called at `next_due`. An endpoint
+  // in slow start that changes pools joins the new one after pool_change_delay_ms, because the new
+  // Dispatcher does not know what the old one sent to it, and the endpoint must not get both
+  // shares.
   Lists due(double now_ms);
   std::optional<double> next_due() const;
 
   Choice choose(const Query& query, double now_ms);
 
-  // The share of `to` in what the two pools of the route get together, 0 to 1.
+  // Sets the share of `to` (0 to 1) in the combined weight of the two pools of the route.
   void shift(int route, int from, int to, double share);
 
-  int pool(std::string_view name) const;   // -1: none of that name
-  int route(std::string_view name) const;  // -1
+  int pool(std::string_view name) const;   // -1: no such pool
+  int route(std::string_view name) const;  // -1: no such route
   const std::string& pool_name(int pool) const {
     return pool_names_.at(static_cast<std::size_t>(pool));
   }
-  int numbers() const { return static_cast<int>(pool_names_.size()); }  // pools, gone ones included
+  int numbers() const { return static_cast<int>(pool_names_.size()); }  // including removed pools
   bool is_current(int pool) const;
   const Spec& spec() const { return spec_; }
   const Health& health(int pool, double now_ms);
-  double weight(int route, int pool) const;  // its share of the route's traffic, 0 to 1
+  double weight(int route, int pool) const;  // the pool's share of the route's traffic, 0 to 1
   std::uint64_t keys_forgotten() const { return keys_.evicted_live(); }
-  int unassigned() const { return unassigned_; }  // endpoints that no pool names
+  int unassigned() const { return unassigned_; }  // endpoints that match no pool
 
  private:
-  std::vector<std::string> numbered_names(
-      const Spec& spec) const;  // the names of pools, with those that it adds
+  // Returns the pool names by number, with the names that the Spec adds.
+  std::vector<std::string> numbered_names(const Spec& spec) const;
+  /// A pool's part of [0, 1): from the end of the previous segment to `end`.
   struct Segment {
     int pool;
-    double weight, end;  // the part of [0, 1) below `end` and above the one before
+    double weight, end;
   };
+  /// A compiled RouteSpec.
   struct Route {
     std::vector<bool> classes, tenants;  // empty: any
     std::vector<std::string> paths;
     std::vector<Segment> segments;
   };
+  /// An endpoint and its pool.
   struct Endpoint {
     scheduler::EndpointEntry entry;
     std::string host;
     int pool = -1;
-    double joins_at_ms = 0;  // while > 0: not yet told to its pool
+    double joins_at_ms = 0;  // while > 0: not yet in the list of its pool
   };
 
   void compile();
@@ -139,18 +149,19 @@
   Timing timing_;
   PoolByKeyCache keys_;
   std::vector<std::string> pool_names_;
-  std::vector<int> pool_numbers_;  // of spec_.pools
+  std::vector<int> pool_numbers_;  // of the pools in spec_.pools
   std::vector<Route> routes_;
-  std::map<scheduler::EndpointId, Endpoint>
-      endpoints_;               // in order, so that the same events give the same lists
-  std::vector<Health> health_;  // by pool; counted at changes, and when an endpoint has warmed up
-  double next_warm_ms_ = 0;     // the next such moment
+  // Ordered, so that the same events produce the same lists.
+  std::map<scheduler::EndpointId, Endpoint> endpoints_;
+  // By pool; recounted after changes and when an endpoint's slow start ends.
+  std::vector<Health> health_;
+  double next_warm_ms_ = 0;  // when the next slow start ends
   int unassigned_ = 0;
 };
 
-// The point in [0, 1) of what a request is about, and the key by which further tries of it are
-// known.
+/// Returns the point in [0, 1) of a request's object, idempotency key or id.
 double point_of(const Query& query, std::uint64_t seed);
+/// Returns the key by which retries of a request are recognized.
 std::uint64_t affinity_key(const Query& query);
 
 }  // namespace keelflow::routes
--- a/logic/routes/spec.h
+++ b/logic/routes/spec.h
@@ -1,5 +1,5 @@
-// Pools and routes as an operator writes them: names, not yet numbers. Made by node/config,
-// compiled by Router.
+/// Pools and routes as an operator writes them, with names instead of numbers. node/config creates
+/// them; Router compiles them.
 #pragma once
 
 #include <string>
@@ -8,33 +8,35 @@
 
 namespace keelflow::routes {
 
-// A set of endpoints. All conditions that are given must hold; of one condition any value may. The
-// first pool that fits has the endpoint, so that each belongs to exactly one; an endpoint that fits
-// none gets no traffic.
+/// Selects a set of endpoints. An endpoint matches if every condition that is given holds; a
+/// condition holds if any of its values matches. An endpoint belongs to the first pool that it
+/// matches, so to at most one; an endpoint that matches none gets no traffic.
 struct PoolSpec {
   std::string name;
-  std::vector<std::string> sites, kinds, hosts;  // of hosts the beginning of the name
+  std::vector<std::string> sites, kinds, hosts;  // hosts: prefixes of host names
   std::vector<int> blocks;
 };
 
-// Sends requests to pools by weight. The first route that fits takes a request; the last one fits
-// all.
+/// Distributes requests over pools by weight. The first matching route takes a request; the last
+/// route must match all requests.
 struct RouteSpec {
   std::string name;
-  std::vector<std::string> classes, tenants, paths;  // of paths the beginning
-  std::vector<std::pair<std::string, double>> to;  // pool and weight, weights of any sum above zero
-  bool rehome =
-      false;  // when weights change, requests that no endpoint was sent yet are routed again
+  std::vector<std::string> classes, tenants, paths;  // paths: prefixes
+  // Pools and their weights. The weights may have any sum above zero.
+  std::vector<std::pair<std::string, double>> to;
+  // Whether requests that were not yet sent to an endpoint are routed again when weights change.
+  bool rehome = false;
 };
 
+/// All pools and routes of a configuration.
 struct Spec {
   std::vector<PoolSpec> pools;
   std::vector<RouteSpec> routes;
   bool on() const { return !pools.empty(); }
 };
 
-// What needs no names of the platform's to be seen: unknown pools, names given twice, routes never
-// reached.
+/// Returns the faults that can be found without the platform's names: unknown pools, duplicate
+/// names, unreachable routes.
 std::vector<std::string> faults(const Spec& spec);
 
 inline constexpr std::size_t kMaxPools = 16, kMaxRoutes = 64;
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of traffic shifting: the Move state machine, Comparison and LoadSurgeDetector.
 #include "moves/move.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,10 @@
 
 MoveSpec spec() {
   MoveSpec m;
-  m.name = "m", m.route = "all", m.from = "old", m.to = "new";
+  m.name = "m";
+  m.route = "all";
+  m.from = "old";
+  m.to = "new";
   m.steps = {10, 50, 100};
   m.min_duration_ms = 5'000;
   m.max_duration_ms = 300'000;
@@ -20,8 +24,8 @@
 
 const PoolView kFine{.ready = 10, .warm = 10, .draining = 0, .capacity = 10};
 
-// A route's traffic while a move is under way: requests a second, and how likely each pool is to
-// serve in time.
+/// Simulates the traffic of a route during a move, from the rate of requests per second and each
+/// pool's probability of answering in time.
 struct World {
   explicit World(MoveSpec s, unsigned seed = 1) : move(std::move(s)), random(seed) {
     move.pools(kFine, kFine, now);
@@ -49,7 +53,7 @@
   double now = 1e12, rate = 100, in_time_old = 0.95, in_time_new = 0.95;
 };
 
-TEST(Move, PassesItsStepsAndEndsWhereThePoolsAreEqual) {
+TEST(Move, CompletesAllStepsIfThePoolsAreEqual) {
   World world(spec());
   ASSERT_EQ(world.move.start(world.now), "");
   EXPECT_DOUBLE_EQ(world.move.share(), 0.10);
@@ -59,16 +63,18 @@
   EXPECT_EQ(world.move.undos(), 0u);
 }
 
-TEST(Move, KeepsAControlUntilTheLastStepHasPassed) {
+TEST(Move, KeepsAControlShareUntilTheLastStepHasPassed) {
   World world(spec());
   world.move.start(world.now);
   double most = 0;
-  while (world.move.state() == State::running)
-    most = std::max(most, world.move.share()), world.run(1);
+  while (world.move.state() == State::running) {
+    most = std::max(most, world.move.share());
+    world.run(1);
+  }
   EXPECT_DOUBLE_EQ(most, 0.95);
 }
 
-TEST(Move, IsUndoneWithinTheFirstStepWhereTheNewPoolIsWorse) {
+TEST(Move, IsUndoneInTheFirstStepIfTheNewPoolIsWorse) {
   World world(spec());
   world.in_time_new = 0.6;
   world.move.start(world.now);
@@ -76,25 +82,25 @@
   EXPECT_EQ(world.move.state(), State::undone);
   EXPECT_EQ(world.move.step(), 0u);
   EXPECT_DOUBLE_EQ(world.move.share(), 0.0);
-  EXPECT_NE(world.move.start(world.now + 59'000), "") << "it cools off";
+  EXPECT_NE(world.move.start(world.now + 59'000), "") << "the cool-off time is not over";
   EXPECT_EQ(world.move.start(world.now + 60'000), "");
 }
 
-TEST(Move, WhatHitsBothPoolsIsNoGround) {
+TEST(Move, IsNotUndoneIfBothPoolsDegrade) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     World world(spec(), seed);
     world.move.start(world.now);
     world.run(3);
-    world.in_time_old = world.in_time_new = 0.4;  // both fall, as in a jump of traffic
+    world.in_time_old = world.in_time_new = 0.4;  // both degrade, as in a traffic surge
     world.run(100);
     EXPECT_NE(world.move.state(), State::undone) << "seed " << seed << ": " << world.move.reason();
   }
 }
 
-TEST(Move, AJumpIsNoGroundWhereTheNewPoolHasMoreLoadThanCapacity) {
+TEST(Move, IsNotUndoneInASurgeThatGivesTheNewPoolMoreLoadThanCapacity) {
   auto play = [](double capacity_new) {
     MoveSpec slow = spec();
-    slow.min_duration_ms = 30'000;  // it stays at one half for as long as this lasts
+    slow.min_duration_ms = 30'000;  // longer than the test runs, so the move stays at 50 %
     World world(slow);
     world.move.start(world.now);
     while (world.move.step() < 1)
@@ -104,20 +110,21 @@
     to.capacity = capacity_new;
     world.move.pools(kFine, to, world.now);
     world.rate = 300;
-    world.run(4);  // seen as a jump by now
+    world.run(4);  // long enough to detect the surge
     world.in_time_new = 0.3;
     world.run(10);
     return world;
   };
-  World excused = play(5);  // half the load on a third of the capacity
-  EXPECT_EQ(excused.move.state(), State::running) << excused.move.reason();
-  EXPECT_EQ(excused.move.wait_reason(), Wait::surge);
-  World blamed = play(20);  // half the load on two thirds of it, and still worse
-  EXPECT_EQ(blamed.move.state(), State::undone);
+  World exceeding = play(5);  // half the load on a third of the capacity
+  EXPECT_EQ(exceeding.move.state(), State::running) << exceeding.move.reason();
+  EXPECT_EQ(exceeding.move.wait_reason(), Wait::surge);
+  World sufficient = play(20);  // half the load on two thirds of the capacity, and still worse
+  EXPECT_EQ(sufficient.move.state(), State::undone);
 }
 
-// The jump is over, and what it left in the queues is still served late: no ground either.
-TEST(Move, WhatAJumpLeavesBehindIsWaitedOut) {
+// After a surge the requests left in the queues are still answered late. They must not cause an
+// undo.
+TEST(Move, DoesNotMeasureLateAnswersRightAfterASurge) {
   MoveSpec slow = spec();
   slow.min_duration_ms = 30'000;
   World world(slow);
@@ -132,19 +139,20 @@
   ASSERT_EQ(world.move.wait_reason(), Wait::surge);
   world.in_time_new = 0.3;
   world.rate = 100;
-  world.run(8);  // of which the load takes a few seconds to be seen as usual
+  world.run(8);  // includes the few seconds until the end of the surge is detected
   world.in_time_new = 0.95;
   world.run(8);
   EXPECT_EQ(world.move.state(), State::running) << world.move.reason();
-  EXPECT_GT(world.move.last().trial, 0.8) << "the late ones were not measured";
+  EXPECT_GT(world.move.last().trial, 0.8) << "late answers must not be measured";
 }
 
-TEST(Move, AJumpOfOtherRoutesToTheNewPoolIsSeenToo) {
+TEST(Move, DetectsASurgeOfOtherRoutesToTheNewPool) {
   auto play = [](double others) {
     MoveSpec slow = spec();
     slow.min_duration_ms = 30'000;
     World world(slow);
-    auto also = [&](double rate, double seconds) {  // requests of another route to the new pool
+    auto run_with_other_route = [&](double rate,
+                                    double seconds) {  // requests of another route to the new pool
       for (double end = world.now + 1000 * seconds;
            world.now < end && world.move.state() != State::undone;) {
         for (int i = 0; i < rate / 10; ++i)
@@ -152,19 +160,19 @@
         world.run(0.1);
       }
     };
-    also(50, 20);
+    run_with_other_route(50, 20);
     world.move.start(world.now);
-    also(50, 3);
-    also(others, 4);
+    run_with_other_route(50, 3);
+    run_with_other_route(others, 4);
     world.in_time_new = 0.3;
-    also(others, 25);
+    run_with_other_route(others, 25);
     return world.move.state();
   };
   EXPECT_EQ(play(300), State::running);
   EXPECT_EQ(play(50), State::undone);
 }
 
-TEST(Move, APoolTooSmallForItsShareIsAGroundWithoutAJump) {
+TEST(Move, IsUndoneIfTheNewPoolIsTooSmallWithoutASurge) {
   World world(spec());
   world.move.start(world.now);
   while (world.move.step() < 1)
@@ -176,7 +184,7 @@
   EXPECT_EQ(world.move.step(), 1u);
 }
 
-TEST(Move, ColdBoxesAreWaitedOutAndNotMeasured) {
+TEST(Move, WaitsForEndpointsInSlowStartWithoutMeasuringThem) {
   World world(spec());
   world.move.pools(kFine, {.ready = 10, .warm = 0, .draining = 0, .capacity = 0}, world.now);
   ASSERT_EQ(world.move.start(world.now), "");
@@ -184,14 +192,14 @@
   world.run(30);
   EXPECT_EQ(world.move.state(), State::running);
   EXPECT_EQ(world.move.wait_reason(), Wait::slow_start);
-  EXPECT_EQ(world.move.step(), 0u) << "the step's time stands still";
+  EXPECT_EQ(world.move.step(), 0u) << "the waiting time must not count for the step";
   world.move.pools(kFine, kFine, world.now);
   world.in_time_new = 0.95;
   world.run(600);
   EXPECT_EQ(world.move.state(), State::done);
 }
 
-TEST(Move, ALostOrDrainingPoolIsUndoneAtOnceAndAnEmptyOneIsNotBegun) {
+TEST(Move, IsUndoneAtOnceIfThePoolDrainsAndDoesNotStartWithAnEmptyPool) {
   World world(spec());
   world.move.start(world.now);
   world.move.pools(kFine, {.ready = 0, .warm = 0, .draining = 3, .capacity = 0}, world.now);
@@ -203,7 +211,7 @@
   EXPECT_EQ(empty.move.state(), State::idle);
 }
 
-TEST(Move, ACrashInTheOldPoolIsNoGround) {
+TEST(Move, IsNotUndoneIfTheOldPoolDegrades) {
   World world(spec());
   world.move.start(world.now);
   world.run(3);
@@ -212,7 +220,7 @@
   EXPECT_EQ(world.move.state(), State::done);
 }
 
-TEST(Move, CommandsMayComeTwiceAndAtAnyTime) {
+TEST(Move, AcceptsCommandsRepeatedlyAndInAnyState) {
   World world(spec());
   EXPECT_NE(world.move.undo("x", world.now), "");
   EXPECT_NE(world.move.pause(world.now), "");
@@ -228,7 +236,7 @@
   EXPECT_EQ(world.move.undos(), 1u);
 }
 
-TEST(Move, APausedMoveIsStillUndoneWhereItsPoolIsWorse) {
+TEST(Move, IsUndoneWhilePausedIfTheNewPoolIsWorse) {
   World world(spec());
   world.move.start(world.now);
   world.move.pause(world.now);
@@ -237,7 +245,7 @@
   EXPECT_EQ(world.move.state(), State::undone);
 }
 
-TEST(Move, NewStepsAreTakenUpWhereTheOldOnesStood) {
+TEST(Move, ContinuesAtTheNearestStepAfterNewSettings) {
   World world(spec());
   world.move.start(world.now);
   while (world.move.step() < 1)
@@ -252,7 +260,7 @@
   EXPECT_DOUBLE_EQ(world.move.share(), 0.70);
 }
 
-TEST(Move, AnswersFromBeforeTheMeasureBeganDoNotCount) {
+TEST(Move, IgnoresRequestsThatArrivedBeforeTheMeasurementBegan) {
   World world(spec());
   world.move.start(world.now);
   double began = world.now;
@@ -269,7 +277,7 @@
   EXPECT_EQ(world.move.state(), State::undone);
 }
 
-TEST(Move, AnUndecidedStepIsUndoneInTheEnd) {
+TEST(Move, IsUndoneIfAStepStaysUndecidedForTooLong) {
   MoveSpec s = spec();
   s.max_duration_ms = 20'000;
   s.min_answers = 1'000'000;
@@ -279,7 +287,7 @@
   EXPECT_EQ(world.move.state(), State::undone);
 }
 
-TEST(Move, FaultsAreNamed) {
+TEST(Move, ReportsAllFaultsOfItsSettings) {
   MoveSpec s = spec();
   EXPECT_TRUE(faults(s).empty());
   s.steps = {10, 5, 90};
@@ -288,9 +296,9 @@
   EXPECT_EQ(faults(s).size(), 4u);
 }
 
-// Answers that hang together in time (an outage of both pools, second by second) must not count as
-// independent.
-TEST(Comparison, AnswersThatHangTogetherDoNotRaiseFalseAlarms) {
+// Answers that are correlated in time (whole seconds in which a pool answers nothing in time) must
+// not count as independent.
+TEST(Comparison, CorrelatedAnswersDoNotRaiseFalseAlarms) {
   int alarms = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
@@ -298,7 +306,7 @@
     Comparison comparison({});
     bool called = false;
     for (int second = 0; second < 60; ++second) {
-      // Each pool has seconds of its own in which nothing is in time.
+      // Each pool has its own seconds without any answer in time.
       bool bad_old = uniform(random) < 0.1, bad_new = uniform(random) < 0.1;
       for (int i = 0; i < 40; ++i) {
         bool trial = i % 4 == 0;
@@ -312,11 +320,11 @@
   EXPECT_LE(alarms, 10) << "of 200";
 }
 
-// Seconds that are bad for one pool alone, rarely: a move of an equal pool must outlast them.
-// Seven seconds of two equal pools, but for one second in which all that the new one answers is
-// late: as independent answers that is far more than chance, and there are too few seconds yet to
-// see that its answers hang together.
-TEST(Comparison, ABadMomentOfTheNewPoolIsNotABadPool) {
+// Rare seconds that are bad for one pool only must not end a move between equal pools. The test
+// runs two equal pools for seven seconds, except for one second in which all answers of the new
+// pool are late. Counted as independent answers this is far beyond chance, and there are too few
+// seconds yet to measure the correlation of the answers.
+TEST(Comparison, OneBadSecondOfTheNewPoolDoesNotRaiseAnAlarm) {
   int alarms = 0;
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
@@ -334,42 +342,42 @@
   EXPECT_LE(alarms, 2) << "of 200";
 }
 
-TEST(LoadSurgeDetector, TellsAJumpFromNoiseAndTakesALastingOneForUsualInTheEnd) {
+TEST(LoadSurgeDetector, DistinguishesASurgeFromNoiseAndAdaptsToALastingOne) {
   std::mt19937 random(11);
-  LoadSurgeDetector watch;
+  LoadSurgeDetector detector;
   double now = 0;
-  int quiet_jumps = 0;
+  int false_surges = 0;
   auto run = [&](double rate, int seconds) {
-    int jumps = 0;
+    int surge_seconds = 0;
     std::poisson_distribution<int> count(rate);
     for (int i = 0; i < seconds; ++i, now += 1000) {
       for (int n = count(random); n > 0; --n)
-        watch.arrived(now);
-      watch.advance(now + 1000);
-      jumps += watch.surge();
+        detector.arrived(now);
+      detector.advance(now + 1000);
+      surge_seconds += detector.surge();
     }
-    return jumps;
+    return surge_seconds;
   };
-  quiet_jumps = run(20, 600);
-  EXPECT_EQ(quiet_jumps, 0);
+  false_surges = run(20, 600);
+  EXPECT_EQ(false_surges, 0);
   EXPECT_GT(run(48, 10), 5);
   run(48, 600);
-  EXPECT_FALSE(watch.surge());
+  EXPECT_FALSE(detector.surge());
 }
 
-TEST(LoadSurgeDetector, AYoungOneDoesNotTakeAJumpForUsual) {
+TEST(LoadSurgeDetector, DetectsASurgeSoonAfterItsStart) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
-    LoadSurgeDetector watch;
-    int jumps = 0;
+    LoadSurgeDetector detector;
+    int surge_seconds = 0;
     for (int second = 0; second < 40; ++second) {
       std::poisson_distribution<int> count(second < 10 ? 100 : 240);
       for (int n = count(random); n > 0; --n)
-        watch.arrived(1000.0 * second);
-      watch.advance(1000.0 * (second + 1));
-      jumps += watch.surge();
+        detector.arrived(1000.0 * second);
+      detector.advance(1000.0 * (second + 1));
+      surge_seconds += detector.surge();
     }
-    EXPECT_GE(jumps, 27) << "of 30 seconds, seed " << seed;
+    EXPECT_GE(surge_seconds, 27) << "of 30 seconds, seed " << seed;
   }
 }
 
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -1,4 +1,4 @@
-// Verdicts, holds and breakers.
+/// Tests of verdicts, holds and breakers.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -19,7 +19,7 @@
 const RequestFacts kSafe{
     .idempotency = Idempotency::idempotent, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
 
-TEST(Verdict, OneRefusalIsEnoughAndTheLongestTimeToComeBackCounts) {
+TEST(Verdict, OneRefusalIsEnoughAndTheLongestRetryDelayApplies) {
   auto all = combine({said({}), said({.refuse = true, .come_back_ms = 500}),
                       said({.refuse = true, .come_back_ms = 900}), said({.hold_ms = 5})},
                      kSafe, {});
@@ -29,7 +29,7 @@
   EXPECT_FALSE(combine({said({}), said({.queue_weight = 2})}, kSafe, {}).verdict.refuse);
 }
 
-TEST(Verdict, WhoDoesNotSpeakCountsByItsFallback) {
+TEST(Verdict, AMissingAnswerIsReplacedByTheFallback) {
   EXPECT_FALSE(
       combine({{.has_answered = false, .fallback = Fallback::allow, .verdict = {.refuse = true}}},
               kSafe, {})
@@ -41,14 +41,14 @@
   EXPECT_EQ(refused.verdict.come_back_ms, Bounds{}.fallback_come_back_ms);
 }
 
-TEST(Verdict, TheLongestHoldCountsAndLeavesTheModuleItsTime) {
+TEST(Verdict, TheLongestHoldAppliesAndLeavesTheSchedulerItsTime) {
   auto all = combine({said({.hold_ms = 300}), said({.hold_ms = 700})}, kSafe, {});
   EXPECT_EQ(all.verdict.hold_ms, 700);
   EXPECT_EQ(all.held_by, 1);
   EXPECT_FALSE(all.hold_shortened);
   all = combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 5000});
   EXPECT_EQ(all.verdict.hold_ms, 2000)
-      << "what is left of its patience beside what the module needs";
+      << "the remaining patience less the time that the scheduler needs";
   EXPECT_TRUE(all.hold_shortened);
   EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 50}).verdict.hold_ms, 50);
   RequestFacts late = kSafe;
@@ -56,12 +56,13 @@
   EXPECT_EQ(combine({said({.hold_ms = 10})}, late, {}).verdict.hold_ms, 0);
 }
 
-TEST(Verdict, AFurtherTryOfKeyedWorkIsNeverHeld) {
+TEST(Verdict, ARetryWithAnIdempotencyKeyIsNeverHeld) {
   for (Idempotency idempotency :
        {Idempotency::idempotent, Idempotency::idempotent_with_key, Idempotency::non_idempotent})
     for (bool repeat : {false, true}) {
       RequestFacts subject = kSafe;
-      subject.idempotency = idempotency, subject.repeat = repeat;
+      subject.idempotency = idempotency;
+      subject.repeat = repeat;
       auto all = combine({said({.hold_ms = 100})}, subject, {});
       bool forbidden = idempotency == Idempotency::idempotent_with_key && repeat;
       EXPECT_EQ(all.hold_forbidden, forbidden);
@@ -69,7 +70,7 @@
     }
 }
 
-TEST(Verdict, WeightsMultiplyWithinBoundsAndTheFirstLabelCounts) {
+TEST(Verdict, WeightsMultiplyWithinBoundsAndTheFirstLabelApplies) {
   auto all = combine(
       {said({.queue_weight = 2}), said({.queue_weight = 3, .label = "a"}), said({.label = "b"})},
       kSafe, {});
@@ -79,7 +80,7 @@
   EXPECT_EQ(combine({said({.queue_weight = 1e-9})}, kSafe, {}).verdict.queue_weight, 1.0 / 16);
 }
 
-TEST(Verdict, WhatIsNoSaneNumberCountsAsNotSaid) {
+TEST(Verdict, InvalidNumbersAreIgnored) {
   for (double odd : {std::numeric_limits<double>::quiet_NaN(),
                      std::numeric_limits<double>::infinity(), -1.0, -0.0}) {
     auto all =
@@ -93,20 +94,20 @@
   EXPECT_EQ(shape.share, 1);
 }
 
-TEST(Shape, OneDropIsEnoughAndTheFirstWordCounts) {
+TEST(Shape, OneDropIsEnoughAndTheFirstLabelApplies) {
   auto shape = combine({Shape{}, Shape{.has_label = true, .label = "a"},
                         Shape{.drop = true, .has_label = true, .label = "b"}});
   EXPECT_TRUE(shape.drop);
   EXPECT_EQ(shape.label, "a");
 }
 
-TEST(Holds, WhoDoesNotFitMakesTheOldestGoOn) {
+TEST(Holds, ARequestThatDoesNotFitReleasesTheOldest) {
   Holds holds(2, 100);
   EXPECT_TRUE(holds.add(1, 40, 1000).empty());
   EXPECT_TRUE(holds.add(2, 40, 900).empty());
   EXPECT_EQ(holds.add(3, 10, 800), (std::vector<Holds::Id>{1})) << "by number";
   EXPECT_EQ(holds.add(4, 95, 700), (std::vector<Holds::Id>{2, 3})) << "by bytes";
-  EXPECT_EQ(holds.add(5, 101, 700), (std::vector<Holds::Id>{5})) << "larger than all room";
+  EXPECT_EQ(holds.add(5, 101, 700), (std::vector<Holds::Id>{5})) << "larger than the byte limit";
   EXPECT_EQ(holds.pushed_out(), 4u);
   EXPECT_EQ(holds.due(699), (std::vector<Holds::Id>{}));
   EXPECT_EQ(holds.due(700), (std::vector<Holds::Id>{4}));
@@ -114,7 +115,7 @@
   EXPECT_EQ(holds.bytes(), 0u);
 }
 
-TEST(Holds, GoOnInTheOrderOfTheirEndsOnceEach) {
+TEST(Holds, ReleasesEachRequestOnceInOrderOfItsEnd) {
   std::mt19937 random(7);
   Holds holds(1000, 1 << 20);
   std::vector<double> ends(200);
@@ -137,7 +138,7 @@
   EXPECT_FALSE(holds.next());
 }
 
-TEST(Holds, OtherBoundsLetTheOldestGo) {
+TEST(Holds, LowerLimitsReleaseTheOldest) {
   Holds holds(10, 1000);
   for (Holds::Id id = 1; id <= 5; ++id)
     holds.add(id, 10, 100);
@@ -146,14 +147,14 @@
   EXPECT_EQ(holds.add(6, 10, 100), (std::vector<Holds::Id>{})) << "there is room again";
 }
 
-// A breaker without jitter, so that times can be told.
+// Settings without jitter, so that back-offs are exact.
 BreakerSettings steady() {
   BreakerSettings s;
   s.jitter = 0;
   return s;
 }
 
-TEST(Breaker, StrikesWithinTheirWindowOpenIt) {
+TEST(Breaker, FailuresWithinTheWindowOpenIt) {
   Breaker breaker(steady(), 1);
   for (int i = 0; i < 4; ++i)
     EXPECT_FALSE(breaker.add_failure(i));
@@ -162,10 +163,10 @@
   EXPECT_FALSE(breaker.allows_call());
   Breaker patient(steady(), 1);
   for (int i = 0; i < 100; ++i)
-    EXPECT_FALSE(patient.add_failure(i * 2501.0)) << "five in more than the window";
+    EXPECT_FALSE(patient.add_failure(i * 2501.0)) << "five failures take longer than the window";
 }
 
-TEST(Breaker, TheBackOffGrowsToItsMostAndThenItIsOut) {
+TEST(Breaker, TheBackOffDoublesUntilTheBreakerIsOut) {
   Breaker breaker(steady(), 1);
   double now = 0, expected = 250;
   for (int turn = 1; turn < 8; ++turn, expected *= 2) {
@@ -179,10 +180,11 @@
   breaker.host_died(now);
   EXPECT_EQ(breaker.state(), Breaker::State::out);
   EXPECT_EQ(breaker.until(), now + 600'000);
-  EXPECT_TRUE(breaker.begin_trial(breaker.until())) << "tried again all the same";
+  EXPECT_TRUE(breaker.begin_trial(breaker.until()))
+      << "the breaker still gets a trial in the state `out`";
 }
 
-TEST(Breaker, ATrialAsksOneCallAtATimeAndAFewGoodOnesCloseIt) {
+TEST(Breaker, ATrialAllowsOneCallAtATimeAndSuccessesCloseIt) {
   Breaker breaker(steady(), 1);
   breaker.host_died(0);
   ASSERT_TRUE(breaker.begin_trial(250));
@@ -195,17 +197,18 @@
   EXPECT_EQ(breaker.state(), Breaker::State::closed);
   for (int i = 0; i < 5; ++i)
     breaker.add_failure(300 + i);
-  EXPECT_EQ(breaker.until(), 304 + 500) << "not calm for long enough: the back-off goes on growing";
+  EXPECT_EQ(breaker.until(), 304 + 500)
+      << "not closed for long enough: the back-off keeps doubling";
   ASSERT_TRUE(breaker.begin_trial(804));
   breaker.asked();
-  EXPECT_TRUE(breaker.add_failure(805)) << "one strike ends a trial";
+  EXPECT_TRUE(breaker.add_failure(805)) << "one failure ends a trial";
   breaker.begin_trial(breaker.until());
   breaker.asked();
   breaker.dropped();
-  EXPECT_TRUE(breaker.allows_call()) << "a call that came to nothing is no trial";
+  EXPECT_TRUE(breaker.allows_call()) << "a call without a result does not occupy the trial";
 }
 
-TEST(Breaker, CalmForgetsFormerTurns) {
+TEST(Breaker, TimeInTheClosedStateResetsTheBackOff) {
   Breaker breaker(steady(), 1);
   breaker.host_died(0);
   breaker.begin_trial(250);
@@ -215,7 +218,7 @@
   EXPECT_EQ(breaker.until(), 300 + 30'001 + 250);
 }
 
-TEST(Breaker, DisabledStaysSoUntilItIsEnabled) {
+TEST(Breaker, StaysDisabledUntilItIsEnabled) {
   Breaker breaker(steady(), 1);
   breaker.disable();
   breaker.host_died(1);
@@ -231,7 +234,8 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Breaker breaker({}, seed);
     breaker.host_died(0);
-    least = std::min(least, breaker.until()), most = std::max(most, breaker.until());
+    least = std::min(least, breaker.until());
+    most = std::max(most, breaker.until());
   }
   EXPECT_GE(least, 187.5);
   EXPECT_LE(most, 312.5);
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of Router, the faults of a Spec and PoolByKeyCache.
 #include "routes/router.h"
 
 #include <gtest/gtest.h>
@@ -34,6 +35,7 @@
   return spec;
 }
 
+/// Endpoints with their host names, applied to a Router as one endpoint list.
 struct Fleet {
   std::map<scheduler::EndpointId, std::string> names;
   EndpointList list;
@@ -70,7 +72,7 @@
   return nullptr;
 }
 
-TEST(Router, AnEndpointBelongsToTheFirstPoolThatFitsIt) {
+TEST(Router, AssignsAnEndpointToTheFirstMatchingPool) {
   Spec spec;
   spec.pools = {{"both", {"east"}, {"fast"}, {}, {}},
                 {"blocks", {}, {}, {}, {3, 4}},
@@ -97,7 +99,7 @@
     EXPECT_EQ(times, 1) << endpoint;
 }
 
-TEST(Router, AStepMovesTheAddedShareAndNothingBack) {
+TEST(Router, AStepShiftsTheAddedShareAndReturnsNothing) {
   Router router = make(two_pools(100, 0));
   Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   std::set<std::uint64_t> moved;
@@ -106,7 +108,8 @@
     std::size_t before = moved.size();
     for (std::uint64_t object = 1; object <= 20'000; ++object) {
       bool now_new = router.choose(query(object), 0).pool == 0;
-      ASSERT_TRUE(now_new || !moved.contains(object)) << object << " went back at " << share;
+      ASSERT_TRUE(now_new || !moved.contains(object))
+          << object << " was returned at share " << share;
       if (now_new)
         moved.insert(object);
     }
@@ -115,7 +118,7 @@
   }
 }
 
-TEST(Router, AMoveBetweenTwoPoolsLeavesTheThirdsTrafficAlone) {
+TEST(Router, AShiftBetweenTwoPoolsDoesNotAffectAThirdPool) {
   Spec spec = two_pools(50, 0);
   spec.pools.insert(spec.pools.begin(), {"third", {}, {}, {"t"}, {}});
   spec.routes[0].to = {{"old", 50}, {"third", 50}, {"new", 0}};
@@ -135,7 +138,7 @@
   EXPECT_NEAR(moved / 5000.0, 0.5 * 0.4, 0.02);
 }
 
-TEST(Router, WithoutAnObjectAFurtherTryGoesByItsIdempotencyKey) {
+TEST(Router, RoutesARetryWithoutAnObjectByItsIdempotencyKey) {
   Router router = make(two_pools(50, 50));
   Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   int apart = 0;
@@ -149,10 +152,10 @@
     a.idempotency_key = b.idempotency_key = "";
     apart += router.choose(a, 0).pool != router.choose(b, 0).pool;
   }
-  EXPECT_GT(apart, 50);  // by ids alone they would not: the test could fail
+  EXPECT_GT(apart, 50);  // without keys the pools differ, so the check above is able to fail
 }
 
-TEST(Router, AKeyedRequestsFurtherTryKeepsItsPoolForItsWindow) {
+TEST(Router, ARetryWithAKeyStaysInItsPoolForTheDeduplicationWindow) {
   Router router = make(two_pools(100, 0));
   Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   router.shift(0, 1, 0, 1.0);
@@ -164,13 +167,14 @@
   EXPECT_EQ(again.pool, 0);
   EXPECT_TRUE(again.kept);
   EXPECT_EQ(router.choose(query(7, 0), 3000).pool,
-            1);  // another class of the same object goes by weight
-  // The window counts from the latest that a try may have been sent: 3000 + patience + window.
+            1);  // another class of the same object is routed by weight
+  // The entry expires the deduplication window after the latest time at which a try may be sent:
+  // 3000 + patience + window.
   EXPECT_TRUE(router.choose(hold, 8900).kept);
   EXPECT_FALSE(router.choose(hold, 8900 + 1000 + 5000 + 1).kept);
 }
 
-TEST(Router, RoutesByClassTenantAndPathInTheirOrder) {
+TEST(Router, MatchesRoutesInOrderByClassTenantAndPath) {
   Spec spec = two_pools(100, 0);
   spec.routes = {{"sales", {"sale"}, {"main"}, {}, {{"new", 1}}, false},
                  {"books", {}, {}, {"/price/books"}, {{"new", 1}}, false},
@@ -187,21 +191,22 @@
   EXPECT_EQ(router.choose(q, 0).route, 1);
 }
 
-TEST(Router, APoolWithNothingReadyOrAllColdSpillsToOneThatHasBetter) {
+TEST(Router, SpillsFromAPoolWithNoReadyOrOnlySlowStartingEndpoints) {
   Router router = make(two_pools(0, 100));
   Fleet().add(1, "o1").apply_to(router, 0);
   EXPECT_TRUE(router.choose(query(1), 0).spilled);
   EXPECT_EQ(router.choose(query(1), 0).pool, 1);
   Fleet().add(1, "o1").add(2, "n1", 10'000).apply_to(router, 11'000);
   EXPECT_EQ(router.choose(query(1), 11'000).pool, 1)
-      << "cold boxes get no share while others are warm";
+      << "endpoints in slow start get no spilled requests while others are warm";
   EXPECT_EQ(router.choose(query(1), 10'000 + kSlowStart + 200).pool, 0)
-      << "warm by the clock alone, without a list";
+      << "slow start ends by time alone, without a new list";
   Fleet().add(2, "n1", 40'000).apply_to(router, 41'000);
-  EXPECT_EQ(router.choose(query(1), 41'000).pool, 0) << "cold is better than nothing";
+  EXPECT_EQ(router.choose(query(1), 41'000).pool, 0)
+      << "an endpoint in slow start is better than none";
 }
 
-TEST(Router, AKeyedRequestIsNotSpilledAwayFromWhereItMayHaveRun) {
+TEST(Router, ARetryWithAKeyIsNotSpilledFromThePoolThatMayHaveRunIt) {
   Router router = make(two_pools(0, 100));
   Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   Query hold = query(1, 1);
@@ -212,7 +217,7 @@
   EXPECT_EQ(router.choose(query(1), 200).pool, 1);
 }
 
-TEST(Router, AColdEndpointThatChangesPoolsRestsAWindowInBetween) {
+TEST(Router, AnEndpointInSlowStartChangesPoolsAfterADelay) {
   Router router = make(two_pools(100, 0));
   Fleet fleet;
   fleet.add(1, "o1", 1000).add(2, "o2", 0);
@@ -221,10 +226,10 @@
   fleet.names = {{1, "n1"}, {2, "n2"}};
   fleet.list.scope = ListScope::delta;
   pool_lists = fleet.apply_to(router, 3000);
-  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool hears that it is gone";
+  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that it is gone";
   EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
-  EXPECT_FALSE(find(pool_lists, 0, 1)) << "rule 4's window is not over";
-  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm one joins at once";
+  EXPECT_FALSE(find(pool_lists, 0, 1)) << "the window of rule 4 is not over";
+  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins at once";
   ASSERT_TRUE(router.next_due());
   EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
   EXPECT_TRUE(router.due(3000 + kPoolChangeDelay - 1).empty());
@@ -234,7 +239,7 @@
   EXPECT_FALSE(router.next_due());
 }
 
-TEST(Router, AnotherSpecKeepsNumbersAndRunsOutOfThemPlainly) {
+TEST(Router, ReplaceKeepsPoolNumbersAndFailsWhenNoneAreLeft) {
   Router router = make(two_pools(100, 0));
   Fleet fleet;
   fleet.add(1, "o1").add(2, "n1").apply_to(router, 0);
@@ -255,7 +260,7 @@
   EXPECT_EQ(router.pool("one too many"), -1);
 }
 
-TEST(Router, WithOnePoolItTellsWhatItIsTold) {
+TEST(Router, WithOnePoolPassesListsOnUnchanged) {
   Spec spec;
   spec.pools = {{"all", {}, {}, {}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"all", 1}}, false}};
@@ -278,12 +283,13 @@
   }
 }
 
-TEST(Router, FaultsOfASpecAreAllNamed) {
+TEST(Router, ReportsAllFaultsOfASpec) {
   Spec spec = two_pools(0, 0);
   spec.pools.push_back({"old", {}, {}, {}, {}});
   spec.routes.push_back({"x", {"sale"}, {}, {}, {{"none", 1}}, false});
-  EXPECT_EQ(faults(spec).size(),
-            5u);  // a second "old", weights of zero, "all" before "x", no pool "none", "x" last
+  EXPECT_EQ(
+      faults(spec).size(),
+      5u);  // duplicate pool "old", zero weights, "all" before "x", unknown pool "none", "x" last
   EXPECT_TRUE(faults(two_pools(1, 1)).empty());
   spec = two_pools(1, 1);
   spec.pools[0].sites = {"north"};
@@ -291,7 +297,7 @@
   EXPECT_EQ(unknown_names(spec, kNames).size(), 2u);
 }
 
-TEST(PoolByKeyCache, IsOfFixedSizeAndCountsWhatItForgets) {
+TEST(PoolByKeyCache, HasAFixedSizeAndCountsLiveEvictions) {
   PoolByKeyCache memory(1024);
   std::mt19937_64 random(5);
   for (int i = 0; i < 100'000; ++i)
@@ -302,7 +308,7 @@
   for (int i = 0; i < 100'000; ++i)
     calm.put(random(), 1, i + 50, i);
   EXPECT_LT(calm.evicted_live(),
-            100u);  // expired entries are no loss; now and then five live ones meet in a bucket
+            100u);  // expired entries do not count; rarely a bucket of four gets five live ones
 }
 
 }  // namespace
