--- a/logic/plugins/breaker.h
+++ b/logic/plugins/breaker.h
@@ -1,7 +1,8 @@
-// Whether a plug-in is asked. Faults are strikes; enough of them, or the death of its host, open
-// the breaker: the plug-in is left out, its host is ended, and after a back-off that grows with
-// every turn, with jitter, another host is started and asked one call at a time. A few good answers
-// close the breaker. Pure: time is an argument, milliseconds.
+/// Circuit breaker of a plug-in: decides whether the plug-in is called. Enough failures within a
+/// window, or the death of its host process, open the breaker. While it is open the plug-in is
+/// skipped and its host is stopped. After a back-off, which doubles with every opening and has
+/// jitter, another host is started and gets one call at a time. A few successful calls close the
+/// breaker. Performs no I/O and reads no clock: the time is an argument in milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +11,21 @@
 
 namespace keelflow::plugins {
 
+/// Thresholds and back-off of a Breaker.
 struct BreakerSettings {
-  int strikes = 5;  // within `window_ms` open it
+  int failures = 5;  // failures within `window_ms` that open the breaker
   double window_ms = 10'000;
-  double first_ms = 250, most_ms = 60'000;  // back-off: the first, doubled each turn, at most
-  double jitter = 0.25;                     // of the back-off, either way
-  int give_up = 8;  // turns in a row; then it is out, and tried once every `out_ms`
+  // Back-off: its first value and its maximum; it doubles with every opening.
+  double initial_backoff_ms = 250, max_duration_ms = 60'000;
+  double jitter = 0.25;  // fraction of the back-off, added or subtracted
+  int give_up =
+      8;  // consecutive openings after which the state is `out`, with a trial per `out_ms`
   double out_ms = 600'000;
-  int good_trials = 3;      // good answers in a row that close it
-  double calm_ms = 30'000;  // closed for so long, the back-off begins anew
+  int required_trial_successes = 3;  // consecutive successes that close the breaker
+  double backoff_reset_ms = 30'000;  // time in the closed state that resets the back-off
 };
 
+/// The state machine of one plug-in's circuit breaker.
 class Breaker {
  public:
   enum class State : std::uint8_t { closed, open, trial, out, disabled };
@@ -29,26 +34,32 @@
       : s_(settings), random_(static_cast<std::uint32_t>(seed % 2147483646 + 1)) {}
 
   State state() const { return state_; }
-  double until() const { return until_; }  // of open and out: when the next trial begins
-  int turns() const { return turns_; }     // openings in a row
-  int strikes() const { return strikes_; }
+  double until() const { return until_; }     // in `open` and `out`: when the next trial may begin
+  int openings() const { return openings_; }  // consecutive openings
+  int failures() const { return failures_; }
 
-  // Whether the next call may be made. In a trial there is one at a time.
-  bool asks() const { return state_ == State::closed || (state_ == State::trial && !trying_); }
-  void asked() { trying_ = state_ == State::trial; }
-  // The call's host answered as it should.
-  void good(double now_ms);
-  // The call was not answered as it should: true if that opened the breaker.
-  bool strike(double now_ms);
-  // Its host has died or had to be ended, or would not start.
-  void died(double now_ms);
-  // A call of a trial came to nothing, through no fault of the plug-in: its client has gone, or its
-  // deadline was short.
-  void dropped() { trying_ = false; }
-  // The back-off is over and another host is ready. False: it is not the time.
+  // Whether the next call may be made. A trial allows one call at a time.
+  bool allows_call() const {
+    return state_ == State::closed || (state_ == State::trial && !trial_call_pending_);
+  }
+  void asked() { trial_call_pending_ = state_ == State::trial; }
+  // Records a call that the host answered correctly.
+  void add_success(double now_ms);
+  // Records a call that the host did not answer correctly. Returns whether this opened the breaker.
+  bool add_failure(double now_ms);
+  // Records that the host died, had to be stopped or failed to start.
+  void host_died(double now_ms);
+  // Records a trial call without a result for which the plug-in is not at fault: the client
+  // disconnected or the deadline was too short.
+  void dropped() { trial_call_pending_ = false; }
+  // Begins a trial once another host is ready. Returns false before the back-off is over and in
+  // states that have no trial.
   bool begin_trial(double now_ms);
-  // By an operator. Enabling ends a back-off too; the trial follows when its host is ready.
-  void disable() { state_ = State::disabled, trying_ = false; }
+  // Operator commands. Enabling also ends a back-off; the trial begins when the host is ready.
+  void disable() {
+    state_ = State::disabled;
+    trial_call_pending_ = false;
+  }
   void enable(double now_ms);
 
  private:
@@ -57,9 +68,9 @@
   BreakerSettings s_;
   std::minstd_rand random_;
   State state_ = State::closed;
-  int strikes_ = 0, turns_ = 0, goods_ = 0;
-  double first_strike_ = 0, until_ = 0, closed_since_ = 0;
-  bool trying_ = false;
+  int failures_ = 0, openings_ = 0, trial_successes_ = 0;
+  double first_failure_ms_ = 0, until_ = 0, closed_since_ = 0;
+  bool trial_call_pending_ = false;
 };
 
 std::string_view word(Breaker::State state);
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -1,6 +1,6 @@
-// Remembers for a while which pool a keyed request went to, so that a client's further try of it
-// goes there too: the boxes that drop its repeats are there. Of fixed size; a full bucket forgets
-// what would have expired first.
+/// Remembers for a limited time which pool a request with an idempotency key was sent to. A
+/// client's retry is sent to the same pool, because the endpoints that drop duplicates of the
+/// request are there. The size is fixed; a full bucket evicts the entry that would expire first.
 #pragma once
 
 #include <array>
@@ -10,16 +10,17 @@
 
 namespace keelflow::routes {
 
-class KeyMemory {
+/// A set-associative cache from request keys to pool numbers.
+class PoolByKeyCache {
  public:
-  explicit KeyMemory(std::size_t entries) {  // rounded up to a power of two, at least one bucket
+  explicit PoolByKeyCache(std::size_t entries) {  // rounded up to a power of two
     std::size_t buckets = 1;
     while (buckets * kWays < entries)
       buckets *= 2;
     buckets_.resize(buckets);
   }
 
-  int find(std::uint64_t key, double now_ms) const {  // -1: not known
+  int find(std::uint64_t key, double now_ms) const {  // -1: unknown
     for (const Entry& e : buckets_[key & (buckets_.size() - 1)])
       if (e.pool >= 0 && e.key == key && e.until > now_ms)
         return e.pool;
@@ -37,11 +38,11 @@
         victim = &e;
     }
     if (victim->pool >= 0 && victim->key != key && victim->until > now_ms)
-      ++forgotten_;
+      ++evicted_live_;
     *victim = {key, until_ms, pool};
   }
 
-  std::uint64_t forgotten() const { return forgotten_; }  // that were still in force
+  std::uint64_t evicted_live() const { return evicted_live_; }  // evicted before they expired
   std::size_t capacity() const { return buckets_.size() * kWays; }
 
  private:
@@ -52,7 +53,7 @@
     int pool = -1;
   };
   std::vector<std::array<Entry, kWays>> buckets_;
-  std::uint64_t forgotten_ = 0;
+  std::uint64_t evicted_live_ = 0;
 };
 
 }  // namespace keelflow::routes
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -24,7 +24,7 @@
   return values.empty() || std::any_of(values.begin(), values.end(), test);
 }
 
-int place(const std::vector<std::string>& list, std::string_view name) {
+int index_of(const std::vector<std::string>& list, std::string_view name) {
   auto it = std::find(list.begin(), list.end(), name);
   return it == list.end() ? -1 : static_cast<int>(it - list.begin());
 }
@@ -40,7 +40,7 @@
     return out;
   out.resize(all.size());
   for (std::size_t i = 0; i < all.size(); ++i)
-    out[i] = place(wanted, all[i]) >= 0;
+    out[i] = index_of(wanted, all[i]) >= 0;
   return out;
 }
 
@@ -48,14 +48,14 @@
   return flags.empty() || (i >= 0 && at(i) < flags.size() && flags[at(i)]);
 }
 
-void find_doubles(const auto& things, const char* what, std::vector<std::string>& out) {
+void find_duplicates(const auto& things, const char* what, std::vector<std::string>& out) {
   std::set<std::string> seen;
   for (const auto& thing : things)
     if (!seen.insert(thing.name).second)
-      out.push_back(std::string(what) + " '" + thing.name + "' is there twice");
+      out.push_back(std::string(what) + " '" + thing.name + "' is defined twice");
 }
 
-bool fits_all(const RouteSpec& route) {
+bool matches_all(const RouteSpec& route) {
   return route.classes.empty() && route.tenants.empty() && route.paths.empty();
 }
 
@@ -64,15 +64,15 @@
 std::vector<std::string> faults(const Spec& spec) {
   std::vector<std::string> out;
   if (spec.pools.empty() && !spec.routes.empty())
-    out.push_back("there are routes, and no pool");
+    out.push_back("routes are defined, but no pool");
   if (!spec.pools.empty() && spec.routes.empty())
-    out.push_back("there are pools, and no route");
-  if (spec.pools.size() > kMostPools)
-    out.push_back("more than " + std::to_string(kMostPools) + " pools");
-  if (spec.routes.size() > kMostRoutes)
-    out.push_back("more than " + std::to_string(kMostRoutes) + " routes");
-  find_doubles(spec.pools, "pool", out);
-  find_doubles(spec.routes, "route", out);
+    out.push_back("pools are defined, but no route");
+  if (spec.pools.size() > kMaxPools)
+    out.push_back("more than " + std::to_string(kMaxPools) + " pools");
+  if (spec.routes.size() > kMaxRoutes)
+    out.push_back("more than " + std::to_string(kMaxRoutes) + " routes");
+  find_duplicates(spec.pools, "pool", out);
+  find_duplicates(spec.routes, "route", out);
   for (std::size_t i = 0; i < spec.routes.size(); ++i) {
     const RouteSpec& route = spec.routes[i];
     double sum = 0;
@@ -82,36 +82,41 @@
       bool known = std::any_of(spec.pools.begin(), spec.pools.end(),
                                [&](const PoolSpec& p) { return p.name == pool; });
       if (!known)
-        out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not there");
+        out.push_back("route '" + route.name + "' names pool '" + pool + "', which is not defined");
       if (!seen.insert(pool).second)
         out.push_back("route '" + route.name + "' names pool '" + pool + "' twice");
       if (!std::isfinite(weight) || weight < 0)
-        out.push_back("route '" + route.name + "' has a weight below zero");
+        out.push_back("route '" + route.name + "' has a weight that is negative or not finite");
     }
     if (!(sum > 0))
-      out.push_back("route '" + route.name + "' sends to no pool: its weights are all zero");
+      out.push_back("route '" + route.name + "' sends to no pool: all its weights are zero");
     bool last = i + 1 == spec.routes.size();
-    if (!last && fits_all(route))
+    if (!last && matches_all(route))
       out.push_back("route '" + route.name +
-                    "' fits all, so that those after it are never reached");
-    if (last && !fits_all(route))
-      out.push_back("the last route, '" + route.name + "', must fit all: it may have no match");
+                    "' matches all requests, so later routes are never reached");
+    if (last && !matches_all(route))
+      out.push_back("the last route, '" + route.name +
+                    "', must match all requests: it may have no conditions");
   }
   return out;
 }
 
 std::vector<std::string> unknown_names(const Spec& spec, const NameLists& names) {
   std::vector<std::string> out;
-  auto look = [&](const std::vector<std::string>& wanted, const std::vector<std::string>& all,
-                  const char* what) {
+  auto check_names = [&](const std::vector<std::string>& wanted,
+                         const std::vector<std::string>& all, const char* what) {
     for (const std::string& name : wanted)
-      if (place(all, name) < 0)
+      if (index_of(all, name) < 0)
         out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
   };
-  for (const PoolSpec& pool : spec.pools)
-    look(pool.sites, names.zones, "site"), look(pool.kinds, names.kinds, "endpoint class");
-  for (const RouteSpec& route : spec.routes)
-    look(route.classes, names.classes, "class"), look(route.tenants, names.tenants, "tenant");
+  for (const PoolSpec& pool : spec.pools) {
+    check_names(pool.sites, names.zones, "site");
+    check_names(pool.kinds, names.kinds, "endpoint class");
+  }
+  for (const RouteSpec& route : spec.routes) {
+    check_names(route.classes, names.classes, "class");
+    check_names(route.tenants, names.tenants, "tenant");
+  }
   return out;
 }
 
@@ -123,7 +128,7 @@
   return static_cast<double>(hash >> 11) * 0x1p-53;
 }
 
-std::uint64_t key_of(const Query& query) {
+std::uint64_t affinity_key(const Query& query) {
   std::string_view text = query.idempotency_key.empty() ? query.id : query.idempotency_key;
   return XXH3_64bits_withSeed(text.data(), text.size(),
                               static_cast<std::uint64_t>(query.class_index) + 1);
@@ -144,7 +149,7 @@
 void Router::compile() {
   pool_numbers_.clear();
   for (const PoolSpec& p : spec_.pools)
-    pool_numbers_.push_back(place(pool_names_, p.name));
+    pool_numbers_.push_back(index_of(pool_names_, p.name));
   routes_.clear();
   for (const RouteSpec& r : spec_.routes) {
     Route route;
@@ -155,42 +160,42 @@
     for (const auto& [name, weight] : r.to)
       sum += weight;
     for (const auto& [name, weight] : r.to)
-      route.segments.push_back({place(pool_names_, name), weight / sum, 0});
-    lay_out(route);
+      route.segments.push_back({index_of(pool_names_, name), weight / sum, 0});
+    layout_segments(route);
     routes_.push_back(std::move(route));
   }
   health_.assign(pool_names_.size(), {});
 }
 
-void Router::lay_out(Route& route) {
+void Router::layout_segments(Route& route) {
   double end = 0;
   for (Segment& s : route.segments)
     s.end = end += s.weight;
   route.segments.back().end = 1;
 }
 
-std::vector<std::string> Router::numbered(const Spec& spec) const {
+std::vector<std::string> Router::numbered_names(const Spec& spec) const {
   std::vector<std::string> numbers = pool_names_;
   for (const PoolSpec& pool : spec.pools)
-    if (place(numbers, pool.name) < 0)
+    if (index_of(numbers, pool.name) < 0)
       numbers.push_back(pool.name);
   return numbers;
 }
 
 bool Router::fits(const Spec& spec) const {
-  return numbered(spec).size() <= kMostPools;
+  return numbered_names(spec).size() <= kMaxPools;
 }
 
 std::optional<Router::Lists> Router::replace(Spec spec, double now_ms) {
   if (!fits(spec))
     return std::nullopt;
-  pool_names_ = numbered(spec);
+  pool_names_ = numbered_names(spec);
   spec_ = std::move(spec);
   compile();
   for (auto& [id, endpoint] : endpoints_)
-    settle(endpoint, now_ms);
-  count(now_ms);
-  return whole();
+    assign_pool(endpoint, now_ms);
+  recount_health(now_ms);
+  return complete_list();
 }
 
 int Router::pool_for(const Endpoint& endpoint) const {
@@ -208,45 +213,46 @@
   return -1;
 }
 
-bool Router::cold(const Endpoint& endpoint, double now_ms) const {
+bool Router::in_slow_start(const Endpoint& endpoint, double now_ms) const {
   return endpoint.entry.started_at > 0 &&
          now_ms < endpoint.entry.started_at + timing_.slow_start_ms;
 }
 
-void Router::settle(Endpoint& endpoint, double now_ms) {
+void Router::assign_pool(Endpoint& endpoint, double now_ms) {
   int pool = pool_for(endpoint);
   if (endpoint.pool >= 0 && pool != endpoint.pool)
-    endpoint.joins = cold(endpoint, now_ms) ? now_ms + timing_.rest_ms : 0;
+    endpoint.joins_at_ms =
+        in_slow_start(endpoint, now_ms) ? now_ms + timing_.pool_change_delay_ms : 0;
   endpoint.pool = pool;
 }
 
-// True: the endpoint has left another pool, whose Dispatcher must be told.
-bool Router::take(EndpointEntry entry, std::string_view host, double now_ms) {
+// Returns whether the endpoint has left another pool, whose Dispatcher must be notified.
+bool Router::update_endpoint(EndpointEntry entry, std::string_view host, double now_ms) {
   auto [it, fresh] = endpoints_.try_emplace(entry.endpoint);
   Endpoint& endpoint = it->second;
   endpoint.entry = entry;
   if (!host.empty())
     endpoint.host = host;
   int before = fresh ? -1 : endpoint.pool;
-  settle(endpoint, now_ms);
+  assign_pool(endpoint, now_ms);
   return before >= 0 && endpoint.pool != before;
 }
 
-// As cached: to the module such a list is complete, and says nothing of whether discovery is being
-// watched.
-EndpointList Router::whole(int pool) const {
+// The scope is `cached` because the scheduler takes such a list as complete, without concluding
+// that the discovery watch works.
+EndpointList Router::complete_list(int pool) const {
   EndpointList list;
   list.scope = ListScope::cached;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.pool == pool && endpoint.joins <= 0)
+    if (endpoint.pool == pool && endpoint.joins_at_ms <= 0)
       list.entries.push_back(endpoint.entry);
   return list;
 }
 
-Router::Lists Router::whole() const {
+Router::Lists Router::complete_list() const {
   Lists out;
   for (int i = 0; i < numbers(); ++i)
-    out.emplace_back(i, whole(i));
+    out.emplace_back(i, complete_list(i));
   return out;
 }
 
@@ -258,7 +264,7 @@
     out.emplace_back(i, EndpointList{list.scope, {}});
   if (list.scope == ListScope::failed)
     return out;
-  if (list.scope != ListScope::delta) {  // complete: whoever is missing is gone
+  if (list.scope != ListScope::delta) {  // complete: missing endpoints are gone
     std::set<scheduler::EndpointId> named;
     for (const EndpointEntry& e : list.entries)
       named.insert(e.endpoint);
@@ -273,61 +279,61 @@
       endpoints_.erase(e.endpoint);
       continue;
     }
-    bool left = take(e, host(e.endpoint), now_ms);
+    bool left = update_endpoint(e, host(e.endpoint), now_ms);
     const Endpoint& endpoint = endpoints_[e.endpoint];
     if (left && list.scope == ListScope::delta) {
       EndpointEntry gone = e;
       gone.state = EndpointState::gone;
       out[at(before)].second.entries.push_back(gone);
     }
-    if (endpoint.pool >= 0 && endpoint.joins <= 0)
+    if (endpoint.pool >= 0 && endpoint.joins_at_ms <= 0)
       out[at(endpoint.pool)].second.entries.push_back(e);
   }
-  count(now_ms);
+  recount_health(now_ms);
   if (list.scope == ListScope::delta && numbers() > 1)
-    std::erase_if(out, [](const auto& told) { return told.second.entries.empty(); });
+    std::erase_if(out, [](const auto& pool_list) { return pool_list.second.entries.empty(); });
   return out;
 }
 
 Router::Lists Router::due(double now_ms) {
   std::set<int> joined;
   for (auto& [id, endpoint] : endpoints_) {
-    if (endpoint.joins <= 0 || endpoint.joins > now_ms)
+    if (endpoint.joins_at_ms <= 0 || endpoint.joins_at_ms > now_ms)
       continue;
-    endpoint.joins = 0;
+    endpoint.joins_at_ms = 0;
     if (endpoint.pool >= 0)
       joined.insert(endpoint.pool);
   }
   Lists out;
   for (int pool : joined)
-    out.emplace_back(pool, whole(pool));
-  count(now_ms);
+    out.emplace_back(pool, complete_list(pool));
+  recount_health(now_ms);
   return out;
 }
 
 std::optional<double> Router::next_due() const {
   std::optional<double> next;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.joins > 0 && (!next || endpoint.joins < *next))
-      next = endpoint.joins;
+    if (endpoint.joins_at_ms > 0 && (!next || endpoint.joins_at_ms < *next))
+      next = endpoint.joins_at_ms;
   return next;
 }
 
-void Router::count(double now_ms) {
-  warms_ = std::numeric_limits<double>::infinity();
+void Router::recount_health(double now_ms) {
+  next_warm_ms_ = std::numeric_limits<double>::infinity();
   unassigned_ = 0;
   health_.assign(pool_names_.size(), {});
   for (const auto& [id, e] : endpoints_) {
     unassigned_ += e.pool < 0;
-    if (e.pool < 0 || e.joins > 0)
+    if (e.pool < 0 || e.joins_at_ms > 0)
       continue;
     Health& h = health_[at(e.pool)];
     h.draining += e.entry.state == EndpointState::draining;
     if (e.entry.state != EndpointState::ready)
       continue;
     ++h.ready;
-    if (cold(e, now_ms)) {
-      warms_ = std::min(warms_, e.entry.started_at + timing_.slow_start_ms);
+    if (in_slow_start(e, now_ms)) {
+      next_warm_ms_ = std::min(next_warm_ms_, e.entry.started_at + timing_.slow_start_ms);
       continue;
     }
     ++h.warm;
@@ -336,46 +342,51 @@
 }
 
 const Health& Router::health(int pool, double now_ms) {
-  if (now_ms >= warms_)
-    count(now_ms);
+  if (now_ms >= next_warm_ms_)
+    recount_health(now_ms);
   return health_.at(at(pool));
 }
 
 Choice Router::choose(const Query& query, double now_ms) {
-  if (now_ms >= warms_)
-    count(now_ms);
+  if (now_ms >= next_warm_ms_)
+    recount_health(now_ms);
   Choice out;
   const Route* route = nullptr;
   for (std::size_t i = 0; i < routes_.size() && !route; ++i) {
     const Route& r = routes_[i];
     bool fits = allowed(r.classes, query.class_index) && allowed(r.tenants, query.tenant) &&
                 any_of(r.paths, [&](const std::string& p) { return query.path.starts_with(p); });
-    if (fits)
-      route = &r, out.route = static_cast<int>(i);
+    if (fits) {
+      route = &r;
+      out.route = static_cast<int>(i);
+    }
   }
   const scheduler::ClassSettings& class_settings = classes_.at(at(query.class_index));
   bool keyed = class_settings.idempotency == scheduler::Idempotency::idempotent_with_key;
-  std::uint64_t key = keyed ? key_of(query) : 0;
+  std::uint64_t key = keyed ? affinity_key(query) : 0;
   int before = keyed ? keys_.find(key, now_ms) : -1;
-  if (before >= 0 && live(before)) {
+  if (before >= 0 && is_current(before)) {
     out.pool = before;
     out.kept = true;
   } else {
     double point = point_of(query, static_cast<std::uint64_t>(out.route));
-    std::size_t own = 0;
-    while (own + 1 < route->segments.size() && point >= route->segments[own].end)
-      ++own;
-    out.pool = route->segments[own].pool;
-    // Where nothing of its pool is ready, or all of it is cold, a request goes to the next pool
-    // that has better.
+    std::size_t own_segment = 0;
+    while (own_segment + 1 < route->segments.size() && point >= route->segments[own_segment].end)
+      ++own_segment;
+    out.pool = route->segments[own_segment].pool;
+    // If its pool has no ready endpoint, or only endpoints in slow start, the request goes to the
+    // next pool of the route that is better off.
     auto fitness = [&](int pool) {
       return health_[at(pool)].warm > 0 ? 2 : health_[at(pool)].ready > 0 ? 1 : 0;
     };
     int best = fitness(out.pool);
     for (std::size_t i = 1; best < 2 && i < route->segments.size(); ++i) {
-      int other = route->segments[(own + i) % route->segments.size()].pool;
-      if (fitness(other) > best)
-        best = fitness(out.pool = other), out.spilled = true;
+      int other = route->segments[(own_segment + i) % route->segments.size()].pool;
+      if (fitness(other) > best) {
+        out.pool = other;
+        best = fitness(other);
+        out.spilled = true;
+      }
     }
   }
   if (keyed)
@@ -393,16 +404,16 @@
   double both = find(from)->weight + find(to)->weight;
   find(to)->weight = both * share;
   find(from)->weight = both * (1 - share);
-  // The two stand side by side, `to` first: only the boundary between them moves.
+  // The two segments are adjacent, `to` first, so that only the boundary between them moves.
   Segment moved = *find(to);
   r.segments.erase(find(to));
   r.segments.insert(find(from), moved);
-  lay_out(r);
+  layout_segments(r);
 }
 
 int Router::pool(std::string_view name) const {
-  int number = place(pool_names_, name);
-  return number >= 0 && live(number) ? number : -1;
+  int number = index_of(pool_names_, name);
+  return number >= 0 && is_current(number) ? number : -1;
 }
 
 int Router::route(std::string_view name) const {
@@ -412,7 +423,7 @@
   return -1;
 }
 
-bool Router::live(int pool) const {
+bool Router::is_current(int pool) const {
   return std::find(pool_numbers_.begin(), pool_numbers_.end(), pool) != pool_numbers_.end();
 }
 
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of Router, the faults of a Spec and PoolByKeyCache.
 #include "routes/router.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
 using scheduler::EndpointState;
 using scheduler::ListScope;
 
-constexpr double kCold = 20'000, kRest = 2'000;
+constexpr double kSlowStart = 20'000, kPoolChangeDelay = 2'000;
 const NameLists kNames{
     {"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
 
@@ -34,6 +35,7 @@
   return spec;
 }
 
+/// Endpoints with their host names, applied to a Router as one endpoint list.
 struct Fleet {
   std::map<scheduler::EndpointId, std::string> names;
   EndpointList list;
@@ -43,14 +45,14 @@
     list.entries.push_back({id, 0, 0, 0, state, 1, started_at});
     return *this;
   }
-  Router::Lists tell(Router& router, double now) {
+  Router::Lists apply_to(Router& router, double now) {
     return router.split(
         list, [this](scheduler::EndpointId id) { return std::string_view(names[id]); }, now);
   }
 };
 
 Router make(Spec spec) {
-  return Router(std::move(spec), kNames, classes(), {kCold, kRest});
+  return Router(std::move(spec), kNames, classes(), {kSlowStart, kPoolChangeDelay});
 }
 
 Query query(std::uint64_t object, int class_index = 0) {
@@ -62,15 +64,15 @@
 }
 
 const EndpointEntry* find(const Router::Lists& lists, int pool, scheduler::EndpointId endpoint) {
-  for (const auto& [told, list] : lists)
-    if (told == pool)
+  for (const auto& [pool_lists, list] : lists)
+    if (pool_lists == pool)
       for (const auto& entry : list.entries)
         if (entry.endpoint == endpoint)
           return &entry;
   return nullptr;
 }
 
-TEST(Router, AnEndpointBelongsToTheFirstPoolThatFitsIt) {
+TEST(Router, AssignsAnEndpointToTheFirstMatchingPool) {
   Spec spec;
   spec.pools = {{"both", {"east"}, {"fast"}, {}, {}},
                 {"blocks", {}, {}, {}, {3, 4}},
@@ -83,30 +85,31 @@
                   {2, 0, 1, 3, EndpointState::ready, 1, 0},
                   {3, 1, 1, 9, EndpointState::ready, 1, 0},
                   {4, 1, 0, 9, EndpointState::ready, 1, 0}};
-  auto told = router.split(
+  auto pool_lists = router.split(
       list, [&](scheduler::EndpointId id) { return std::string_view(names[id]); }, 1000);
-  EXPECT_TRUE(find(told, 0, 1));
-  EXPECT_TRUE(find(told, 1, 2));
-  EXPECT_TRUE(find(told, 2, 3));
+  EXPECT_TRUE(find(pool_lists, 0, 1));
+  EXPECT_TRUE(find(pool_lists, 1, 2));
+  EXPECT_TRUE(find(pool_lists, 2, 3));
   EXPECT_EQ(router.unassigned(), 1);
   std::map<scheduler::EndpointId, int> count;
-  for (const auto& [pool, part] : told)
+  for (const auto& [pool, part] : pool_lists)
     for (const auto& entry : part.entries)
       ++count[entry.endpoint];
   for (const auto& [endpoint, times] : count)
     EXPECT_EQ(times, 1) << endpoint;
 }
 
-TEST(Router, AStepMovesTheAddedShareAndNothingBack) {
+TEST(Router, AStepShiftsTheAddedShareAndReturnsNothing) {
   Router router = make(two_pools(100, 0));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   std::set<std::uint64_t> moved;
   for (double share : {0.01, 0.05, 0.10, 0.25, 0.50, 1.0}) {
     router.shift(0, 1, 0, share);
     std::size_t before = moved.size();
     for (std::uint64_t object = 1; object <= 20'000; ++object) {
       bool now_new = router.choose(query(object), 0).pool == 0;
-      ASSERT_TRUE(now_new || !moved.contains(object)) << object << " went back at " << share;
+      ASSERT_TRUE(now_new || !moved.contains(object))
+          << object << " was returned at share " << share;
       if (now_new)
         moved.insert(object);
     }
@@ -115,12 +118,12 @@
   }
 }
 
-TEST(Router, AMoveBetweenTwoPoolsLeavesTheThirdsTrafficAlone) {
+TEST(Router, AShiftBetweenTwoPoolsDoesNotAffectAThirdPool) {
   Spec spec = two_pools(50, 0);
   spec.pools.insert(spec.pools.begin(), {"third", {}, {}, {"t"}, {}});
   spec.routes[0].to = {{"old", 50}, {"third", 50}, {"new", 0}};
   Router router = make(spec);
-  Fleet().add(1, "o1").add(2, "n1").add(3, "t1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").add(3, "t1").apply_to(router, 0);
   router.shift(0, router.pool("old"), router.pool("new"), 0);
   std::map<std::uint64_t, int> before;
   for (std::uint64_t object = 1; object <= 5000; ++object)
@@ -135,9 +138,9 @@
   EXPECT_NEAR(moved / 5000.0, 0.5 * 0.4, 0.02);
 }
 
-TEST(Router, WithoutAnObjectAFurtherTryGoesByItsIdempotencyKey) {
+TEST(Router, RoutesARetryWithoutAnObjectByItsIdempotencyKey) {
   Router router = make(two_pools(50, 50));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   int apart = 0;
   for (int i = 0; i < 200; ++i) {
     std::string key = "k" + std::to_string(i), first = "a" + std::to_string(i),
@@ -149,12 +152,12 @@
     a.idempotency_key = b.idempotency_key = "";
     apart += router.choose(a, 0).pool != router.choose(b, 0).pool;
   }
-  EXPECT_GT(apart, 50);  // by ids alone they would not: the test could fail
+  EXPECT_GT(apart, 50);  // without keys the pools differ, so the check above is able to fail
 }
 
-TEST(Router, AKeyedRequestsFurtherTryKeepsItsPoolForItsWindow) {
+TEST(Router, ARetryWithAKeyStaysInItsPoolForTheDeduplicationWindow) {
   Router router = make(two_pools(100, 0));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   router.shift(0, 1, 0, 1.0);
   Query hold = query(7, 1);
   hold.idempotency_key = "k";
@@ -164,19 +167,20 @@
   EXPECT_EQ(again.pool, 0);
   EXPECT_TRUE(again.kept);
   EXPECT_EQ(router.choose(query(7, 0), 3000).pool,
-            1);  // another class of the same object goes by weight
-  // The window counts from the latest that a try may have been sent: 3000 + patience + window.
+            1);  // another class of the same object is routed by weight
+  // The entry expires the deduplication window after the latest time at which a try may be sent:
+  // 3000 + patience + window.
   EXPECT_TRUE(router.choose(hold, 8900).kept);
   EXPECT_FALSE(router.choose(hold, 8900 + 1000 + 5000 + 1).kept);
 }
 
-TEST(Router, RoutesByClassTenantAndPathInTheirOrder) {
+TEST(Router, MatchesRoutesInOrderByClassTenantAndPath) {
   Spec spec = two_pools(100, 0);
   spec.routes = {{"sales", {"sale"}, {"main"}, {}, {{"new", 1}}, false},
                  {"books", {}, {}, {"/price/books"}, {{"new", 1}}, false},
                  {"rest", {}, {}, {}, {{"old", 1}}, false}};
   Router router = make(spec);
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   Query q = query(1, 2);
   q.path = "/sale/x";
   EXPECT_EQ(router.choose(q, 0).route, 2);
@@ -187,57 +191,58 @@
   EXPECT_EQ(router.choose(q, 0).route, 1);
 }
 
-TEST(Router, APoolWithNothingReadyOrAllColdSpillsToOneThatHasBetter) {
+TEST(Router, SpillsFromAPoolWithNoReadyOrOnlySlowStartingEndpoints) {
   Router router = make(two_pools(0, 100));
-  Fleet().add(1, "o1").tell(router, 0);
+  Fleet().add(1, "o1").apply_to(router, 0);
   EXPECT_TRUE(router.choose(query(1), 0).spilled);
   EXPECT_EQ(router.choose(query(1), 0).pool, 1);
-  Fleet().add(1, "o1").add(2, "n1", 10'000).tell(router, 11'000);
+  Fleet().add(1, "o1").add(2, "n1", 10'000).apply_to(router, 11'000);
   EXPECT_EQ(router.choose(query(1), 11'000).pool, 1)
-      << "cold boxes get no share while others are warm";
-  EXPECT_EQ(router.choose(query(1), 10'000 + kCold + 200).pool, 0)
-      << "warm by the clock alone, without a list";
-  Fleet().add(2, "n1", 40'000).tell(router, 41'000);
-  EXPECT_EQ(router.choose(query(1), 41'000).pool, 0) << "cold is better than nothing";
+      << "endpoints in slow start get no spilled requests while others are warm";
+  EXPECT_EQ(router.choose(query(1), 10'000 + kSlowStart + 200).pool, 0)
+      << "slow start ends by time alone, without a new list";
+  Fleet().add(2, "n1", 40'000).apply_to(router, 41'000);
+  EXPECT_EQ(router.choose(query(1), 41'000).pool, 0)
+      << "an endpoint in slow start is better than none";
 }
 
-TEST(Router, AKeyedRequestIsNotSpilledAwayFromWhereItMayHaveRun) {
+TEST(Router, ARetryWithAKeyIsNotSpilledFromThePoolThatMayHaveRunIt) {
   Router router = make(two_pools(0, 100));
-  Fleet().add(1, "o1").add(2, "n1").tell(router, 0);
+  Fleet().add(1, "o1").add(2, "n1").apply_to(router, 0);
   Query hold = query(1, 1);
   hold.idempotency_key = "k";
   ASSERT_EQ(router.choose(hold, 0).pool, 0);
-  Fleet().add(1, "o1").tell(router, 100);
+  Fleet().add(1, "o1").apply_to(router, 100);
   EXPECT_EQ(router.choose(hold, 200).pool, 0);
   EXPECT_EQ(router.choose(query(1), 200).pool, 1);
 }
 
-TEST(Router, AColdEndpointThatChangesPoolsRestsAWindowInBetween) {
+TEST(Router, AnEndpointInSlowStartChangesPoolsAfterADelay) {
   Router router = make(two_pools(100, 0));
   Fleet fleet;
   fleet.add(1, "o1", 1000).add(2, "o2", 0);
-  auto told = fleet.tell(router, 2000);
-  ASSERT_TRUE(find(told, 1, 1) && find(told, 1, 2));
+  auto pool_lists = fleet.apply_to(router, 2000);
+  ASSERT_TRUE(find(pool_lists, 1, 1) && find(pool_lists, 1, 2));
   fleet.names = {{1, "n1"}, {2, "n2"}};
   fleet.list.scope = ListScope::delta;
-  told = fleet.tell(router, 3000);
-  ASSERT_TRUE(find(told, 1, 1)) << "the old pool hears that it is gone";
-  EXPECT_EQ(find(told, 1, 1)->state, EndpointState::gone);
-  EXPECT_FALSE(find(told, 0, 1)) << "rule 4's window is not over";
-  EXPECT_TRUE(find(told, 0, 2)) << "a warm one joins at once";
+  pool_lists = fleet.apply_to(router, 3000);
+  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that it is gone";
+  EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
+  EXPECT_FALSE(find(pool_lists, 0, 1)) << "the window of rule 4 is not over";
+  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins at once";
   ASSERT_TRUE(router.next_due());
-  EXPECT_EQ(*router.next_due(), 3000 + kRest);
-  EXPECT_TRUE(router.due(3000 + kRest - 1).empty());
-  told = router.due(3000 + kRest);
-  ASSERT_TRUE(find(told, 0, 1));
-  EXPECT_EQ(find(told, 0, 1)->state, EndpointState::ready);
+  EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
+  EXPECT_TRUE(router.due(3000 + kPoolChangeDelay - 1).empty());
+  pool_lists = router.due(3000 + kPoolChangeDelay);
+  ASSERT_TRUE(find(pool_lists, 0, 1));
+  EXPECT_EQ(find(pool_lists, 0, 1)->state, EndpointState::ready);
   EXPECT_FALSE(router.next_due());
 }
 
-TEST(Router, AnotherSpecKeepsNumbersAndRunsOutOfThemPlainly) {
+TEST(Router, ReplaceKeepsPoolNumbersAndFailsWhenNoneAreLeft) {
   Router router = make(two_pools(100, 0));
   Fleet fleet;
-  fleet.add(1, "o1").add(2, "n1").tell(router, 0);
+  fleet.add(1, "o1").add(2, "n1").apply_to(router, 0);
   Spec spec = two_pools(100, 0);
   spec.pools.insert(spec.pools.begin(), {"extra", {}, {}, {"n1"}, {}});
   auto lists = router.replace(spec, 100);
@@ -246,7 +251,7 @@
   EXPECT_EQ(router.pool("extra"), 2);
   EXPECT_TRUE(find(*lists, 2, 2));
   EXPECT_FALSE(find(*lists, 0, 2));
-  for (int i = 0; router.numbers() < static_cast<int>(kMostPools); ++i) {
+  for (int i = 0; router.numbers() < static_cast<int>(kMaxPools); ++i) {
     spec.pools[0].name = "extra" + std::to_string(i);
     ASSERT_TRUE(router.replace(spec, 100));
   }
@@ -255,7 +260,7 @@
   EXPECT_EQ(router.pool("one too many"), -1);
 }
 
-TEST(Router, WithOnePoolItTellsWhatItIsTold) {
+TEST(Router, WithOnePoolPassesListsOnUnchanged) {
   Spec spec;
   spec.pools = {{"all", {}, {}, {}, {}}};
   spec.routes = {{"all", {}, {}, {}, {{"all", 1}}, false}};
@@ -268,22 +273,23 @@
         fleet.add(w, "h", 0, random() % 4 ? EndpointState::ready : EndpointState::draining);
     fleet.list.scope = std::array{ListScope::cached, ListScope::full, ListScope::delta,
                                   ListScope::failed}[random() % 4];
-    auto told = fleet.tell(router, i);
-    ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].second.scope, fleet.list.scope);
+    auto pool_lists = fleet.apply_to(router, i);
+    ASSERT_EQ(pool_lists.size(), 1u);
+    EXPECT_EQ(pool_lists[0].second.scope, fleet.list.scope);
     std::size_t count = fleet.list.scope == ListScope::failed ? 0 : fleet.list.entries.size();
-    ASSERT_EQ(told[0].second.entries.size(), count);
+    ASSERT_EQ(pool_lists[0].second.entries.size(), count);
     for (std::size_t k = 0; k < count; ++k)
-      EXPECT_EQ(told[0].second.entries[k].endpoint, fleet.list.entries[k].endpoint);
+      EXPECT_EQ(pool_lists[0].second.entries[k].endpoint, fleet.list.entries[k].endpoint);
   }
 }
 
-TEST(Router, FaultsOfASpecAreAllNamed) {
+TEST(Router, ReportsAllFaultsOfASpec) {
   Spec spec = two_pools(0, 0);
   spec.pools.push_back({"old", {}, {}, {}, {}});
   spec.routes.push_back({"x", {"sale"}, {}, {}, {{"none", 1}}, false});
-  EXPECT_EQ(faults(spec).size(),
-            5u);  // a second "old", weights of zero, "all" before "x", no pool "none", "x" last
+  EXPECT_EQ(
+      faults(spec).size(),
+      5u);  // duplicate pool "old", zero weights, "all" before "x", unknown pool "none", "x" last
   EXPECT_TRUE(faults(two_pools(1, 1)).empty());
   spec = two_pools(1, 1);
   spec.pools[0].sites = {"north"};
@@ -291,18 +297,18 @@
   EXPECT_EQ(unknown_names(spec, kNames).size(), 2u);
 }
 
-TEST(KeyMemory, IsOfFixedSizeAndCountsWhatItForgets) {
-  KeyMemory memory(1024);
+TEST(PoolByKeyCache, HasAFixedSizeAndCountsLiveEvictions) {
+  PoolByKeyCache memory(1024);
   std::mt19937_64 random(5);
   for (int i = 0; i < 100'000; ++i)
     memory.put(random(), 1, 10'000, i * 0.001);
   EXPECT_EQ(memory.capacity(), 1024u);
-  EXPECT_GT(memory.forgotten(), 90'000u);
-  KeyMemory calm(1024);
+  EXPECT_GT(memory.evicted_live(), 90'000u);
+  PoolByKeyCache calm(1024);
   for (int i = 0; i < 100'000; ++i)
     calm.put(random(), 1, i + 50, i);
-  EXPECT_LT(calm.forgotten(),
-            100u);  // expired entries are no loss; now and then five live ones meet in a bucket
+  EXPECT_LT(calm.evicted_live(),
+            100u);  // expired entries do not count; rarely a bucket of four gets five live ones
 }
 
 }  // namespace
