--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -7,11 +7,11 @@
 namespace keelflow::fleet {
 namespace {
 
-// Times log2 of the members: how often an update rides along.
+// Each update is piggybacked on kTransmissionFactor * log2(members + 1) messages, rounded up.
 constexpr double kTransmissionFactor = 3;
-// Members to whom an urgent update goes at once.
+// Number of members that receive an urgent update at once.
 constexpr int kFanout = 4;
-// Gossip messages saved up at most, and their rate a millisecond.
+// Token bucket for urgent gossip messages: its capacity and its refill rate.
 constexpr double kMostBudget = 24;
 constexpr double kBudgetPerMs = 0.04;
 
@@ -53,7 +53,7 @@
   message.incarnation = members_.own_incarnation();
   message.digest = members_.digest();
   if (members_.is_accused(to))
-    add_new(members_.updates_of(to), message.updates);  // it alone can refute that
+    add_new(members_.updates_of(to), message.updates);  // only the accused member can refute it
   add_queued(message.updates);
   if (padding == Padding::table)
     add_from_table(message.updates);
@@ -82,8 +82,8 @@
        out, padding);
 }
 
-// Round robin: with many queued, the first of them must not be sent again before the rest is sent
-// once.
+// Selects updates round robin, so that with many queued updates each is sent once before any is
+// sent again.
 void Dissemination::add_queued(std::vector<MemberUpdate>& updates) {
   for (std::size_t left = transmissions_left_.size(); left > 0 && updates.size() < kMaxUpdates;
        --left) {
--- a/logic/fleet/dissemination.h
+++ b/logic/fleet/dissemination.h
@@ -1,5 +1,5 @@
-/// Dissemination of member updates: piggybacked on every message between members, and as gossip of
-/// its own where they are urgent. Pure.
+/// Dissemination of member updates: updates are piggybacked on every message between members, and
+/// urgent updates are also sent in separate gossip messages. Pure: no I/O and no clock of its own.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +19,43 @@
   std::string bytes;
 };
 
-/// What follows from an event, in the order of sending.
+/// The messages to send after an event, in sending order, and the state changes it caused.
 struct MembershipOutput {
   std::vector<OutgoingMessage> messages;
   std::vector<MemberChange> changes;
 };
 
-/// Owns the queue of updates that ride along, and the budget of gossip. Every message of a
-/// membership goes out through it.
+/// Owns the queue of updates to piggyback and the budget for gossip messages. Creates every message
+/// that a Membership sends.
 class Dissemination {
  public:
-  /// What fills the rest of a message after the updates that are queued.
+  /// What fills the remaining space of a message after the queued updates. `table`: updates from
+  /// the member table.
   enum class Padding { none, table };
 
   Dissemination(const MemberTable& members, MemberSampler& sampler, Time now);
 
-  /// The member's updates ride along on the next messages, about as often as reaches everyone.
+  /// Piggybacks the member's updates on the next messages, about as many times as it takes to reach
+  /// every member.
   void enqueue(int member);
-  /// The same, and gossip goes at once to some members, within a budget: whatever happens, it
-  /// cannot fill the network.
+  /// Also sends gossip messages to a few members at once. A budget limits their rate, so that they
+  /// cannot saturate the network.
   void enqueue_urgent(int member, Time now, MembershipOutput& out);
   bool has_queued() const { return !transmissions_left_.empty(); }
 
-  /// Adds the sender's values and the updates. `subject` and `updates` are sent as they are.
+  /// Fills in the sender's incarnation and digest and appends queued updates. `subject` is sent
+  /// unchanged, and `updates` come first.
   void send(int to, MembershipMessage message, MembershipOutput& out,
             Padding padding = Padding::none);
   void send_probe(int to, std::uint16_t number, MembershipOutput& out);
   void send_gossip(int to, std::vector<MemberUpdate> updates, MembershipOutput& out,
                    Padding padding = Padding::none);
 
-  std::uint64_t messages() const { return messages_; }    ///< sent
-  std::uint64_t bytes() const { return bytes_; }          ///< sent
-  std::uint64_t held_back() const { return held_back_; }  ///< gossip that the budget forbade
+  std::uint64_t messages() const { return messages_; }  ///< sent in total
+  std::uint64_t bytes() const { return bytes_; }        ///< sent in total
+  std::uint64_t held_back() const {
+    return held_back_;
+  }  ///< gossip messages not sent for lack of budget
 
  private:
   void add_queued(std::vector<MemberUpdate>& updates);
@@ -58,7 +63,7 @@
 
   const MemberTable& members_;
   MemberSampler& sampler_;
-  std::map<int, int> transmissions_left_;  ///< by member whose updates ride along
+  std::map<int, int> transmissions_left_;  ///< by member whose updates are queued
   int last_piggybacked_ = -1;              ///< member
   int table_cursor_ = 0;                   ///< member
   double budget_;                          ///< gossip messages
--- a/logic/fleet/local_health.h
+++ b/logic/fleet/local_health.h
@@ -1,11 +1,11 @@
-/// Lifeguard's local health multiplier: how much a node doubts its own observations.
+/// Lifeguard's local health multiplier: a score of how unreliable a node's own observations are.
 #pragma once
 
 #include <algorithm>
 
 namespace keelflow::fleet {
 
-/// 0: healthy; the higher the score, the longer its probes wait for an answer.
+/// Score from 0 (healthy) to kWorst. A higher score extends the timeout of the node's probes.
 class LocalHealth {
  public:
   static constexpr int kWorst = 8;
@@ -13,9 +13,9 @@
   void worsen(int by = 1) { score_ = std::min(kWorst, score_ + by); }
   void improve() { score_ = std::max(0, score_ - 1); }
   int score() const { return score_; }
-  /// Of the time that a probe waits for its answer.
+  /// Multiplier for the timeout of a probe.
   double timeout_factor() const { return 1 + score_ / kScoreThatDoubles; }
-  /// Below it a node's own suspicions go to others.
+  /// Whether the node may send its own suspicions to other members.
   bool may_accuse() const { return score_ < kSilentFrom; }
 
  private:
--- a/logic/fleet/member_sampler.h
+++ b/logic/fleet/member_sampler.h
@@ -1,4 +1,5 @@
-/// Pseudo-random choices of a membership: the same seed and calls give the same choices.
+/// Pseudo-random choices of a Membership: the same seed and sequence of calls give the same
+/// choices.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 
 namespace keelflow::fleet {
 
-/// Owns the generator's state.
+/// Draws random numbers and random members. Owns the generator's state.
 class MemberSampler {
  public:
   MemberSampler(const MemberTable& members, std::uint64_t seed)
@@ -20,7 +21,8 @@
     return static_cast<double>(state_ >> 11) * 0x1p-53;
   }
 
-  /// Another member that is not dead, and not `excluded`. -1: none found in kMostDraws draws.
+  /// Returns a random member that is not dead, not this node and not `excluded`, or -1 if
+  /// kMostDraws draws found none.
   int alive_member_except(int excluded) {
     for (int draw = 0; draw < kMostDraws; ++draw) {
       int member = static_cast<int>(uniform() * members_.size());
@@ -31,7 +33,8 @@
   }
 
  private:
-  static constexpr int kMostDraws = 16;  // then nearly all are dead, or there is no other
+  static constexpr int kMostDraws =
+      16;  // if all of them fail, nearly all members are dead or none is left
 
   const MemberTable& members_;
   std::uint64_t state_;
--- a/logic/fleet/member_table.cpp
+++ b/logic/fleet/member_table.cpp
@@ -7,7 +7,7 @@
 namespace keelflow::fleet {
 namespace {
 
-// A member's part of the digest. Suspicion is not in it.
+// A member's contribution to the digest. A suspected member contributes the same as an alive one.
 std::uint32_t digest_of(int member, const Member& state) {
   if (state.state == MemberState::unknown)
     return 0;
--- a/logic/fleet/member_table.h
+++ b/logic/fleet/member_table.h
@@ -1,5 +1,5 @@
-/// What one node knows of each member of the tier, and the values that go with the whole table: its
-/// digest and its counts. Pure; times are milliseconds on the caller's clock.
+/// The state of each member of the tier as one node sees it, and the digest and counts of the whole
+/// table. Pure; times are milliseconds on the caller's clock.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 struct Member {
   MemberState state = MemberState::unknown;
   std::uint32_t incarnation = 0;
-  Time since = 0;                 ///< it is in that state
+  Time since = 0;                 ///< time of the last change of `state`
   Time last_datagram_at = -1e18;  ///< of any kind
   Time last_membership_message_at = -1e18;
-  std::set<int> accusers;  ///< of a suspect: who reported it
-  bool has_left = false;   ///< it announced its end: only a new incarnation of it counts
+  std::set<int> accusers;  ///< members that reported this member as suspect or dead
+  bool has_left = false;   ///< it announced its shutdown; only a newer incarnation revives it
 };
 
 /// A member's change of state.
@@ -30,24 +30,24 @@
   MemberState from = MemberState::unknown;
   MemberState to = MemberState::unknown;
   std::uint32_t incarnation = 0;
-  std::string evidence;  ///< why, for people
+  std::string evidence;  ///< the reason, in words for the log
 };
 
-/// Owns the members' states: each changes in change_state() and in nothing else, but for
+/// Owns the members' states. change_state() is the only function that changes a state, except for
 /// announce_leave().
 class MemberTable {
  public:
   MemberTable(int members, int self);
 
-  /// Adds the change to `changes` if the state is another one; not of this node itself. Who is no
-  /// suspect has no accusers.
+  /// Appends to `changes` if the state differs from the old one and the member is not this node.
+  /// Clears the accusers unless the new state is suspect.
   void change_state(int member, MemberState state, std::uint32_t incarnation, std::string evidence,
                     Time now, std::vector<MemberChange>& changes);
-  /// This node ends. The counts and the digest stay as they are.
+  /// Marks this node as leaving. The counts and the digest do not change.
   void announce_leave();
 
-  /// What there is to report of one member: nothing if it is unknown, else an update for each
-  /// reporter.
+  /// Returns the updates to send about one member: none if its state is unknown, one if it is alive
+  /// or has left, else one for each accuser (from this node if there is none).
   std::vector<MemberUpdate> updates_of(int member) const;
 
   int size() const { return static_cast<int>(members_.size()); }
@@ -62,9 +62,11 @@
   }
   std::uint32_t own_incarnation() const { return at(self_).incarnation; }
 
-  int alive_count() const { return alive_count_; }  ///< not dead, this node among them
+  int alive_count() const {
+    return alive_count_;
+  }  ///< members that are not dead, including this node
   int suspect_count() const { return suspect_count_; }
-  std::uint32_t digest() const { return digest_; }  ///< equal tables have equal ones
+  std::uint32_t digest() const { return digest_; }  ///< equal tables have equal digests
   std::uint64_t deaths() const { return deaths_; }
 
  private:
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -7,14 +7,16 @@
 namespace keelflow::fleet {
 namespace {
 
-// Accusers, beside the first, that make the shortest suspicion timeout: as many as are asked for an
-// indirect probe.
+// Number of accusers in addition to the first one that reduces the suspicion timeout to its
+// minimum. It equals the number of indirect probers.
 constexpr int kConfirmations = Probing::kIndirectProbers;
-// So many members, by lot, probe at once one whom another suspects.
+// Expected number of members that probe a member at once when another member suspects it. Each
+// member decides at random.
 constexpr int kVerifiers = 5;
-// Periods without a datagram from anyone after which a node is isolated.
+// A node that has received no datagram for more than this number of periods is isolated.
 constexpr Time kIsolatedAfter = 3;
-// Milliseconds after a death from which on datagrams of an earlier release count as a return.
+// Milliseconds after a member's death before its datagrams without an incarnation (an earlier
+// release) count as its return.
 constexpr Time kReturnAfter = 1000;
 
 std::string name_of(int member) {
@@ -73,17 +75,17 @@
   return message.has_value();
 }
 
-// A member that went back to an earlier release sends no membership messages: after its death its
-// other datagrams are all there is of it.
+// A member that was downgraded to an earlier release sends no membership messages, so after its
+// death only its other datagrams show that it is back.
 bool Membership::has_older_release(const Member& member, std::uint32_t incarnation) const {
   return incarnation == 0 && member.state == MemberState::dead &&
          member.last_membership_message_at < member.since && now_ > member.since + kReturnAfter;
 }
 
-// Whoever is suspected or dead is notified of it at each datagram of its own, and refutes by a new
-// incarnation. The datagram alone refutes nothing: a member that cannot receive that it is
-// suspected cannot receive anything else, and those whom its datagrams reach would hold it for
-// alive beside others who do not. `incarnation` 0: it was no membership message.
+// A suspected or dead member is notified on each membership message from it and refutes with a new
+// incarnation. A datagram alone refutes nothing: a member that cannot receive the accusation cannot
+// receive anything else either, and the members that its datagrams reach would consider it alive
+// while other members do not. `incarnation` 0: the datagram was not a membership message.
 void Membership::on_sign_of_life(int from, std::uint32_t incarnation, Output& out) {
   if (is_isolated())
     revert_conclusions(out);
@@ -100,7 +102,7 @@
     probing_.on_returned(now_);
   if (member.state == MemberState::unknown || incarnation > member.incarnation) {
     change_state(from, MemberState::alive, std::max(incarnation, member.incarnation),
-                 "it was heard", out);
+                 "received a datagram from it", out);
     return dissemination_.enqueue(from);
   }
   if (member.state == MemberState::alive)
@@ -108,16 +110,19 @@
   if (incarnation > 0)
     dissemination_.send_gossip(from, members_.updates_of(from), out);
   if (has_returned)
-    change_state(from, MemberState::alive, member.incarnation, "it was heard itself", out);
+    change_state(from, MemberState::alive, member.incarnation,
+                 "received a datagram from it, without incarnation", out);
 }
 
-// Nothing could be received until now: what was concluded from that says nothing of the others.
+// Reverts suspicions and deaths concluded while this node was isolated: a node that receives
+// nothing cannot judge the other members.
 void Membership::revert_conclusions(Output& out) {
   for (int m = 0; m < members_.size(); ++m) {
     const Member& member = members_.at(m);
     if (members_.is_other(m) && !member.has_left && member.since >= last_received_at_ &&
         members_.is_accused(m))
-      change_state(m, MemberState::alive, member.incarnation, "this node had heard nobody", out);
+      change_state(m, MemberState::alive, member.incarnation, "this node had received no datagrams",
+                   out);
   }
   probing_.stop_all();
 }
@@ -138,7 +143,7 @@
       return probing_.on_nack(message.subject, message.number);
     case Kind::ack:
       probing_.on_ack(message.subject, message.number);
-      // The prober sends a part of its table, as the one who answered has.
+      // The member that answered included part of its table; the prober sends part of its own.
       if (tables_differ)
         dissemination_.send_gossip(from, {}, out, padding);
       return;
@@ -158,7 +163,8 @@
   if (update.state == MemberState::alive) {
     if (!is_newer)
       return;
-    change_state(update.member, MemberState::alive, update.incarnation, "others heard it", out);
+    change_state(update.member, MemberState::alive, update.incarnation, "reported alive by others",
+                 out);
     return dissemination_.enqueue(update.member);
   }
   bool announces_end = update.state == MemberState::dead && update.reported_by == update.member;
@@ -170,11 +176,12 @@
     return dissemination_.enqueue_urgent(update.member, now_, out);
   }
   if (is_newer)
-    change_state(update.member, MemberState::alive, update.incarnation, "others heard it", out);
+    change_state(update.member, MemberState::alive, update.incarnation, "reported alive by others",
+                 out);
   apply_suspicion(update, out);
 }
 
-// Another's death verdict is a suspicion here.
+// Treats a death reported by another member as a suspicion: this node waits for its own timeout.
 void Membership::apply_suspicion(const MemberUpdate& update, Output& out) {
   Member& member = members_.at(update.member);
   if (member.state == MemberState::alive)
@@ -185,7 +192,7 @@
     dissemination_.enqueue_urgent(update.member, now_, out);
 }
 
-// What others hold of this node: all but what it says itself is refuted.
+// Refutes every report about this node that differs from its own state.
 void Membership::apply_own_update(const MemberUpdate& update, Output& out) {
   std::uint32_t own = members_.own_incarnation();
   bool is_known = update.state == MemberState::alive && update.incarnation == own;
@@ -213,8 +220,7 @@
   bool is_own = accuser == settings_.self;
   members_.at(member).accusers = {accuser};
   change_state(member, MemberState::suspect, members_.at(member).incarnation,
-               is_own ? "it does not answer" : name_of(accuser) + " says that it does not answer",
-               out);
+               is_own ? "no answer to probes" : "reported by " + name_of(accuser), out);
   if (!is_own || (!is_isolated() && health_.may_accuse()))
     dissemination_.enqueue_urgent(member, now_, out);
   if (!is_own && sampler_.uniform() * members_.alive_count() < kVerifiers)
@@ -232,8 +238,9 @@
   update_next();
 }
 
-// A node that was stalled knows nothing of the time that passed: all that waits gets it back, and
-// for a while its own probes accuse nobody to others.
+// A stalled node received nothing while it was stalled. Extends the suspicion timeouts by that
+// time, cancels the probes in progress, and worsens the local health, so that for a while the node
+// does not report its own suspicions.
 void Membership::check_stall() {
   Time late = now_ - next_;
   if (late < settings_.period)
@@ -248,7 +255,7 @@
   last_received_at_ = std::max(last_received_at_, now_ - settings_.period);
 }
 
-// The shorter the more accuse independently of each other.
+// The timeout decreases with the number of independent accusers.
 Time Membership::suspicion_timeout(const Member& member) const {
   int others = std::min(kConfirmations, members_.alive_count() - 2);
   if (others <= 0)
@@ -274,7 +281,7 @@
   for (int accuser : accusers)
     evidence += " " + name_of(accuser);
   change_state(member, MemberState::dead, dead.incarnation, evidence, out);
-  dead.accusers = std::move(accusers);  // its updates go on naming them
+  dead.accusers = std::move(accusers);  // the updates about the dead member still name its accusers
   probing_.stop(member);
   if (!is_isolated())
     dissemination_.enqueue(member);
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -1,18 +1,19 @@
-/// Which nodes of the tier are alive, found out in common: SWIM with the refinements of Lifeguard,
-/// on datagrams that may be lost, late, doubled or out of order. Pure: datagrams and the time go
-/// in; changes and messages come out.
+/// Failure detection among the nodes of the tier: SWIM with the Lifeguard extensions, over
+/// datagrams that may be lost, delayed, duplicated or reordered. Pure: the caller passes in
+/// datagrams and the time, and receives state changes and messages to send.
 ///
-/// - Each period every member is probed by one other, by the clock that all share; a member whose
-///   datagrams arrive is spared most of that while no updates are queued. One that does not answer
-///   is probed through three others, then suspected.
-/// - A suspect is notified, and refutes by a new incarnation. A death is never taken over from
-///   others: each node waits out its own suspicion timeout, the shorter the more accuse
-///   independently.
-/// - A node that was stalled, or receives nothing from anyone, tells nobody of its suspicions.
-/// - Members of which nothing was ever received count as alive, as nothing is known.
+/// - In each period every member is probed by one other member, scheduled by the shared clock. Most
+///   probes of a member are skipped while its datagrams arrive and no updates are queued. A member
+///   that does not answer is probed through three others, then suspected.
+/// - A suspect is notified and refutes with a new incarnation. No node adopts a death verdict of
+///   another node: each waits for its own suspicion timeout, which decreases with the number of
+///   independent accusers.
+/// - A node that was stalled, or receives no datagrams, does not report its suspicions to others.
+/// - A member from which nothing was ever received counts as alive, since nothing is known about
+/// it.
 ///
 /// All times are milliseconds on the caller's clock, which only moves forward and is the same at
-/// all nodes (a difference costs only evenness of the probes).
+/// all nodes (a difference only makes the probes less evenly spread).
 #pragma once
 
 #include <cstdint>
@@ -28,16 +29,16 @@
 
 namespace keelflow::fleet {
 
-/// One node's part in the protocol. Owns its table, probing and dissemination, and decides on
-/// suspicion and death; the caller sends what comes out, and calls tick() in time.
+/// One node's protocol instance. Owns the member table, probing and dissemination, and decides on
+/// suspicion and death. The caller sends the resulting messages and calls tick() at next().
 class Membership {
  public:
   struct Settings {
-    int members = 1;             ///< numbered from 0 on, as the configuration has them
-    int self = 0;                ///< this node's number
-    Time period = 250;           ///< every member is probed once in it
-    Time least_suspicion = 500;  ///< from suspicion to death, where three others accuse too
-    Time most_suspicion = 1200;  ///< and where nobody else does
+    int members = 1;    ///< number of members; they are numbered from 0 as in the configuration
+    int self = 0;       ///< this node's number
+    Time period = 250;  ///< every member is probed once per period
+    Time least_suspicion = 500;  ///< suspicion timeout with three further accusers
+    Time most_suspicion = 1200;  ///< suspicion timeout with a single accuser
   };
   using Member = fleet::Member;
   using Change = MemberChange;
@@ -50,29 +51,30 @@
     std::uint64_t refutations = 0;
     std::uint64_t deaths = 0;
     std::uint64_t stalls = 0;
-    std::uint64_t held_back = 0;  ///< gossip that the budget forbade
+    std::uint64_t held_back = 0;  ///< gossip messages not sent for lack of budget
   };
 
-  /// `incarnation`: greater than that of this node's former incarnations, as Unix seconds are.
+  /// `incarnation`: greater than in earlier runs of this node, for example Unix seconds.
   Membership(const Settings& settings, Time now, std::uint32_t incarnation);
   ~Membership() = default;
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// False: no membership message, or from no member. A member's datagram counts as a sign of life
-  /// whatever is in it.
+  /// Returns false if the datagram is not a membership message or its sender is not another member.
+  /// Any datagram from another member counts as a sign of life.
   bool on_datagram(Time now, int from, std::string_view bytes, Output& out);
-  /// At next(), or as soon after as can be.
+  /// To be called at next(), or as soon as possible after it.
   void tick(Time now, Output& out);
   Time next() const { return next_; }
-  /// This node ends by itself: the others need not wait for it.
+  /// Announces that this node shuts down, so that others need not detect its failure.
   void leave(Time now, Output& out);
 
   bool is_alive(int member) const { return members_.is_alive(member); }
-  int alive_count() const { return members_.alive_count(); }  ///< this node among them
+  int alive_count() const { return members_.alive_count(); }  ///< including this node
   const Member& at(int member) const { return members_.at(member); }
   int members() const { return members_.size(); }
-  /// Lifeguard's local health. 0: healthy; up to 8: this node doubts its own observations.
+  /// Lifeguard's local health score: 0 is healthy; up to 8, the node's own observations are less
+  /// reliable.
   int health() const { return health_.score(); }
   Statistics statistics() const;
 
@@ -98,7 +100,7 @@
   Settings settings_;
   Time now_;
   Time next_ = 0;
-  Time last_received_at_;  ///< of anyone
+  Time last_received_at_;  ///< from any member
   bool is_leaving_ = false;
   std::uint64_t suspicions_ = 0;
   std::uint64_t refutations_ = 0;
--- a/logic/fleet/membership_message.cpp
+++ b/logic/fleet/membership_message.cpp
@@ -14,7 +14,7 @@
     out += static_cast<char>(value >> shift & 0xff);
 }
 
-// Big-endian values, one after the other. The caller sees to it that there are enough bytes.
+// Reads consecutive big-endian values. The caller ensures that enough bytes are left.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : left_(bytes) {}
--- a/logic/fleet/probing.cpp
+++ b/logic/fleet/probing.cpp
@@ -7,22 +7,22 @@
 namespace keelflow::fleet {
 namespace {
 
-// Messages of one probe: with 30 % loss each way 7 of 100 probes then fail.
+// Messages sent per probe. With 30 % loss in each direction, 7 of 100 probes still fail.
 constexpr int kAttempts = 4;
-// Periods between them.
+// Periods between the messages of one probe.
 constexpr double kAttemptGap = 0.32;
-// Periods after which others are asked to probe too.
+// Periods after which other members are asked for an indirect probe.
 constexpr double kIndirectAfter = 0.6;
-// Periods after which a probe has failed.
+// Periods after which a probe without an answer has failed.
 constexpr double kVerdictAfter = 1.8;
-// Each so many rounds a member is probed even if it was received just now.
+// In every fourth round the member is probed even if a datagram from it arrived recently.
 constexpr std::int64_t kUnconditionalRounds = 4;
 // Milliseconds between probes of dead members.
 constexpr Time kDeadProbeMs = 1000;
-// Dead members that are probed at once when one has returned: it rarely returns alone.
+// Dead members probed at once after one has returned, since several usually return together.
 constexpr int kReturnBurst = 8;
 constexpr std::size_t kMostIndirectProbes = 16;
-// The golden ratio's fraction: multiples of it lie evenly in a period.
+// Fractional part of the golden ratio: its multiples modulo 1 are evenly spread.
 constexpr double kGoldenFraction = 0.6180339887;
 
 }  // namespace
@@ -36,7 +36,7 @@
       on_failed_(std::move(on_failed)),
       period_(period),
       dead_due_(now + kDeadProbeMs) {
-  // Spread over the period, so that not all probe at once.
+  // Spreads the nodes' rounds over the period, so that they do not all probe at once.
   double phase = std::fmod(members.self() * kGoldenFraction, 1.0) * period;
   round_due_ = (std::floor(now / period) + 1) * period + phase;
 }
@@ -118,8 +118,8 @@
   if (members_.size() < 2)
     return;
   int member = member_of_round(round);
-  // Who was received of late need not be probed; but updates ride on messages, and where only load
-  // updates arrive none would go round.
+  // A member from which a datagram arrived recently need not be probed. But updates are piggybacked
+  // on probes and acks, so they would not spread if only load updates were exchanged.
   bool is_spared = is_recently_received(member, now) && !dissemination_.has_queued() &&
                    round % kUnconditionalRounds != 0;
   if (members_.is_other(member) && members_.is_alive(member) && !is_spared)
@@ -127,7 +127,8 @@
   probe_suspects(out);
 }
 
-// Each member is probed by one other: all nodes are the same distance from the one that they probe.
+// In one round all nodes probe the member at the same distance in the numbering, so that each
+// member is probed by one other.
 int Probing::member_of_round(std::int64_t round) const {
   int count = members_.size();
   int distance = 1 + static_cast<int>(round % (count - 1));
@@ -141,7 +142,7 @@
   return now - members_.at(member).last_datagram_at < period_;
 }
 
-// The probe has the accusation with it, as long as it lasts: a suspect may refute it.
+// Probes suspects each round. The probe carries the accusation, so that the suspect can refute it.
 void Probing::probe_suspects(MembershipOutput& out) {
   int probed = 0;
   for (int member = 0; member < members_.size() && probed < kIndirectProbers; ++member) {
@@ -156,7 +157,7 @@
   return probe.begun + kVerdictAfter * period_ * health_.timeout_factor();
 }
 
-// True: the probe is over.
+// Returns true when the probe has ended.
 bool Probing::advance(int member, Probe& probe, Time now, MembershipOutput& out) {
   Time verdict = verdict_time(probe);
   if (now >= verdict) {
@@ -193,7 +194,7 @@
   }
 }
 
-// Without an answer from those who were asked either, the fault may be here.
+// If the indirect probers did not answer either, this node may be at fault.
 void Probing::fail(int member, const Probe& probe, MembershipOutput& out) {
   if (probe.is_indirect && !probe.is_nacked)
     health_.worsen();
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -1,5 +1,5 @@
-/// Probing: each period every member is probed by one other, by the clock that all share, and by
-/// others through indirect probes where it does not answer. Pure.
+/// Probing: in each period every member is probed by one other member, scheduled by the shared
+/// clock. A member that does not answer is also probed by others through indirect probes. Pure.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 namespace keelflow::fleet {
 
-/// Owns the probes under way, those for others among them, and the times of the next ones. It
-/// changes no member's state: a failed probe is reported.
+/// Owns the probes in progress, including those on behalf of other members, and the times of the
+/// next ones. It does not change member states; it reports failed probes to a handler.
 class Probing {
  public:
-  /// Members that are asked for an indirect probe, and suspects that are probed in a round. As many
-  /// independent accusers make the shortest suspicion timeout.
+  /// Number of members asked for an indirect probe, and maximum of suspects probed per round. The
+  /// suspicion timeout is shortest with this number of accusers besides the first.
   static constexpr int kIndirectProbers = 3;
 
   /// `on_failed`: called for each probe that got no answer in time.
@@ -28,34 +28,35 @@
   Probing(const MemberTable& members, MemberSampler& sampler, Dissemination& dissemination,
           LocalHealth& health, Time period, Time now, FailureHandler on_failed);
 
-  /// Starts the probe of a new round if it is due, and takes all probes under way further.
+  /// Starts the probe of a new round if it is due, and advances all probes in progress.
   void tick(Time now, MembershipOutput& out);
-  /// Probes dead members now and then: a network partition may have healed.
+  /// Probes dead members periodically, since a network partition may have healed.
   void tick_dead(Time now, MembershipOutput& out);
-  /// When one of the two has something to do.
+  /// The time of the next work for tick() or tick_dead().
   Time next(Time now) const;
 
-  /// From now on that member is probed, if it is not already.
+  /// Starts a probe of the member unless one is in progress.
   void start(int member, Time now);
   void stop(int member) { probes_.erase(member); }
-  void stop_all();       ///< its own probes
-  void stop_indirect();  ///< those on behalf of others
-  /// A datagram of that member arrived: its probe is answered.
+  void stop_all();       ///< stops this node's own probes
+  void stop_indirect();  ///< stops probes on behalf of other members
+  /// A datagram from the member arrived, which answers a probe of it.
   void on_datagram(int from);
-  /// A dead member has a new incarnation: others may be back too, and are probed at once.
+  /// A dead member has returned: schedules probes of other dead members at once.
   void on_returned(Time now);
   void on_indirect_probe(int requester, int subject, std::uint16_t number, Time now);
   void on_ack(int subject, std::uint16_t number);
   void on_nack(int subject, std::uint16_t number);
 
  private:
+  /// A probe in progress of one member.
   struct Probe {
     Time begun = 0;
-    Time next = 0;     ///< when it is to be taken further
+    Time next = 0;     ///< when advance() has work
     int attempts = 0;  ///< messages sent
     std::uint16_t number = 0;
-    bool is_indirect = false;  ///< others were asked too
-    bool is_nacked = false;    ///< one of those answered
+    bool is_indirect = false;  ///< indirect probes were requested
+    bool is_nacked = false;    ///< an indirect prober reported a nack
   };
   /// A probe on behalf of another member.
   struct IndirectProbe {
--- a/logic/fleet/slow_start_borrower.cpp
+++ b/logic/fleet/slow_start_borrower.cpp
@@ -5,13 +5,15 @@
 namespace keelflow::fleet {
 namespace {
 
-// Milliseconds after which another owner is requested.
+// Milliseconds without a reply after which the request goes to another owner.
 constexpr double kReplyTimeoutMs = 60;
-// Milliseconds for which an owner that did not reply is the last choice.
+// Milliseconds for which an owner that did not reply is chosen only if no other is available.
 constexpr double kUnresponsiveMs = 1000;
-// Typical requests' work that is requested at once: enough for the next one too.
+// Minimum work to request, as a multiple of a typical request's work, so that the lease also covers
+// the next request.
 constexpr double kRequestedTypicals = 2;
-// Requests go round the owners by their number, which is reduced first, as the sum is an int.
+// Lease requests cycle through the owners by request number. The number is reduced modulo this
+// value first, because the sum is an int.
 constexpr int kNumberCycle = 64;
 
 }  // namespace
@@ -37,13 +39,14 @@
                                           SlowStartOutput out) {
   BorrowedLease& borrowed = lease.borrowed;
   if (borrowed.until <= now)
-    budget.granted = 0;  // returned just now; the Dispatcher is not yet notified of it
+    budget.granted = 0;  // just returned; the Dispatcher has not been notified yet
   if (budget.total() >= budget.typical)
     return;
   if (borrowed.is_awaiting_reply)
     unresponsive_until_[static_cast<std::size_t>(borrowed.owner)] = now + kUnresponsiveMs;
   if (borrowed.until > now)
-    give_back(lease, budget.granted, out);  // one at a time; what is left of it is too little
+    give_back(lease, budget.granted,
+              out);  // only one lease at a time, and the rest of this one is too small
   send_request(now, budget, is_alive, lease, out);
 }
 
@@ -100,7 +103,7 @@
   out.actions.emplace_back(scheduler::SendPeerMessage{lease.borrowed.owner, encode(message)});
 }
 
-// First those that reply, then the others. -1: there is no owner that is alive.
+// Prefers owners that reply over unresponsive ones. Returns -1 if no other owner is alive.
 int SlowStartBorrower::next_owner(scheduler::Time now, const std::vector<bool>& is_alive,
                                   const EndpointLease& lease) const {
   int owners = owner_count(dispatchers_);
--- a/logic/fleet/slow_start_borrower.h
+++ b/logic/fleet/slow_start_borrower.h
@@ -1,5 +1,5 @@
-/// The borrower's side of slow-start leases: it requests leases of other dispatchers' parts, holds
-/// one at a time at an endpoint, and returns what it will not use.
+/// The borrower's side of slow-start leases: it requests leases on other dispatchers' parts of the
+/// budget, holds at most one lease per endpoint, and returns the unused rest.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,26 @@
 
 namespace keelflow::fleet {
 
-/// Owns the numbering of this dispatcher's requests and whom it found unresponsive.
+/// Owns the numbering of this dispatcher's requests and the record of unresponsive owners.
 class SlowStartBorrower {
  public:
-  /// `incarnation`: of this dispatcher, greater than that of its former ones.
+  /// `incarnation`: of this dispatcher; greater than in its earlier runs.
   SlowStartBorrower(int self, int dispatchers, std::uint32_t incarnation);
 
-  /// The settings changed: whoever did not reply is forgotten.
+  /// Applies changed settings and clears the record of unresponsive owners.
   void reset(int self, int dispatchers);
 
-  /// The owner may still reply in time: nothing is requested meanwhile.
+  /// Whether the owner may still reply in time. No further request is sent until then.
   bool has_pending_request(scheduler::Time now, const EndpointLease& lease) const;
-  /// Requests a lease at the endpoint if the budget there is less than a typical request's work.
+  /// Requests a lease at the endpoint if its budget is less than a typical request's work.
   void request_if_needed(scheduler::Time now, scheduler::SlowStartBudget budget,
                          const std::vector<bool>& is_alive, EndpointLease& lease,
                          SlowStartOutput out);
-  /// A grant arrived. The lease ends by this dispatcher's clock, counted from the request on: that
-  /// is before the owner's end. True: a lease began.
+  /// Handles a grant. The lease's length counts from the request by this dispatcher's clock, so it
+  /// ends here before it ends at the owner. Returns true if a lease began.
   bool on_grant(scheduler::Time now, double lease_length_ms, int owner,
                 const SlowStartMessage& message, EndpointLease& lease, SlowStartOutput out);
-  /// Ends the lease and returns what is left of it to its owner.
+  /// Ends the lease and returns the unused rest to its owner.
   void give_back(EndpointLease& lease, double left_ms, SlowStartOutput out);
   const SlowStartStatistics& statistics() const { return statistics_; }
 
@@ -44,7 +44,7 @@
   int dispatchers_;
   std::uint32_t incarnation_;
   std::uint32_t last_number_ = 0;
-  /// By dispatcher: it did not reply, so it is the last choice until then.
+  /// By dispatcher: an owner that did not reply is chosen last until this time.
   std::vector<scheduler::Time> unresponsive_until_;
   SlowStartStatistics statistics_;
 };
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -12,41 +12,41 @@
 
 namespace keelflow::fleet {
 
-/// Clocks of two dispatchers may run apart by this fraction: an owner counts a lease as ending
-/// later than the borrower does.
+/// Maximum relative drift between the clocks of two dispatchers. The owner extends a lease by this
+/// fraction, so that it ends there later than at the borrower.
 constexpr double kDrift = 0.1;
 
-/// A lease's length in overload windows: a longer lease ties up budget longer when a message is
-/// lost.
+/// A lease's length in overload windows. A longer lease would block budget for longer when a
+/// message is lost.
 constexpr double kLeaseLengthInWindows = 0.25;
 
-/// The lease that this dispatcher holds of another one's part: one at a time.
+/// The lease that this dispatcher holds on another dispatcher's part; one at a time.
 struct BorrowedLease {
   std::uint32_t number = 0;  ///< of the last request
-  int owner = -1;            ///< to whom that went; -1: none yet
+  int owner = -1;            ///< dispatcher that received the last request; -1: none yet
   scheduler::Time requested_at = -1e18;
   scheduler::Time until = 0;       ///< 0: no lease is held
-  bool is_awaiting_reply = false;  ///< of the owner
+  bool is_awaiting_reply = false;  ///< from the owner
 };
 
-/// The last lease that this dispatcher granted to another one of its own part.
+/// The last lease on its own part that this dispatcher granted to one other dispatcher.
 struct GrantedLease {
   std::uint32_t requester_incarnation = 0;
-  std::uint32_t number = 0;  ///< of the request; they only rise within an incarnation
+  std::uint32_t number = 0;  ///< of the request; increases within an incarnation
   double work_ms = 0;
-  scheduler::Time until = 0;  ///< by the owner's clock, with kDrift
+  scheduler::Time until = 0;  ///< by the owner's clock, including kDrift
   bool is_returned = true;
 };
 
-/// All that is known of leases at one endpoint.
+/// The state of all leases at one endpoint.
 struct EndpointLease {
   scheduler::EndpointEntry entry;
-  std::vector<int> order;               ///< of all dispatchers, as of order_at()
-  int place = 0;                        ///< of this dispatcher in it
+  std::vector<int> order;               ///< all dispatchers, as returned by order_at()
+  int place = 0;                        ///< index of this dispatcher in `order`
   bool in_subset = false;               ///< this dispatcher may send there
-  double last_notified_fraction = -1;   ///< the Dispatcher was notified of; -1: of none
-  BorrowedLease borrowed;               ///< changed by SlowStartBorrower alone
-  std::map<int, GrantedLease> granted;  ///< by dispatcher; changed by SlowStartOwner alone
+  double last_notified_fraction = -1;   ///< last fraction sent to the Dispatcher; -1: none
+  BorrowedLease borrowed;               ///< changed only by SlowStartBorrower
+  std::map<int, GrantedLease> granted;  ///< by dispatcher; changed only by SlowStartOwner
 };
 
 /// Counters of both sides since the start.
@@ -55,18 +55,18 @@
   std::uint64_t obtained = 0;
   std::uint64_t granted = 0;
   std::uint64_t denied = 0;
-  std::uint64_t returned = 0;  ///< leases granted here of which a part was returned
-  std::uint64_t late = 0;      ///< grants that arrived after their end
+  std::uint64_t returned = 0;  ///< leases granted here whose rest was returned
+  std::uint64_t late = 0;      ///< grants that arrived after the lease's end
   SlowStartStatistics& operator+=(const SlowStartStatistics& other);
 };
 
-/// Where an event's consequences go.
+/// Destinations for the results of an event.
 struct SlowStartOutput {
   std::vector<scheduler::Event>& notifications;  ///< for the Dispatcher
   scheduler::Actions& actions;                   ///< messages to other dispatchers
 };
 
-/// Work in whole milliseconds, as messages have it.
+/// Rounds work down to whole milliseconds, the unit in messages.
 inline std::uint32_t whole_ms(double work_ms) {
   constexpr double kMost = 1e9;
   return static_cast<std::uint32_t>(std::clamp(std::floor(work_ms), 0.0, kMost));
--- a/logic/fleet/slow_start_leases.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -12,11 +12,11 @@
 using scheduler::EndpointEntry;
 using scheduler::Event;
 
-// The last part of its length in which a lease is given back.
+// A lease is returned when less than this fraction of its length remains.
 constexpr double kReturnBeforeEnd = 0.25;
 
-// Unix milliseconds of the start, cut to 32 bits: greater than that of a former incarnation within
-// the weeks after which it comes round.
+// Unix milliseconds of the start, truncated to 32 bits: greater than those of earlier incarnations
+// until the value wraps around, after weeks.
 std::uint32_t incarnation_of(scheduler::Time started_at) {
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, started_at)));
 }
@@ -65,7 +65,7 @@
     if (apply_list(*list))
       rebuild_leases();
     for (auto& [id, lease] : leases_)
-      lease.entry = endpoints_.at(id);  // it may have begun to drain
+      lease.entry = endpoints_.at(id);  // its state may have changed, for example to draining
   } else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event)) {
     if (members->is_alive.size() == is_alive_.size())
       is_alive_ = members->is_alive;
@@ -74,7 +74,7 @@
   } else if (const auto* sibling = std::get_if<scheduler::SiblingProcess>(&event)) {
     has_sibling_process_ = sibling->is_present;
   } else if (std::holds_alternative<scheduler::LearnedState>(event)) {
-    // The learned state has what the old process sent, but not what it granted, until now.
+    // The learned state includes what the old process sent until now, but not what it granted.
     started_at_ = peers_ ? now_ : -1e18;
   }
   if (leases_.empty())
@@ -100,7 +100,7 @@
   rebuild_leases();
 }
 
-// True: an endpoint was added or removed, or started again.
+// Returns true if an endpoint was added, removed or restarted.
 bool SlowStartLeases::apply_list(const scheduler::EndpointList& list) {
   if (list.scope == scheduler::ListScope::failed)
     return false;
@@ -150,8 +150,8 @@
   return entry.started_at > 0 && now_ < entry.started_at + slow_start_ms_;
 }
 
-// Until all is out of the window that a former incarnation may have sent, or granted to others who
-// sent it at the lease's end.
+// Whether work may still be in the overload window that an earlier incarnation sent, or that it
+// granted to a borrower that sent it at the lease's end.
 bool SlowStartLeases::must_wait(const EndpointLease& lease) const {
   double granted_ms = peers_ ? (1 + kDrift) * length_ms_ : 0;
   return lease.entry.started_at <= started_at_ && now_ < started_at_ + window_ms_ + granted_ms;
@@ -187,7 +187,7 @@
     notifications.emplace_back(std::move(shares));
 }
 
-// Leases that are about to end, and endpoints that have warmed up.
+// Returns leases that are about to end and removes endpoints that have warmed up.
 void SlowStartLeases::expire(const Dispatcher& dispatcher, SlowStartOutput out) {
   if (now_ < next_expiry_)
     return;
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -1,12 +1,13 @@
-/// Who may send how much to an endpoint that is warming up (rule 4): leased, never inferred. Pure.
+/// Division of the slow-start budget of an endpoint that is warming up among the dispatchers (rule
+/// 4): by fixed parts and explicit leases, never by inference from other dispatchers' load. Pure.
 ///
-/// Each incarnation of an endpoint orders all dispatchers of the configuration by a hash that all
-/// share. The first few own fixed parts of what all together may send it within a window; the parts
-/// add up to the whole whatever anyone believes or receives. An owner may lease some of its own
-/// part to another dispatcher for a while.
+/// For each incarnation of an endpoint, a common hash orders all dispatchers of the configuration.
+/// The first few own fixed parts of the work that all dispatchers together may send within a
+/// window. The parts add up to the whole budget regardless of membership views and lost messages.
+/// An owner may lease some of its own part to another dispatcher for a limited time.
 ///
-/// A dispatcher that starts has no part in endpoints that started before it, until all that a
-/// former incarnation of it may have sent or granted is out of the window.
+/// A dispatcher that starts has no part in endpoints that started before it, until everything that
+/// an earlier incarnation of it may have sent or granted is out of the window.
 #pragma once
 
 #include <cstdint>
@@ -23,29 +24,29 @@
 
 namespace keelflow::fleet {
 
-/// Stands beside one Dispatcher: notifies it of its parts and of leases, and requests and grants
-/// leases for it. Owns the leases of all endpoints that are warming up; the two sides of a lease
-/// are SlowStartOwner's and SlowStartBorrower's.
+/// Companion of one Dispatcher: notifies it of its parts and leases, and requests and grants leases
+/// for it. Owns the leases of all endpoints that are warming up; SlowStartOwner and
+/// SlowStartBorrower implement the two sides of a lease.
 class SlowStartLeases {
  public:
   using EndpointLease = fleet::EndpointLease;
   using Statistics = SlowStartStatistics;
 
-  /// `started_at`: when this process did, on the Dispatcher's clock.
+  /// `started_at`: start time of this process on the Dispatcher's clock.
   SlowStartLeases(const scheduler::Settings& settings, scheduler::Time started_at);
 
-  /// For each event that the Dispatcher was given, right after it. `notifications`: the events that
-  /// it is to be given then; `out`: messages to send.
+  /// To be called right after each event that the Dispatcher has handled. Appends to
+  /// `notifications` the events to pass to the Dispatcher next, and to `out` the messages to send.
   void after(scheduler::Time now, const scheduler::Event& event,
              const scheduler::Dispatcher& dispatcher, std::vector<scheduler::Event>& notifications,
              scheduler::Actions& out);
 
-  /// Off: from now on nothing is requested and nothing granted.
+  /// Enables or disables requesting and granting leases.
   void grants(bool on) { is_enabled_ = on; }
 
   const std::map<scheduler::EndpointId, EndpointLease>& leases() const { return leases_; }
   Statistics statistics() const;
-  /// Of a lease, in ms.
+  /// Length of a lease in ms.
   double length() const { return length_ms_; }
 
  private:
@@ -62,8 +63,8 @@
   bool is_warming_up(const scheduler::EndpointEntry& entry) const;
   bool must_wait(const EndpointLease& lease) const;
   double fraction_of(const EndpointLease& lease) const;
-  /// When a lease that ends then is given back: a little earlier, as the owner learns nothing from
-  /// a return that arrives after the end.
+  /// When a lease that ends at `until` is returned: some time before its end, because a return that
+  /// arrives later does not help the owner.
   scheduler::Time return_time(scheduler::Time until) const;
   bool may_lease() const;
 
@@ -78,9 +79,10 @@
   double slow_start_ms_;
   double window_ms_;
   double length_ms_;
-  std::map<scheduler::EndpointId, scheduler::EndpointEntry> endpoints_;  ///< the list
-  std::map<scheduler::EndpointId, EndpointLease> leases_;                ///< those warming up
-  std::vector<bool> is_alive_;                                           ///< by dispatcher
+  std::map<scheduler::EndpointId, scheduler::EndpointEntry>
+      endpoints_;                                          ///< the current endpoint list
+  std::map<scheduler::EndpointId, EndpointLease> leases_;  ///< by endpoint that is warming up
+  std::vector<bool> is_alive_;                             ///< by dispatcher
   SlowStartOwner owner_;
   SlowStartBorrower borrower_;
 };
--- a/logic/fleet/slow_start_order.cpp
+++ b/logic/fleet/slow_start_order.cpp
@@ -8,14 +8,15 @@
 namespace keelflow::fleet {
 namespace {
 
-// Dispatchers that own parts. With fewer of them much of the budget lies at owners that have no use
-// for it; docs/design/fleet.md has what others gave.
+// Number of dispatchers that own parts. With fewer owners much of the budget belongs to owners
+// without traffic for it; docs/design/fleet.md compares other values.
 constexpr int kOwners = 8;
 
+// A dispatcher and its hash score, ordered by score.
 struct Scored {
   std::uint64_t score;
   int dispatcher;
-  auto operator<=>(const Scored&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm
+  auto operator<=>(const Scored&) const = default;  // NOLINT(modernize-use-nullptr): false positive
 };
 
 std::uint64_t seed_of(const scheduler::EndpointEntry& endpoint) {
--- a/logic/fleet/slow_start_order.h
+++ b/logic/fleet/slow_start_order.h
@@ -1,5 +1,5 @@
-/// The order of all dispatchers at one incarnation of an endpoint, by a hash that all share: the
-/// first few of it own the slow-start budget in even parts.
+/// The order of all dispatchers at one incarnation of an endpoint, by a hash common to all nodes.
+/// The first few dispatchers in it own equal parts of the slow-start budget.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,17 @@
 
 namespace keelflow::fleet {
 
-/// Tells one incarnation of an endpoint from the others in messages.
+/// A tag that identifies an incarnation of an endpoint in messages.
 std::uint32_t incarnation_tag_of(const scheduler::EndpointEntry& endpoint);
 
-/// All dispatchers' numbers, the owners first.
+/// Returns the numbers of all dispatchers in order; the owners come first.
 std::vector<int> order_at(const scheduler::EndpointEntry& endpoint, int dispatchers);
 
-/// How many dispatchers own a part.
+/// Number of dispatchers that own a part.
 int owner_count(int dispatchers);
 
-/// What the dispatcher at that place of the order owns of the budget: all add up to 1.
+/// Fraction of the budget that the dispatcher at that place in the order owns. All fractions add up
+/// to 1.
 double fraction_at(int place, int dispatchers);
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/slow_start_owner.cpp
+++ b/logic/fleet/slow_start_owner.cpp
@@ -3,10 +3,12 @@
 namespace keelflow::fleet {
 namespace {
 
-// The most that one lease takes of what the owner has left: something stays for the next request.
+// Maximum fraction of the owner's remaining budget for one lease, so that some is left for the next
+// request.
 constexpr double kMostOfBudget = 0.5;
 
-// A new incarnation of the requester numbers from 1 again, and is newer.
+// Request numbers start again at 1 in each incarnation of the requester. A later incarnation is
+// newer whatever the number.
 bool is_newer(const SlowStartMessage& request, const GrantedLease& last) {
   if (request.requester_incarnation != last.requester_incarnation)
     return request.requester_incarnation > last.requester_incarnation;
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -10,24 +10,27 @@
 namespace keelflow::fleet {
 namespace {
 
-// Endpoints in each subset.
+// Desired number of endpoints in each subset.
 constexpr double kDesiredSize = 4;
-// The same where dispatchers share load: docs/operators/fleet.md has the trials of others.
+// The same for dispatchers that share load; docs/operators/fleet.md compares other values.
 constexpr double kDesiredSizeSharingLoad = 6;
-// Dispatchers from which on they share load.
+// Minimum number of dispatchers for sharing load.
 constexpr int kLeastSharingDispatchers = 16;
-// Endpoints of its subset that a dispatcher takes wherever its best pairs fall.
+// Number of endpoints that a dispatcher gets by score alone in the first pass.
 constexpr int kUnboundedPicks = 2;
-// By how much an endpoint's dispatchers may lie under and over the mean. Narrower bounds move more
-// at each change, and bounds on whole or half numbers, where the mean often lies, would all jump
-// with one dispatcher more or less.
+// Allowed deviation of an endpoint's number of dispatchers below and above the mean. Narrower
+// bounds move more pairs at each change. The mean is often a whole or half number; offsets that are
+// whole or half numbers would make many endpoints change at once when one dispatcher is added or
+// removed.
 constexpr double kUnderMean = 1.25;
 constexpr double kOverMean = 1.75;
-// A mean below this takes bounds narrower by one: of a few, one more or less is much.
+// For a mean below this the bounds are narrower by one, because a difference of one dispatcher
+// matters more among few.
 constexpr double kSmallMean = 4;
-// As many times the pairs that are taken are sorted, the best ones.
+// Ratio of candidate pairs, which are sorted, to the pairs that are needed.
 constexpr double kCandidateFactor = 5;
 
+// A dispatcher and an endpoint with their hash score.
 struct Pair {
   std::uint64_t score = 0;
   std::uint32_t dispatcher = 0;  // place in the list
@@ -39,8 +42,8 @@
   }
 };
 
-// The highest score of a candidate: such that about kCandidateFactor times the pairs needed lie
-// below.
+// Returns the maximum score of a candidate pair, chosen so that there are about kCandidateFactor
+// times as many candidates as needed pairs.
 std::uint64_t candidate_bound(std::size_t endpoints, int subset_size) {
   double fraction =
       std::min(1.0, kCandidateFactor * (subset_size + 2.0) / static_cast<double>(endpoints));
@@ -49,7 +52,7 @@
   return static_cast<std::uint64_t>(fraction * 0x1p64);
 }
 
-// The best pairs, in order: they are enough, and sorting all would cost most of the time.
+// Returns the candidate pairs, sorted by score. Sorting all pairs would dominate the run time.
 std::vector<Pair> best_pairs(const std::vector<scheduler::EndpointId>& endpoints,
                              const std::vector<int>& dispatchers, int subset_size) {
   std::uint64_t bound = candidate_bound(endpoints.size(), subset_size);
@@ -183,7 +186,8 @@
   for (int d = 0; d < dispatchers_; ++d)
     if (is_alive_[static_cast<std::size_t>(d)] || d == self_)
       alive.push_back(d);
-  // By the number of all, dead ones too: whoever is left keeps as many as before.
+  // Uses the number of all dispatchers, including dead ones, so that the subsets of the others keep
+  // their size.
   int subset_size = endpoints_per_dispatcher(desired_subset_size(peers_, dispatchers_),
                                              dispatchers_, static_cast<int>(endpoints.size()));
   std::vector<std::vector<int>> assigned = subsets(endpoints, alive, subset_size);
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -1,11 +1,12 @@
-/// Subsetting: which endpoints each dispatcher sends to, from the members and the endpoint list
-/// alone, so the same at every dispatcher that sees the same. Pure.
+/// Subsetting: which endpoints each dispatcher sends to. The result depends only on the members and
+/// the endpoint list, so that dispatchers with the same view compute the same subsets. Pure.
 ///
-/// Every pair of a dispatcher and an endpoint has a score by a hash that all share. The best pairs
-/// are taken, each dispatcher with exactly as many as the others, in several passes: a few for each
-/// wherever they fall; then only at endpoints that have fewer than the mean; then what is left, at
-/// endpoints that have at most one too many. Without the first pass a change moves nearly
-/// everything, without the second some endpoints stay short: docs/design/fleet.md has the figures.
+/// Every pair of a dispatcher and an endpoint has a score from a hash common to all nodes. The
+/// pairs with the lowest scores are taken in several passes, the same number for each dispatcher:
+/// first a few for each dispatcher; then only at endpoints with fewer dispatchers than the mean;
+/// then the rest, with a limit above the mean and finally without one. Without the first pass a
+/// change moves nearly all pairs; without the second some endpoints have too few dispatchers.
+/// docs/design/fleet.md has the figures.
 #pragma once
 
 #include <optional>
@@ -16,33 +17,33 @@
 
 namespace keelflow::fleet {
 
-/// By place in `endpoints`: the numbers of the dispatchers that have it in their subset, in rising
-/// order. `subset_size`: endpoints for each dispatcher.
+/// Returns, by index in `endpoints`, the numbers of the dispatchers that have the endpoint in their
+/// subset, in ascending order. `subset_size`: number of endpoints for each dispatcher.
 std::vector<std::vector<int>> subsets(const std::vector<scheduler::EndpointId>& endpoints,
                                       const std::vector<int>& dispatchers, int subset_size);
 
-/// Whether dispatchers that have an endpoint in common send one another load updates on it: where
-/// messages are allowed and there are too many dispatchers for each to know it alone.
+/// Whether dispatchers with a common endpoint send one another load updates about it: if messages
+/// between them are allowed and there are so many dispatchers that none knows the load by itself.
 bool shares_load(bool peers, int dispatchers);
 
-/// Endpoints that each dispatcher has in its subset at least, if there are enough.
+/// Minimum number of endpoints in the subset of each dispatcher, if there are enough.
 double desired_subset_size(bool peers, int dispatchers);
 
-/// Dispatchers that have one endpoint in their subsets, on average.
+/// Number of dispatchers that have an endpoint in their subset, on average.
 int dispatchers_per_endpoint(double desired_size, int dispatchers, int endpoints);
 
-/// Endpoints in the subset of each dispatcher: so that an endpoint is in one subset more than would
-/// give everyone the desired size.
+/// Number of endpoints in the subset of each dispatcher, chosen so that each endpoint is in one
+/// subset more than the desired size requires.
 int endpoints_per_dispatcher(double desired_size, int dispatchers, int endpoints);
 
-/// Notifies one Dispatcher of the subsets of all endpoints that it knows, whenever they change.
-/// Owns the last notification.
+/// Notifies one Dispatcher of the subsets of all endpoints on its list, whenever they change. Owns
+/// the last notification.
 class Subsets {
  public:
   explicit Subsets(const scheduler::Settings& settings);
 
-  /// For each event that the Dispatcher was given, right after it: the event that it is to be given
-  /// then, if the subsets changed.
+  /// To be called right after each event that the Dispatcher has handled. Returns the event to pass
+  /// to the Dispatcher next if the subsets changed.
   std::optional<scheduler::SubsetChanged> after(const scheduler::Event& event);
   const scheduler::SubsetChanged& told() const { return last_notification_; }
 
