--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -10,10 +10,10 @@
 // Each update is piggybacked on kTransmissionFactor * log2(members + 1) messages, rounded up.
 constexpr double kTransmissionFactor = 3;
 // Number of members that receive an urgent update at once.
-constexpr int kFanout = 4;
+constexpr int kUrgentFanout = 4;
 // Token bucket for urgent gossip messages: its capacity and its refill rate.
-constexpr double kMostBudget = 24;
-constexpr double kBudgetPerMs = 0.04;
+constexpr double kMaxGossipBudget = 24;
+constexpr double kGossipBudgetPerMs = 0.04;
 
 void add_new(const std::vector<MemberUpdate>& added, std::vector<MemberUpdate>& updates) {
   for (const MemberUpdate& update : added)
@@ -24,7 +24,7 @@
 }  // namespace
 
 Dissemination::Dissemination(const MemberTable& members, MemberSampler& sampler, Time now)
-    : members_(members), sampler_(sampler), budget_(kMostBudget), budget_at_(now) {}
+    : members_(members), sampler_(sampler), budget_(kMaxGossipBudget), budget_at_(now) {}
 
 void Dissemination::enqueue(int member) {
   double transmissions = std::ceil(kTransmissionFactor * std::log2(members_.size() + 1));
@@ -33,9 +33,9 @@
 
 void Dissemination::enqueue_urgent(int member, Time now, MembershipOutput& out) {
   enqueue(member);
-  budget_ = std::min(kMostBudget, budget_ + (now - budget_at_) * kBudgetPerMs);
+  budget_ = std::min(kMaxGossipBudget, budget_ + (now - budget_at_) * kGossipBudgetPerMs);
   budget_at_ = now;
-  for (int i = 0; i < kFanout; ++i) {
+  for (int i = 0; i < kUrgentFanout; ++i) {
     if (budget_ < 1) {
       ++held_back_;
       return;
--- a/logic/fleet/local_health.h
+++ b/logic/fleet/local_health.h
@@ -5,22 +5,23 @@
 
 namespace keelflow::fleet {
 
-/// Score from 0 (healthy) to kWorst. A higher score extends the timeout of the node's probes.
+/// Score from 0 (healthy) to kMaxHealthScore. A higher score extends the timeout of the node's
+/// probes.
 class LocalHealth {
  public:
-  static constexpr int kWorst = 8;
+  static constexpr int kMaxHealthScore = 8;
 
-  void worsen(int by = 1) { score_ = std::min(kWorst, score_ + by); }
+  void worsen(int by = 1) { score_ = std::min(kMaxHealthScore, score_ + by); }
   void improve() { score_ = std::max(0, score_ - 1); }
   int score() const { return score_; }
   /// Multiplier for the timeout of a probe.
-  double timeout_factor() const { return 1 + score_ / kScoreThatDoubles; }
+  double timeout_factor() const { return 1 + score_ / kScoreDoublingTimeout; }
   /// Whether the node may send its own suspicions to other members.
-  bool may_accuse() const { return score_ < kSilentFrom; }
+  bool may_accuse() const { return score_ < kNoAccusationsFromScore; }
 
  private:
-  static constexpr double kScoreThatDoubles = 4;
-  static constexpr int kSilentFrom = 4;
+  static constexpr double kScoreDoublingTimeout = 4;
+  static constexpr int kNoAccusationsFromScore = 4;
 
   int score_ = 0;
 };
--- a/logic/fleet/member_sampler.h
+++ b/logic/fleet/member_sampler.h
@@ -22,9 +22,9 @@
   }
 
   /// Returns a random member that is not dead, not this node and not `excluded`, or -1 if
-  /// kMostDraws draws found none.
+  /// kMaxDraws draws found none.
   int alive_member_except(int excluded) {
-    for (int draw = 0; draw < kMostDraws; ++draw) {
+    for (int draw = 0; draw < kMaxDraws; ++draw) {
       int member = static_cast<int>(uniform() * members_.size());
       if (members_.is_other(member) && member != excluded && members_.is_alive(member))
         return member;
@@ -33,7 +33,7 @@
   }
 
  private:
-  static constexpr int kMostDraws =
+  static constexpr int kMaxDraws =
       16;  // if all of them fail, nearly all members are dead or none is left
 
   const MemberTable& members_;
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -9,15 +9,15 @@
 
 // Number of accusers in addition to the first one that reduces the suspicion timeout to its
 // minimum. It equals the number of indirect probers.
-constexpr int kConfirmations = Probing::kIndirectProbers;
+constexpr int kMaxConfirmations = Probing::kIndirectProbers;
 // Expected number of members that probe a member at once when another member suspects it. Each
 // member decides at random.
-constexpr int kVerifiers = 5;
+constexpr int kExpectedVerifiers = 5;
 // A node that has received no datagram for more than this number of periods is isolated.
-constexpr Time kIsolatedAfter = 3;
+constexpr Time kIsolatedAfterPeriods = 3;
 // Milliseconds after a member's death before its datagrams without an incarnation (an earlier
 // release) count as its return.
-constexpr Time kReturnAfter = 1000;
+constexpr Time kReturnDelayMs = 1000;
 
 std::string name_of(int member) {
   return "n" + std::to_string(member);
@@ -56,7 +56,7 @@
 }
 
 bool Membership::is_isolated() const {
-  return now_ - last_received_at_ > kIsolatedAfter * settings_.period;
+  return now_ - last_received_at_ > kIsolatedAfterPeriods * settings_.period;
 }
 
 bool Membership::on_datagram(Time now, int from, std::string_view bytes, Output& out) {
@@ -79,7 +79,7 @@
 // death only its other datagrams show that it is back.
 bool Membership::has_older_release(const Member& member, std::uint32_t incarnation) const {
   return incarnation == 0 && member.state == MemberState::dead &&
-         member.last_membership_message_at < member.since && now_ > member.since + kReturnAfter;
+         member.last_membership_message_at < member.since && now_ > member.since + kReturnDelayMs;
 }
 
 // A suspected or dead member is notified on each membership message from it and refutes with a new
@@ -88,7 +88,7 @@
 // while other members do not. `incarnation` 0: the datagram was not a membership message.
 void Membership::on_sign_of_life(int from, std::uint32_t incarnation, Output& out) {
   if (is_isolated())
-    revert_conclusions(out);
+    revert_isolated_verdicts(out);
   last_received_at_ = now_;
   Member& member = members_.at(from);
   if (member.has_left && incarnation <= member.incarnation)
@@ -116,7 +116,7 @@
 
 // Reverts suspicions and deaths concluded while this node was isolated: a node that receives
 // nothing cannot judge the other members.
-void Membership::revert_conclusions(Output& out) {
+void Membership::revert_isolated_verdicts(Output& out) {
   for (int m = 0; m < members_.size(); ++m) {
     const Member& member = members_.at(m);
     if (members_.is_other(m) && !member.has_left && member.since >= last_received_at_ &&
@@ -186,7 +186,7 @@
   Member& member = members_.at(update.member);
   if (member.state == MemberState::alive)
     return suspect(update.member, update.reported_by, out);
-  if (member.state != MemberState::suspect || member.accusers.size() > kConfirmations)
+  if (member.state != MemberState::suspect || member.accusers.size() > kMaxConfirmations)
     return;
   if (member.accusers.insert(update.reported_by).second)
     dissemination_.enqueue_urgent(update.member, now_, out);
@@ -223,7 +223,7 @@
                is_own ? "no answer to probes" : "reported by " + name_of(accuser), out);
   if (!is_own || (!is_isolated() && health_.may_accuse()))
     dissemination_.enqueue_urgent(member, now_, out);
-  if (!is_own && sampler_.uniform() * members_.alive_count() < kVerifiers)
+  if (!is_own && sampler_.uniform() * members_.alive_count() < kExpectedVerifiers)
     probing_.start(member, now_);
 }
 
@@ -257,7 +257,7 @@
 
 // The timeout decreases with the number of independent accusers.
 Time Membership::suspicion_timeout(const Member& member) const {
-  int others = std::min(kConfirmations, members_.alive_count() - 2);
+  int others = std::min(kMaxConfirmations, members_.alive_count() - 2);
   if (others <= 0)
     return settings_.most_suspicion;
   double confirmations = std::min<double>(others, static_cast<double>(member.accusers.size()) - 1);
--- a/logic/fleet/probing.cpp
+++ b/logic/fleet/probing.cpp
@@ -10,18 +10,18 @@
 // Messages sent per probe. With 30 % loss in each direction, 7 of 100 probes still fail.
 constexpr int kAttempts = 4;
 // Periods between the messages of one probe.
-constexpr double kAttemptGap = 0.32;
+constexpr double kAttemptGapPeriods = 0.32;
 // Periods after which other members are asked for an indirect probe.
-constexpr double kIndirectAfter = 0.6;
+constexpr double kIndirectAfterPeriods = 0.6;
 // Periods after which a probe without an answer has failed.
-constexpr double kVerdictAfter = 1.8;
+constexpr double kProbeTimeoutPeriods = 1.8;
 // In every fourth round the member is probed even if a datagram from it arrived recently.
 constexpr std::int64_t kUnconditionalRounds = 4;
 // Milliseconds between probes of dead members.
 constexpr Time kDeadProbeMs = 1000;
 // Dead members probed at once after one has returned, since several usually return together.
-constexpr int kReturnBurst = 8;
-constexpr std::size_t kMostIndirectProbes = 16;
+constexpr int kDeadProbesAfterReturn = 8;
+constexpr std::size_t kMaxIndirectProbes = 16;
 // Fractional part of the golden ratio: its multiples modulo 1 are evenly spread.
 constexpr double kGoldenFraction = 0.6180339887;
 
@@ -63,7 +63,7 @@
 void Probing::start(int member, Time now) {
   if (probes_.contains(member))
     return;
-  probes_[member] = {.begun = now, .next = now, .attempts = 0, .number = ++last_number_};
+  probes_[member] = {.started_at = now, .next = now, .attempts = 0, .number = ++last_number_};
 }
 
 void Probing::stop_all() {
@@ -85,7 +85,7 @@
 }
 
 void Probing::on_indirect_probe(int requester, int subject, std::uint16_t number, Time now) {
-  if (!members_.is_other(subject) || indirect_probes_.size() >= kMostIndirectProbes)
+  if (!members_.is_other(subject) || indirect_probes_.size() >= kMaxIndirectProbes)
     return;
   indirect_probes_.push_back({.requester = requester,
                               .subject = subject,
@@ -108,8 +108,8 @@
 
 Probing::Probe* Probing::find(int member, std::uint16_t number) {
   auto found = probes_.find(member);
-  bool is_it = found != probes_.end() && found->second.number == number;
-  return is_it ? &found->second : nullptr;
+  bool is_match = found != probes_.end() && found->second.number == number;
+  return is_match ? &found->second : nullptr;
 }
 
 void Probing::begin_round(Time now, MembershipOutput& out) {
@@ -120,9 +120,9 @@
   int member = member_of_round(round);
   // A member from which a datagram arrived recently need not be probed. But updates are piggybacked
   // on probes and acks, so they would not spread if only load updates were exchanged.
-  bool is_spared = is_recently_received(member, now) && !dissemination_.has_queued() &&
-                   round % kUnconditionalRounds != 0;
-  if (members_.is_other(member) && members_.is_alive(member) && !is_spared)
+  bool can_skip_probe = is_recently_received(member, now) && !dissemination_.has_queued() &&
+                        round % kUnconditionalRounds != 0;
+  if (members_.is_other(member) && members_.is_alive(member) && !can_skip_probe)
     start(member, now);
   probe_suspects(out);
 }
@@ -153,32 +153,34 @@
   }
 }
 
-Time Probing::verdict_time(const Probe& probe) const {
-  return probe.begun + kVerdictAfter * period_ * health_.timeout_factor();
+Time Probing::probe_deadline(const Probe& probe) const {
+  return probe.started_at + kProbeTimeoutPeriods * period_ * health_.timeout_factor();
 }
 
 // Returns true when the probe has ended.
 bool Probing::advance(int member, Probe& probe, Time now, MembershipOutput& out) {
-  Time verdict = verdict_time(probe);
-  if (now >= verdict) {
+  Time deadline = probe_deadline(probe);
+  if (now >= deadline) {
     fail(member, probe, out);
     return true;
   }
   send_due_messages(member, probe, now, out);
-  probe.next = verdict;
+  probe.next = deadline;
   if (probe.attempts < kAttempts)
-    probe.next = std::min(probe.next, probe.begun + probe.attempts * kAttemptGap * period_);
+    probe.next =
+        std::min(probe.next, probe.started_at + probe.attempts * kAttemptGapPeriods * period_);
   if (!probe.is_indirect)
-    probe.next = std::min(probe.next, probe.begun + kIndirectAfter * period_);
+    probe.next = std::min(probe.next, probe.started_at + kIndirectAfterPeriods * period_);
   return false;
 }
 
 void Probing::send_due_messages(int member, Probe& probe, Time now, MembershipOutput& out) {
-  if (probe.attempts < kAttempts && now >= probe.begun + probe.attempts * kAttemptGap * period_) {
+  if (probe.attempts < kAttempts &&
+      now >= probe.started_at + probe.attempts * kAttemptGapPeriods * period_) {
     ++probe.attempts;
     dissemination_.send_probe(member, probe.number, out);
   }
-  if (probe.is_indirect || now < probe.begun + kIndirectAfter * period_)
+  if (probe.is_indirect || now < probe.started_at + kIndirectAfterPeriods * period_)
     return;
   probe.is_indirect = true;
   for (int i = 0; i < kIndirectProbers; ++i) {
@@ -202,7 +204,7 @@
 }
 
 Time Probing::indirect_timeout() const {
-  return kVerdictAfter * period_ / 2;
+  return kProbeTimeoutPeriods * period_ / 2;
 }
 
 bool Probing::is_answered(const IndirectProbe& probe) const {
@@ -226,7 +228,7 @@
     }
     if (now >= probe.next) {
       dissemination_.send_probe(probe.subject, ++last_number_, out);
-      probe.next = now + kAttemptGap * period_;
+      probe.next = now + kAttemptGapPeriods * period_;
     }
     ++it;
   }
@@ -235,7 +237,7 @@
 void Probing::tick_dead(Time now, MembershipOutput& out) {
   if (now < dead_due_)
     return;
-  int left = std::exchange(has_returned_, false) ? kReturnBurst : 1;
+  int left = std::exchange(has_returned_, false) ? kDeadProbesAfterReturn : 1;
   for (int i = 0; i < members_.size() && left > 0; ++i) {
     dead_cursor_ = (dead_cursor_ + 1) % members_.size();
     if (!members_.is_other(dead_cursor_) || members_.is_alive(dead_cursor_))
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -51,7 +51,7 @@
  private:
   /// A probe in progress of one member.
   struct Probe {
-    Time begun = 0;
+    Time started_at = 0;
     Time next = 0;     ///< when advance() has work
     int attempts = 0;  ///< messages sent
     std::uint16_t number = 0;
@@ -76,7 +76,7 @@
   void fail(int member, const Probe& probe, MembershipOutput& out);
   void advance_indirect(Time now, MembershipOutput& out);
   Probe* find(int member, std::uint16_t number);
-  Time verdict_time(const Probe& probe) const;
+  Time probe_deadline(const Probe& probe) const;
   Time indirect_timeout() const;
   bool is_answered(const IndirectProbe& probe) const;
 
@@ -92,7 +92,7 @@
   bool has_returned_ = false;  ///< since the last probe of dead members
   std::uint16_t last_number_ = 0;
   std::map<int, Probe> probes_;                 ///< by member
-  std::vector<IndirectProbe> indirect_probes_;  ///< kMostIndirectProbes at most
+  std::vector<IndirectProbe> indirect_probes_;  ///< kMaxIndirectProbes at most
 };
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/slow_start_borrower.cpp
+++ b/logic/fleet/slow_start_borrower.cpp
@@ -11,7 +11,7 @@
 constexpr double kUnresponsiveMs = 1000;
 // Minimum work to request, as a multiple of a typical request's work, so that the lease also covers
 // the next request.
-constexpr double kRequestedTypicals = 2;
+constexpr double kMinRequestedTypicals = 2;
 // Lease requests cycle through the owners by request number. The number is reduced modulo this
 // value first, because the sum is an int.
 constexpr int kNumberCycle = 64;
@@ -63,7 +63,7 @@
   ++statistics_.requested;
   double missing_ms = std::max(1.0, budget.typical - std::max(0.0, budget.own));
   SlowStartMessage request = message_of(SlowStartMessage::Kind::request, lease);
-  request.work_ms = whole_ms(std::max(missing_ms, kRequestedTypicals * budget.typical));
+  request.work_ms = whole_ms(std::max(missing_ms, kMinRequestedTypicals * budget.typical));
   request.least_work_ms = whole_ms(std::ceil(missing_ms));
   out.actions.emplace_back(scheduler::SendPeerMessage{owner, encode(request)});
 }
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -14,7 +14,7 @@
 
 /// Maximum relative drift between the clocks of two dispatchers. The owner extends a lease by this
 /// fraction, so that it ends there later than at the borrower.
-constexpr double kDrift = 0.1;
+constexpr double kMaxClockDrift = 0.1;
 
 /// A lease's length in overload windows. A longer lease would block budget for longer when a
 /// message is lost.
@@ -34,7 +34,7 @@
   std::uint32_t requester_incarnation = 0;
   std::uint32_t number = 0;  ///< of the request; increases within an incarnation
   double work_ms = 0;
-  scheduler::Time until = 0;  ///< by the owner's clock, including kDrift
+  scheduler::Time until = 0;  ///< by the owner's clock, including kMaxClockDrift
   bool is_returned = true;
 };
 
@@ -68,8 +68,8 @@
 
 /// Rounds work down to whole milliseconds, the unit in messages.
 inline std::uint32_t whole_ms(double work_ms) {
-  constexpr double kMost = 1e9;
-  return static_cast<std::uint32_t>(std::clamp(std::floor(work_ms), 0.0, kMost));
+  constexpr double kMaxWorkMs = 1e9;
+  return static_cast<std::uint32_t>(std::clamp(std::floor(work_ms), 0.0, kMaxWorkMs));
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/slow_start_leases.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -13,7 +13,7 @@
 using scheduler::Event;
 
 // A lease is returned when less than this fraction of its length remains.
-constexpr double kReturnBeforeEnd = 0.25;
+constexpr double kReturnBeforeEndFraction = 0.25;
 
 // Unix milliseconds of the start, truncated to 32 bits: greater than those of earlier incarnations
 // until the value wraps around, after weeks.
@@ -48,7 +48,7 @@
       started_at_(started_at),
       slow_start_ms_(settings.slow_start_ms),
       window_ms_(settings.overload_window_ms),
-      length_ms_(kLeaseLengthInWindows * settings.overload_window_ms),
+      lease_length_ms_(kLeaseLengthInWindows * settings.overload_window_ms),
       is_alive_(static_cast<std::size_t>(dispatchers_), true),
       borrower_(self_, dispatchers_, incarnation_of(started_at)) {}
 
@@ -94,7 +94,7 @@
   peers_ = settings.peers;
   slow_start_ms_ = settings.slow_start_ms;
   window_ms_ = settings.overload_window_ms;
-  length_ms_ = kLeaseLengthInWindows * settings.overload_window_ms;
+  lease_length_ms_ = kLeaseLengthInWindows * settings.overload_window_ms;
   is_alive_.assign(static_cast<std::size_t>(dispatchers_), true);
   borrower_.reset(self_, dispatchers_);
   rebuild_leases();
@@ -152,17 +152,17 @@
 
 // Whether work may still be in the overload window that an earlier incarnation sent, or that it
 // granted to a borrower that sent it at the lease's end.
-bool SlowStartLeases::must_wait(const EndpointLease& lease) const {
-  double granted_ms = peers_ ? (1 + kDrift) * length_ms_ : 0;
+bool SlowStartLeases::must_wait_for_earlier_incarnation(const EndpointLease& lease) const {
+  double granted_ms = peers_ ? (1 + kMaxClockDrift) * lease_length_ms_ : 0;
   return lease.entry.started_at <= started_at_ && now_ < started_at_ + window_ms_ + granted_ms;
 }
 
 double SlowStartLeases::fraction_of(const EndpointLease& lease) const {
-  return must_wait(lease) ? 0 : fraction_at(lease.place, dispatchers_);
+  return must_wait_for_earlier_incarnation(lease) ? 0 : fraction_at(lease.place, dispatchers_);
 }
 
 scheduler::Time SlowStartLeases::return_time(scheduler::Time until) const {
-  return until - length_ms_ * kReturnBeforeEnd;
+  return until - lease_length_ms_ * kReturnBeforeEndFraction;
 }
 
 bool SlowStartLeases::may_lease() const {
@@ -191,7 +191,7 @@
 void SlowStartLeases::expire(const Dispatcher& dispatcher, SlowStartOutput out) {
   if (now_ < next_expiry_)
     return;
-  next_expiry_ = now_ + length_ms_;
+  next_expiry_ = now_ + lease_length_ms_;
   for (auto it = leases_.begin(); it != leases_.end();) {
     EndpointLease& lease = it->second;
     if (now_ >= lease.entry.started_at + slow_start_ms_) {
@@ -199,7 +199,8 @@
       continue;
     }
     const BorrowedLease& borrowed = lease.borrowed;
-    if (borrowed.until > now_ && borrowed.until - now_ < length_ms_ * kReturnBeforeEnd)
+    if (borrowed.until > now_ &&
+        borrowed.until - now_ < lease_length_ms_ * kReturnBeforeEndFraction)
       borrower_.give_back(lease, dispatcher.slow_start_budget(it->first, now_).granted, out);
     if (borrowed.until > now_)
       next_expiry_ = std::min(next_expiry_, return_time(borrowed.until));
@@ -231,13 +232,13 @@
   switch (decoded->kind) {
     case SlowStartMessage::Kind::request:
       if (may_lease() && fraction_of(lease) > 0)
-        owner_.on_request(now_, length_ms_, message.peer, *decoded,
+        owner_.on_request(now_, lease_length_ms_, message.peer, *decoded,
                           dispatcher.slow_start_budget(decoded->endpoint, now_).own, lease, out);
       return;
     case SlowStartMessage::Kind::returned:
       return owner_.on_return(message.peer, *decoded, lease, out);
     case SlowStartMessage::Kind::grant:
-      if (borrower_.on_grant(now_, length_ms_, message.peer, *decoded, lease, out))
+      if (borrower_.on_grant(now_, lease_length_ms_, message.peer, *decoded, lease, out))
         next_expiry_ = std::min(next_expiry_, return_time(lease.borrowed.until));
       return;
   }
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -42,12 +42,12 @@
              scheduler::Actions& out);
 
   /// Enables or disables requesting and granting leases.
-  void grants(bool on) { is_enabled_ = on; }
+  void set_leasing_enabled(bool on) { is_enabled_ = on; }
 
   const std::map<scheduler::EndpointId, EndpointLease>& leases() const { return leases_; }
   Statistics statistics() const;
   /// Length of a lease in ms.
-  double length() const { return length_ms_; }
+  double lease_length_ms() const { return lease_length_ms_; }
 
  private:
   void apply_settings(const scheduler::Settings& settings);
@@ -61,7 +61,7 @@
 
   int subset_dispatchers() const;
   bool is_warming_up(const scheduler::EndpointEntry& entry) const;
-  bool must_wait(const EndpointLease& lease) const;
+  bool must_wait_for_earlier_incarnation(const EndpointLease& lease) const;
   double fraction_of(const EndpointLease& lease) const;
   /// When a lease that ends at `until` is returned: some time before its end, because a return that
   /// arrives later does not help the owner.
@@ -78,7 +78,7 @@
   scheduler::Time next_expiry_ = 0;  ///< expire() has nothing to do before it
   double slow_start_ms_;
   double window_ms_;
-  double length_ms_;
+  double lease_length_ms_;
   std::map<scheduler::EndpointId, scheduler::EndpointEntry>
       endpoints_;                                          ///< the current endpoint list
   std::map<scheduler::EndpointId, EndpointLease> leases_;  ///< by endpoint that is warming up
--- a/logic/fleet/slow_start_owner.cpp
+++ b/logic/fleet/slow_start_owner.cpp
@@ -5,7 +5,7 @@
 
 // Maximum fraction of the owner's remaining budget for one lease, so that some is left for the next
 // request.
-constexpr double kMostOfBudget = 0.5;
+constexpr double kMaxBudgetFraction = 0.5;
 
 // Request numbers start again at 1 in each incarnation of the requester. A later incarnation is
 // newer whatever the number.
@@ -23,7 +23,7 @@
   GrantedLease& last = lease.granted[requester];
   if (!is_newer(request, last))
     return;
-  std::uint32_t work_ms = std::min(request.work_ms, whole_ms(own_budget_ms * kMostOfBudget));
+  std::uint32_t work_ms = std::min(request.work_ms, whole_ms(own_budget_ms * kMaxBudgetFraction));
   if (work_ms < request.least_work_ms || work_ms == 0) {
     ++statistics_.denied;
     return;
@@ -31,7 +31,7 @@
   last = {.requester_incarnation = request.requester_incarnation,
           .number = request.number,
           .work_ms = static_cast<double>(work_ms),
-          .until = now + (1 + kDrift) * lease_length_ms,
+          .until = now + (1 + kMaxClockDrift) * lease_length_ms,
           .is_returned = false};
   ++statistics_.granted;
   out.notifications.emplace_back(scheduler::SlowStartGrant{
--- a/logic/fleet/slow_start_owner.h
+++ b/logic/fleet/slow_start_owner.h
@@ -2,8 +2,8 @@
 /// unused rest.
 ///
 /// The owner counts leased work as sent at the lease's end by its own clock. As long as clocks
-/// drift by less than kDrift, that is later than the borrower's end. So a lost message wastes some
-/// of the budget but never leads to exceeding it.
+/// drift by less than kMaxClockDrift, that is later than the borrower's end. So a lost message
+/// wastes some of the budget but never leads to exceeding it.
 #pragma once
 
 #include "fleet/slow_start_lease.h"
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -45,7 +45,7 @@
   /// To be called right after each event that the Dispatcher has handled. Returns the event to pass
   /// to the Dispatcher next if the subsets changed.
   std::optional<scheduler::SubsetChanged> after(const scheduler::Event& event);
-  const scheduler::SubsetChanged& told() const { return last_notification_; }
+  const scheduler::SubsetChanged& last_notification() const { return last_notification_; }
 
  private:
   bool apply_list(const scheduler::EndpointList& list);
--- a/node/core/pool_dispatcher.h
+++ b/node/core/pool_dispatcher.h
@@ -33,7 +33,7 @@
   TimePoint earliest_timer(Duration tick) const { return last_timer_ + tick; }
   void on_timer(TimePoint now) { last_timer_ = now; }
 
-  void enable_leases(bool enabled) { leases_.grants(enabled); }
+  void enable_leases(bool enabled) { leases_.set_leasing_enabled(enabled); }
 
   const scheduler::Dispatcher& dispatcher() const { return dispatcher_; }
   const fleet::Subsets& subsets() const { return subsets_; }
--- a/node/core/pool_dispatchers.cpp
+++ b/node/core/pool_dispatchers.cpp
@@ -134,7 +134,7 @@
 void PoolDispatchers::for_each_subset_entry(
     const std::function<void(int pool, const scheduler::SubsetEntry&)>& visit) const {
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    for (const auto& entry : pools_[i]->subsets().told().endpoints)
+    for (const auto& entry : pools_[i]->subsets().last_notification().endpoints)
       visit(static_cast<int>(i), entry);
   }
 }
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -199,13 +199,13 @@
   EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob);
   p.receive(grant);
   EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob) << "a doubled grant is nothing new";
-  double length = p.borrower->bench.turns.length();
-  p.to(kStartedAt + 100 + length);
+  double lease_length_ms = p.borrower->bench.turns.lease_length_ms();
+  p.to(kStartedAt + 100 + lease_length_ms);
   EXPECT_FALSE(p.borrower->job()) << "its end has come";
-  p.to(kStartedAt + 100 + (1 + kDrift) * length + p.s.overload_window_ms - 1);
+  p.to(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms + p.s.overload_window_ms - 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before - work)
       << "it may have been used up to its end, and fills the window from there";
-  p.to(kStartedAt + 100 + (1 + kDrift) * length + p.s.overload_window_ms + 1);
+  p.to(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms + p.s.overload_window_ms + 1);
   EXPECT_DOUBLE_EQ(p.owner->room().own, before);
 }
 
@@ -213,7 +213,7 @@
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
-  p.to(kStartedAt + 100 + p.borrower->bench.turns.length());
+  p.to(kStartedAt + 100 + p.borrower->bench.turns.lease_length_ms());
   std::string grant =
       p.grant(ask);  // the request was on its way all the time; the owner cannot know
   ASSERT_FALSE(grant.empty());
@@ -230,7 +230,7 @@
   ASSERT_TRUE(p.borrower->job());
   double left = p.borrower->room().granted;
   ASSERT_GT(left, 0);
-  p.to(kStartedAt + 100 + 0.9 * p.borrower->bench.turns.length());
+  p.to(kStartedAt + 100 + 0.9 * p.borrower->bench.turns.lease_length_ms());
   p.borrower->bench.play(ClientDisconnected{});  // any event
   auto messages = p.borrower->messages();
   ASSERT_EQ(messages.size(), 1u);
@@ -246,7 +246,8 @@
   p.owner.emplace(p.s, p.order[0], kStartedAt + 3000, p.is_alive);
   EXPECT_FALSE(p.owner->job());
   EXPECT_TRUE(p.grant(p.ask()).empty());
-  double waits = p.s.overload_window_ms + (1 + kDrift) * p.owner->bench.turns.length();
+  double waits =
+      p.s.overload_window_ms + (1 + kMaxClockDrift) * p.owner->bench.turns.lease_length_ms();
   p.to(kStartedAt + 3000 + waits - 1);
   EXPECT_FALSE(p.owner->job());
   p.to(kStartedAt + 3000 + waits + 1);
@@ -270,7 +271,7 @@
     new_process.bench.now = kStartedAt + 2000 + s.overload_window_ms;
     new_process.job();
     EXPECT_EQ(new_process.job(), !peers_allowed);
-    new_process.bench.now += (1 + kDrift) * new_process.bench.turns.length() + 1;
+    new_process.bench.now += (1 + kMaxClockDrift) * new_process.bench.turns.lease_length_ms() + 1;
     new_process.job();
     EXPECT_TRUE(new_process.job());
   }
@@ -313,10 +314,10 @@
   Pair p;
   p.to(kStartedAt + 100);
   std::string ask = p.ask();
-  p.owner->bench.turns.grants(false);
+  p.owner->bench.turns.set_leasing_enabled(false);
   EXPECT_TRUE(p.grant(ask).empty());
   p.to(kStartedAt + 2000);
-  p.borrower->bench.turns.grants(false);
+  p.borrower->bench.turns.set_leasing_enabled(false);
   EXPECT_TRUE(p.ask().empty());
 }
 
--- a/tests/logic/slow_start_sides_test.cpp
+++ b/tests/logic/slow_start_sides_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(sent().kind, SlowStartMessage::Kind::grant);
   EXPECT_EQ(sent().work_ms, 300u);
   EXPECT_EQ(receiver(), 9);
-  EXPECT_DOUBLE_EQ(lease.granted.at(9).until, 100 + (1 + kDrift) * kLengthMs);
+  EXPECT_DOUBLE_EQ(lease.granted.at(9).until, 100 + (1 + kMaxClockDrift) * kLengthMs);
   owner.on_request(101, kLengthMs, 9, request(1, 1000), 600, lease, out);
   EXPECT_EQ(actions.size(), 1u) << "the same request again";
   owner.on_request(102, kLengthMs, 9, request(2, 1000, 400), 600, lease, out);
