--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -11,7 +11,7 @@
 constexpr double kTransmissionFactor = 3;
 // Number of members that receive an urgent update at once.
 constexpr int kUrgentFanout = 4;
-// Token bucket for urgent gossip messages: its capacity and its refill rate.
+// Token bucket for urgent gossip messages: its capacity, and its refill rate in messages per ms.
 constexpr double kMaxGossipBudget = 24;
 constexpr double kGossipBudgetPerMs = 0.04;
 
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -33,6 +33,7 @@
 /// suspicion and death. The caller sends the resulting messages and calls tick() at next().
 class Membership {
  public:
+  /// Parameters of the protocol.
   struct Settings {
     int members = 1;    ///< number of members; they are numbered from 0 as in the configuration
     int self = 0;       ///< this node's number
--- a/logic/fleet/slow_start_leases.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -24,8 +24,8 @@
 bool same_incarnations(const std::map<scheduler::EndpointId, EndpointEntry>& a,
                        const std::map<scheduler::EndpointId, EndpointEntry>& b) {
   return a.size() == b.size() &&
-         std::equal(a.begin(), a.end(), b.begin(), [](const auto& one, const auto& other) {
-           return one.first == other.first && one.second.started_at == other.second.started_at;
+         std::equal(a.begin(), a.end(), b.begin(), [](const auto& left, const auto& right) {
+           return left.first == right.first && left.second.started_at == right.second.started_at;
          });
 }
 
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -42,7 +42,7 @@
              scheduler::Actions& out);
 
   /// Enables or disables requesting and granting leases.
-  void set_leasing_enabled(bool on) { is_enabled_ = on; }
+  void set_leasing_enabled(bool enabled) { is_enabled_ = enabled; }
 
   const std::map<scheduler::EndpointId, EndpointLease>& leases() const { return leases_; }
   Statistics statistics() const;
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -133,14 +133,14 @@
       is_alive_(static_cast<std::size_t>(std::max(1, settings.dispatchers)), true) {}
 
 std::optional<scheduler::SubsetChanged> Subsets::after(const scheduler::Event& event) {
-  bool changed = false;
+  bool has_changed = false;
   if (const auto* list = std::get_if<scheduler::EndpointList>(&event))
-    changed = apply_list(*list);
+    has_changed = apply_list(*list);
   else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event))
-    changed = apply_members(*members);
+    has_changed = apply_members(*members);
   else if (const auto* settings = std::get_if<scheduler::SettingsChanged>(&event))
-    changed = apply_settings(settings->settings);
-  if (!changed)
+    has_changed = apply_settings(settings->settings);
+  if (!has_changed)
     return std::nullopt;
   last_notification_ = assign();
   return last_notification_;
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -1,5 +1,5 @@
-// Random runs of the Promela model (turns/turns.pml), played step by step with real Dispatchers and
-// SlowStartLeases: what the model grants, sends, takes and drops, they do.
+/// Plays random runs of the Promela model (turns/turns.pml) step by step with real Dispatchers and
+/// SlowStartLeases, and checks that they grant, send, accept and reject the same as the model.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -16,14 +16,15 @@
 using namespace keelflow::scheduler;
 
 constexpr int kNodes = 10;
-constexpr Time kUnit = 50;  // ms that a unit of the model stands for
-// Steps of 100 ms, grants of 500, 550 to the owner, given back from 125 ms before the end on,
-// windows of two seconds.
+constexpr Time kUnitMs = 50;  // one time unit of the model
+// Steps of 100 ms; leases of 500 ms at the borrower and 550 ms at the owner, returned from 125 ms
+// before their end; windows of 2 s.
 const std::string kRatios =
-    " -DSTEP=2 -DLENGTH=10 -DGIVEN_FOR=11 -DEARLY=2 -DWINDOW=40 -DPART=400 -DJOB=100 -DWANT=200 "
-    "-DEND=400 -DLIVES=3 -DMOST=6 -DOFTEN ";
+    " -DSTEP=2 -DLENGTH=10 -DOWNER_LENGTH=11 -DRETURN_BEFORE_END=2 -DWINDOW=40 -DPART=400 "
+    "-DJOB_WORK=100 -DREQUESTED_WORK=200 -DEND=400 -DMAX_RESTARTS=3 -DMAX_IN_FLIGHT=6 "
+    "-DREPLAY_WEIGHTS ";
 
-std::vector<std::string> run_of(unsigned seed) {
+std::vector<std::string> run_model(unsigned seed) {
   std::string command = "spin -n" + std::to_string(seed) + " -T" + kRatios + TURNS_MODEL + " 2>&1";
   std::vector<std::string> lines;
   std::FILE* pipe = popen(command.c_str(), "r");
@@ -41,62 +42,68 @@
   return lines;
 }
 
+/// Plays one run of the model: two borrowers (0 and 1) and the owner (2).
 class Replay {
  public:
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
-    s_.overload_multiple = 400.0 * 8 / (0.62 * s_.overload_window_ms) +
-                           1e-9;  // so that the first owner's part is 400 ms of work
+    // The first owner's part is 400 ms of work.
+    settings_.overload_multiple = 400.0 * 8 / (0.62 * settings_.overload_window_ms) + 1e-9;
     auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
-    ranks_ = {order[8], order[9], order[0]};  // two that have no part, and the owner
+    ranks_ = {order[8], order[9], order[0]};  // two without a part, and the owner
     for (int rank : ranks_)
       is_alive_[static_cast<std::size_t>(rank)] = true;
-    now_ = kStartedAt - 1;  // before it: nothing can have been sent yet
+    now_ = kStartedAt - 1;  // before the endpoint's start, so nothing can have been sent yet
     for (int i = 0; i < 3; ++i)
-      begin(i);
+      start(i);
     now_ = kStartedAt;
   }
 
   void play() {
-    while (at_ < lines_.size() && !::testing::Test::HasFailure())
-      step(lines_[at_++]);
+    while (next_line_ < lines_.size() && !::testing::Test::HasFailure())
+      step(lines_[next_line_++]);
   }
-  int grants = 0, returns = 0, late_grants = 0, restarts = 0;
+  int grants = 0;
+  int returns = 0;
+  int late_grants = 0;
+  int restarts = 0;
 
  private:
   struct Datagram {
-    int from, to;
+    int from = 0;
+    int to = 0;
     std::string bytes;
   };
 
-  void begin(int i) {
+  void start(int i) {
     nodes_[static_cast<std::size_t>(i)] =
-        std::make_unique<Node>(s_, ranks_[static_cast<std::size_t>(i)], now_, is_alive_);
+        std::make_unique<Node>(settings_, ranks_[static_cast<std::size_t>(i)], now_, is_alive_);
   }
   Node& node(int i) {
     Node& n = *nodes_[static_cast<std::size_t>(i)];
     n.bench.now = now_;
     return n;
   }
-  bool next_is(const std::string& line) {
-    if (at_ >= lines_.size() || lines_[at_] != line)
+  bool consume_if(const std::string& line) {
+    if (next_line_ >= lines_.size() || lines_[next_line_] != line)
       return false;
-    ++at_;
+    ++next_line_;
     return true;
   }
 
-  // The messages that node sent are those that the model sends, in this order.
+  // Checks that the node sent the same messages as the model in the same order.
   void expect_messages(int i) {
     for (const SendPeerMessage& message : node(i).messages()) {
       int to = 0;
       while (ranks_[static_cast<std::size_t>(to)] != message.peer)
         ++to;
-      if (next_is("sent"))
+      if (consume_if("sent"))
         net_.push_back({i, to, message.bytes});
-      else if (!next_is("unsent"))
-        ADD_FAILURE() << "line " << at_ << ": a word that the model does not send";
+      else if (!consume_if("unsent"))
+        ADD_FAILURE() << "line " << next_line_ << ": a message that the model does not send";
     }
-    EXPECT_FALSE(at_ < lines_.size() && (lines_[at_] == "sent" || lines_[at_] == "unsent"))
-        << "line " << at_ << ": the model sends a word";
+    EXPECT_FALSE(next_line_ < lines_.size() &&
+                 (lines_[next_line_] == "sent" || lines_[next_line_] == "unsent"))
+        << "line " << next_line_ << ": the model sends a message";
   }
 
   void deliver() {
@@ -105,71 +112,73 @@
     node(datagram.to)
         .bench.play(PeerMessage{ranks_[static_cast<std::size_t>(datagram.from)], datagram.bytes});
     returns += decode_slow_start_message(datagram.bytes)->kind == SlowStartMessage::Kind::returned;
-    if (at_ < lines_.size() && lines_[at_].starts_with("grant ")) {
+    if (next_line_ < lines_.size() && lines_[next_line_].starts_with("grant ")) {
       auto messages = node(datagram.to).messages();
-      ASSERT_EQ(messages.size(), 1u) << "line " << at_;
+      ASSERT_EQ(messages.size(), 1u) << "line " << next_line_;
       EXPECT_EQ("grant " + std::to_string(decode_slow_start_message(messages[0].bytes)->work_ms),
-                lines_[at_++]);
+                lines_[next_line_++]);
       ++grants;
-      if (next_is("sent"))
+      if (consume_if("sent"))
         net_.push_back({datagram.to, datagram.from, messages[0].bytes});
       else
-        EXPECT_TRUE(next_is("unsent"));
+        EXPECT_TRUE(consume_if("unsent"));
       return;
     }
     expect_messages(datagram.to);
-    double held = node(datagram.to).room().granted;
-    if (next_is("late")) {
+    double held = node(datagram.to).budget().granted;
+    if (consume_if("late")) {
       EXPECT_EQ(held, 0);
       ++late_grants;
-    } else if (at_ < lines_.size() && lines_[at_].starts_with("got ")) {
-      EXPECT_EQ("got " + std::to_string(static_cast<int>(held)), lines_[at_++]);
+    } else if (next_line_ < lines_.size() && lines_[next_line_].starts_with("got ")) {
+      EXPECT_EQ("got " + std::to_string(static_cast<int>(held)), lines_[next_line_++]);
     } else {
-      EXPECT_TRUE(next_is("nothing")) << "line " << at_;
+      EXPECT_TRUE(consume_if("nothing")) << "line " << next_line_;
     }
   }
 
   void step(const std::string& line) {
     std::istringstream fields(line);
-    std::string what, how;
-    fields >> what;
-    if (what == "tick") {
-      now_ += 2 * kUnit;
-      node(2).bench.play(ClientDisconnected{});  // any event: with it the waiting time ends
+    std::string action;
+    std::string outcome;
+    fields >> action;
+    if (action == "tick") {
+      now_ += 2 * kUnitMs;
+      // Any event makes the node notice the end of its wait.
+      node(2).bench.play(ClientDisconnected{});
     }
-    if (what == "deliver")
+    if (action == "deliver")
       deliver();
-    if (what == "lose")
+    if (action == "lose")
       net_.pop_front();
-    if (what == "double")
+    if (action == "double")
       net_.push_back(net_.front());
-    if (what == "rotate") {
+    if (action == "rotate") {
       net_.push_back(net_.front());
       net_.pop_front();
     }
-    if (what == "again") {
-      begin(0);
+    if (action == "again") {
+      start(0);
       ++restarts;
     }
     if (line == "owner again") {
-      begin(2);
+      start(2);
       ++restarts;
     }
-    if (what == "own") {
-      fields >> how;
-      EXPECT_EQ(node(2).job(), how == "used") << "line " << at_;
+    if (action == "own") {
+      fields >> outcome;
+      EXPECT_EQ(node(2).play_job(), outcome == "used") << "line " << next_line_;
     }
-    if (what == "arrive") {
+    if (action == "arrive") {
       int i = 0;
-      fields >> i >> how;
-      EXPECT_EQ(node(i).job(), how == "used") << "line " << at_;
+      fields >> i >> outcome;
+      EXPECT_EQ(node(i).play_job(), outcome == "used") << "line " << next_line_;
       expect_messages(i);
     }
   }
 
   std::vector<std::string> lines_;
-  std::size_t at_ = 0;
-  Settings s_ = many(kNodes);
+  std::size_t next_line_ = 0;
+  Settings settings_ = fleet_settings(kNodes);
   std::array<int, 3> ranks_{};
   std::vector<bool> is_alive_ = std::vector<bool>(kNodes, false);
   std::array<std::unique_ptr<Node>, 3> nodes_;
@@ -177,11 +186,15 @@
   Time now_ = kStartedAt;
 };
 
-TEST(SlowStartLeasesReplay, TheProgramDoesWhatTheModelDoes) {
-  int grants = 0, returns = 0, late_grants = 0, restarts = 0;
+TEST(SlowStartLeasesReplay, DispatchersBehaveLikeTheModel) {
+  int grants = 0;
+  int returns = 0;
+  int late_grants = 0;
+  int restarts = 0;
   for (unsigned seed = 1; seed <= 40; ++seed) {
-    auto lines = run_of(seed);
-    ASSERT_GT(lines.size(), 100u) << "is spin installed? .ci/packages does it";
+    auto lines = run_model(seed);
+    ASSERT_GT(lines.size(), 100u)
+        << "the model produced too few steps; is spin installed (.ci/packages)?";
     Replay replay(lines);
     replay.play();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
@@ -191,9 +204,9 @@
     restarts += replay.restarts;
   }
   RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(returns) +
-                             " given back " + std::to_string(late_grants) + " late " +
+                             " returned " + std::to_string(late_grants) + " late " +
                              std::to_string(restarts) + " restarts");
-  // Runs in which nothing happens would prove nothing.
+  // The runs must include enough of each kind of event to be meaningful.
   EXPECT_GT(grants, 100);
   EXPECT_GT(returns, 5);
   EXPECT_GT(late_grants, 3);
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -1,5 +1,5 @@
-// SlowStartLeases: whatever the network and the nodes do, all together send an endpoint that is
-// warming up no more than its budget.
+/// Tests of SlowStartLeases: with any network and node faults, all dispatchers together send no
+/// more than the budget to an endpoint that is warming up.
 #include "fleet/slow_start_leases.h"
 
 #include <gtest/gtest.h>
@@ -16,24 +16,29 @@
 
 using namespace keelflow::scheduler;
 
-constexpr double kMargin = 0.62;  // of what makes it fall over, as scheduler/decide.cpp has it
+// Safe fraction of the work that overloads the endpoint; kBudgetMargin in scheduler/slow_start.cpp.
+constexpr double kSafeFraction = 0.62;
 
+/// Faults and load of a simulated fleet.
 struct Faults {
-  unsigned lost = 0, doubled = 0;  // of 100 messages
-  int most_delay = 20;             // ms
-  int unheard_nodes = 0;           // so many nodes receive all, and nobody receives theirs
-  bool restarts = false, stalls = false;
-  unsigned jobs = 10;     // of 1000 steps of a node
-  std::size_t busy = 30;  // nodes that have any
+  unsigned lost_percent = 0;
+  unsigned duplicated_percent = 0;
+  int max_delay_ms = 20;
+  int muted_nodes = 0;  // nodes whose messages are all lost; they still receive messages
+  bool restarts = false;
+  bool stalls = false;
+  unsigned jobs_per_1000_steps = 10;  // of each busy node
+  std::size_t busy_nodes = 30;        // nodes that receive jobs
 };
 
-// Messages arrive late, doubled, out of order or never; nodes stall for 3 s and read everything at
-// once then, or start again and know nothing.
-struct World {
-  World(int count, unsigned seed, const Faults& f) : s(many(count)), random(seed), faults(f) {
+/// A simulated fleet. Messages may be late, duplicated, reordered or lost. Nodes may stall for 3 s
+/// and then read all messages at once, or restart without state.
+struct SimulatedFleet {
+  SimulatedFleet(int count, unsigned seed, const Faults& faults_of_run)
+      : settings(fleet_settings(count)), random(seed), faults(faults_of_run) {
     for (int n = 0; n < count; ++n)
-      nodes.push_back(std::make_unique<Node>(s, n, kStartedAt - 1));
-    asleep.resize(nodes.size());
+      nodes.push_back(std::make_unique<Node>(settings, n, kStartedAt - 1));
+    stalled_until.resize(nodes.size());
     for (now = kStartedAt; now < kStartedAt + 20000; now += 5)
       step();
   }
@@ -42,20 +47,20 @@
     for (; !in_flight.empty() && in_flight.begin()->first <= now;
          in_flight.erase(in_flight.begin())) {
       auto [from, to, bytes] = in_flight.begin()->second;
-      if (asleep[to] > now)
-        in_flight.emplace(asleep[to], std::tuple(from, to, bytes));
+      if (stalled_until[to] > now)
+        in_flight.emplace(stalled_until[to], std::tuple(from, to, bytes));
       else
         at(to).bench.play(PeerMessage{static_cast<int>(from), bytes});
     }
     for (std::size_t n = 0; n < nodes.size(); ++n) {
-      if (asleep[n] > now)
+      if (stalled_until[n] > now)
         continue;
       if (faults.restarts && random() % 4000 == 0)
-        nodes[n] = std::make_unique<Node>(s, static_cast<int>(n), now);
+        nodes[n] = std::make_unique<Node>(settings, static_cast<int>(n), now);
       if (faults.stalls && random() % 4000 == 0)
-        asleep[n] = now + 3000;
-      if (n < faults.busy && random() % 1000 < faults.jobs && at(n).job())
-        sent.emplace_back(now, kJob);
+        stalled_until[n] = now + 3000;
+      if (n < faults.busy_nodes && random() % 1000 < faults.jobs_per_1000_steps && at(n).play_job())
+        sent.emplace_back(now, kJobMs);
       for (const SendPeerMessage& message : at(n).messages())
         post(n, message);
     }
@@ -68,83 +73,96 @@
 
   void post(std::size_t from, const SendPeerMessage& message) {
     ++messages;
-    if (static_cast<int>(from) < faults.unheard_nodes || random() % 100 < faults.lost)
+    if (static_cast<int>(from) < faults.muted_nodes || random() % 100 < faults.lost_percent)
       return;
-    for (unsigned copies = 1 + (random() % 100 < faults.doubled); copies > 0; --copies)
-      in_flight.emplace(now + 1 + random() % static_cast<unsigned>(faults.most_delay),
+    for (unsigned copies = 1 + (random() % 100 < faults.duplicated_percent); copies > 0; --copies)
+      in_flight.emplace(now + 1 + random() % static_cast<unsigned>(faults.max_delay_ms),
                         std::tuple(from, static_cast<std::size_t>(message.peer), message.bytes));
   }
 
-  double fullest() const {  // of what makes it fall over
+  // The most work sent within any window, as a fraction of the work that overloads the endpoint.
+  double max_window_fraction() const {
     double most = 0;
     for (std::size_t first = 0; first < sent.size(); ++first) {
       double sum = 0;
       for (std::size_t i = first;
-           i < sent.size() && sent[i].first <= sent[first].first + s.overload_window_ms; ++i)
+           i < sent.size() && sent[i].first <= sent[first].first + settings.overload_window_ms; ++i)
         sum += sent[i].second;
       most = std::max(most, sum);
     }
-    return most / (s.overload_multiple * s.overload_window_ms);
+    return most / (settings.overload_multiple * settings.overload_window_ms);
   }
-  double used() const {
-    return static_cast<double>(sent.size()) * kJob / 20000 * s.overload_window_ms /
-           (s.overload_multiple * s.overload_window_ms);
+  // The mean work sent per window, as a fraction of the work that overloads the endpoint.
+  double mean_window_fraction() const {
+    return static_cast<double>(sent.size()) * kJobMs / 20000 * settings.overload_window_ms /
+           (settings.overload_multiple * settings.overload_window_ms);
   }
 
-  Settings s;
+  Settings settings;
   std::mt19937 random;
   Faults faults;
   Time now = 0;
   std::vector<std::unique_ptr<Node>> nodes;
-  std::vector<Time> asleep;
+  std::vector<Time> stalled_until;
   std::multimap<Time, std::tuple<std::size_t, std::size_t, std::string>> in_flight;
   std::vector<std::pair<Time, double>> sent;
   std::uint64_t messages = 0;
 };
 
-TEST(SlowStartLeases, TheSumHoldsWhateverTheNetworkAndTheNodesDo) {
+TEST(SlowStartLeases, NeverExceedsTheBudgetUnderNetworkAndNodeFaults) {
   const std::map<const char*, Faults> kinds = {
       {"none", {}},
-      {"a rush", {.jobs = 60}},
-      {"lost", {.lost = 30, .doubled = 20, .most_delay = 400, .jobs = 60}},
-      {"late", {.doubled = 50, .most_delay = 3000, .jobs = 60}},
-      {"one mute", {.unheard_nodes = 1, .jobs = 60}},
-      {"a third mute", {.unheard_nodes = 10, .jobs = 60}},
-      {"all but one mute", {.unheard_nodes = 29, .jobs = 60}},
-      {"stalls", {.lost = 10, .doubled = 30, .stalls = true, .jobs = 60}},
-      {"restarts", {.lost = 10, .doubled = 30, .restarts = true, .jobs = 60}},
+      {"a rush", {.jobs_per_1000_steps = 60}},
+      {"lost",
+       {.lost_percent = 30,
+        .duplicated_percent = 20,
+        .max_delay_ms = 400,
+        .jobs_per_1000_steps = 60}},
+      {"late", {.duplicated_percent = 50, .max_delay_ms = 3000, .jobs_per_1000_steps = 60}},
+      {"one mute", {.muted_nodes = 1, .jobs_per_1000_steps = 60}},
+      {"a third mute", {.muted_nodes = 10, .jobs_per_1000_steps = 60}},
+      {"all but one mute", {.muted_nodes = 29, .jobs_per_1000_steps = 60}},
+      {"stalls",
+       {.lost_percent = 10, .duplicated_percent = 30, .stalls = true, .jobs_per_1000_steps = 60}},
+      {"restarts",
+       {.lost_percent = 10, .duplicated_percent = 30, .restarts = true, .jobs_per_1000_steps = 60}},
       {"everything",
-       {.lost = 20,
-        .doubled = 50,
-        .most_delay = 1000,
-        .unheard_nodes = 5,
+       {.lost_percent = 20,
+        .duplicated_percent = 50,
+        .max_delay_ms = 1000,
+        .muted_nodes = 5,
         .restarts = true,
         .stalls = true,
-        .jobs = 60}},
+        .jobs_per_1000_steps = 60}},
   };
   for (const auto& [name, faults] : kinds)
     for (unsigned seed : {1u, 2u, 3u}) {
-      World world(30, seed, faults);
-      EXPECT_LE(world.fullest(), kMargin + 1e-9) << name << ", seed " << seed;
+      SimulatedFleet fleet(30, seed, faults);
+      EXPECT_LE(fleet.max_window_fraction(), kSafeFraction + 1e-9) << name << ", seed " << seed;
       RecordProperty(std::string(name) + " " + std::to_string(seed),
-                     std::to_string(world.fullest()) + " used " + std::to_string(world.used()));
+                     std::to_string(fleet.max_window_fraction()) + " used " +
+                         std::to_string(fleet.mean_window_fraction()));
     }
 }
 
-TEST(SlowStartLeases, GrantsMakePartsOfUseToThoseWhoHaveTheTraffic) {
+TEST(SlowStartLeases, LeasesLetBusyNodesUsePartsOfIdleOwners) {
   for (unsigned seed : {1u, 2u, 3u}) {
-    World alone(30, seed, {.lost = 100, .jobs = 60, .busy = 6}),
-        together(30, seed, {.jobs = 60, .busy = 6}),
-        lossy(30, seed, {.lost = 30, .jobs = 60, .busy = 6});
-    EXPECT_GT(together.used(), 1.5 * alone.used()) << "seed " << seed;
-    EXPECT_GT(lossy.used(), 1.2 * alone.used()) << "seed " << seed;
-    RecordProperty("seed " + std::to_string(seed), std::to_string(alone.used()) + " " +
-                                                       std::to_string(together.used()) + " " +
-                                                       std::to_string(lossy.used()));
+    SimulatedFleet alone(30, seed,
+                         {.lost_percent = 100, .jobs_per_1000_steps = 60, .busy_nodes = 6});
+    SimulatedFleet together(30, seed, {.jobs_per_1000_steps = 60, .busy_nodes = 6});
+    SimulatedFleet lossy(30, seed,
+                         {.lost_percent = 30, .jobs_per_1000_steps = 60, .busy_nodes = 6});
+    EXPECT_GT(together.mean_window_fraction(), 1.5 * alone.mean_window_fraction())
+        << "seed " << seed;
+    EXPECT_GT(lossy.mean_window_fraction(), 1.2 * alone.mean_window_fraction()) << "seed " << seed;
+    RecordProperty("seed " + std::to_string(seed),
+                   std::to_string(alone.mean_window_fraction()) + " " +
+                       std::to_string(together.mean_window_fraction()) + " " +
+                       std::to_string(lossy.mean_window_fraction()));
   }
 }
 
-TEST(SlowStartLeases, PartsAddUpToOne) {
+TEST(SlowStartLeases, FractionsOfAllDispatchersAddUpToOne) {
   for (int nodes : {1, 2, 3, 7, 8, 9, 100, 1000}) {
     double sum = 0;
     for (int place = 0; place < nodes; ++place)
@@ -153,189 +171,196 @@
   }
 }
 
-// The owner and one that has no part, of many; nobody else is alive.
-struct Pair {
-  Pair() {
+/// An owner and a borrower without a part in a fleet of 20 in which no other node is alive.
+struct OwnerAndBorrower {
+  OwnerAndBorrower() {
     is_alive.assign(20, false);
     order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
     is_alive[at(0)] = is_alive[at(10)] = true;
-    owner.emplace(s, order[0], kStartedAt - 1, is_alive);
-    borrower.emplace(s, order[10], kStartedAt - 1, is_alive);
+    owner.emplace(settings, order[0], kStartedAt - 1, is_alive);
+    borrower.emplace(settings, order[10], kStartedAt - 1, is_alive);
   }
   std::size_t at(std::size_t place) const { return static_cast<std::size_t>(order[place]); }
-  void to(Time now) { owner->bench.now = borrower->bench.now = now; }
-  std::string ask() {  // the message, or none
-    borrower->job();
+  void set_time(Time now) { owner->bench.now = borrower->bench.now = now; }
+  // Returns the lease request that a job causes, or an empty string.
+  std::string request() {
+    borrower->play_job();
     auto messages = borrower->messages();
     return messages.empty() ? std::string() : messages.back().bytes;
   }
-  std::string grant(const std::string& ask) {
-    owner->bench.play(PeerMessage{order[10], ask});
+  // Returns the grant for a request, or an empty string.
+  std::string grant(const std::string& request) {
+    owner->bench.play(PeerMessage{order[10], request});
     auto messages = owner->messages();
     return messages.empty() ? std::string() : messages.back().bytes;
   }
   void receive(const std::string& grant) { borrower->bench.play(PeerMessage{order[0], grant}); }
 
-  Settings s = many(20);
+  Settings settings = fleet_settings(20);
   std::vector<bool> is_alive;
   std::vector<int> order;
-  std::optional<Node> owner, borrower;
+  std::optional<Node> owner;
+  std::optional<Node> borrower;
 };
 
-TEST(SlowStartLeases, ALeaseEndsAtTheBorrowersClockBeforeTheOwnersAndIsUsedOnce) {
-  Pair p;
-  p.to(kStartedAt + 100);
-  std::string ask = p.ask();
-  ASSERT_FALSE(ask.empty());
-  double before = p.owner->room().own;
-  std::string grant = p.grant(ask);
+TEST(SlowStartLeases, ALeaseEndsAtTheBorrowerBeforeTheOwnerAndIsUsedOnce) {
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 100);
+  std::string request = pair.request();
+  ASSERT_FALSE(request.empty());
+  double before = pair.owner->budget().own;
+  std::string grant = pair.grant(request);
   ASSERT_FALSE(grant.empty());
   double work = decode_slow_start_message(grant)->work_ms;
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before - work);
-  EXPECT_TRUE(p.grant(ask).empty()) << "a doubled ask is not granted twice";
-  p.receive(grant);
-  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work);
-  EXPECT_TRUE(p.borrower->job());
-  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob);
-  p.receive(grant);
-  EXPECT_DOUBLE_EQ(p.borrower->room().granted, work - kJob) << "a doubled grant is nothing new";
-  double lease_length_ms = p.borrower->bench.turns.lease_length_ms();
-  p.to(kStartedAt + 100 + lease_length_ms);
-  EXPECT_FALSE(p.borrower->job()) << "its end has come";
-  p.to(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms + p.s.overload_window_ms - 1);
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before - work)
-      << "it may have been used up to its end, and fills the window from there";
-  p.to(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms + p.s.overload_window_ms + 1);
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before);
+  EXPECT_DOUBLE_EQ(pair.owner->budget().own, before - work);
+  EXPECT_TRUE(pair.grant(request).empty()) << "a duplicated request is not granted twice";
+  pair.receive(grant);
+  EXPECT_DOUBLE_EQ(pair.borrower->budget().granted, work);
+  EXPECT_TRUE(pair.borrower->play_job());
+  EXPECT_DOUBLE_EQ(pair.borrower->budget().granted, work - kJobMs);
+  pair.receive(grant);
+  EXPECT_DOUBLE_EQ(pair.borrower->budget().granted, work - kJobMs)
+      << "a duplicated grant has no effect";
+  double lease_length_ms = pair.borrower->bench.turns.lease_length_ms();
+  pair.set_time(kStartedAt + 100 + lease_length_ms);
+  EXPECT_FALSE(pair.borrower->play_job()) << "the lease has ended";
+  pair.set_time(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms +
+                pair.settings.overload_window_ms - 1);
+  EXPECT_DOUBLE_EQ(pair.owner->budget().own, before - work)
+      << "the lease may have been used until its end, and counts for one window from there";
+  pair.set_time(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms +
+                pair.settings.overload_window_ms + 1);
+  EXPECT_DOUBLE_EQ(pair.owner->budget().own, before);
 }
 
 TEST(SlowStartLeases, AGrantThatArrivesLateBeginsNoLease) {
-  Pair p;
-  p.to(kStartedAt + 100);
-  std::string ask = p.ask();
-  p.to(kStartedAt + 100 + p.borrower->bench.turns.lease_length_ms());
-  std::string grant =
-      p.grant(ask);  // the request was on its way all the time; the owner cannot know
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 100);
+  std::string request = pair.request();
+  pair.set_time(kStartedAt + 100 + pair.borrower->bench.turns.lease_length_ms());
+  // The request was in flight all that time, which the owner cannot know.
+  std::string grant = pair.grant(request);
   ASSERT_FALSE(grant.empty());
-  p.receive(grant);
-  EXPECT_EQ(p.borrower->room().granted, 0);
-  EXPECT_EQ(p.borrower->bench.turns.statistics().late, 1u);
+  pair.receive(grant);
+  EXPECT_EQ(pair.borrower->budget().granted, 0);
+  EXPECT_EQ(pair.borrower->bench.turns.statistics().late, 1u);
 }
 
-TEST(SlowStartLeases, WhatIsNotUsedIsReturnedOnce) {
-  Pair p;
-  p.to(kStartedAt + 100);
-  double before = p.owner->room().own;
-  p.receive(p.grant(p.ask()));
-  ASSERT_TRUE(p.borrower->job());
-  double left = p.borrower->room().granted;
+TEST(SlowStartLeases, TheUnusedRestIsReturnedOnce) {
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 100);
+  double before = pair.owner->budget().own;
+  pair.receive(pair.grant(pair.request()));
+  ASSERT_TRUE(pair.borrower->play_job());
+  double left = pair.borrower->budget().granted;
   ASSERT_GT(left, 0);
-  p.to(kStartedAt + 100 + 0.9 * p.borrower->bench.turns.lease_length_ms());
-  p.borrower->bench.play(ClientDisconnected{});  // any event
-  auto messages = p.borrower->messages();
+  pair.set_time(kStartedAt + 100 + 0.9 * pair.borrower->bench.turns.lease_length_ms());
+  pair.borrower->bench.play(ClientDisconnected{});  // any event
+  auto messages = pair.borrower->messages();
   ASSERT_EQ(messages.size(), 1u);
-  for (int twice = 0; twice < 2; ++twice)
-    p.owner->bench.play(PeerMessage{p.order[10], messages[0].bytes});
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before - kJob);
-  EXPECT_EQ(p.borrower->room().granted, 0) << "what was given back is not used any more";
+  for (int copy = 0; copy < 2; ++copy)
+    pair.owner->bench.play(PeerMessage{pair.order[10], messages[0].bytes});
+  EXPECT_DOUBLE_EQ(pair.owner->budget().own, before - kJobMs);
+  EXPECT_EQ(pair.borrower->budget().granted, 0) << "returned work is no longer available";
 }
 
-TEST(SlowStartLeases, ANewIncarnationWaitsOutWhatTheFormerOneMayHaveSentAndGranted) {
-  Pair p;
-  p.to(kStartedAt + 3000);
-  p.owner.emplace(p.s, p.order[0], kStartedAt + 3000, p.is_alive);
-  EXPECT_FALSE(p.owner->job());
-  EXPECT_TRUE(p.grant(p.ask()).empty());
-  double waits =
-      p.s.overload_window_ms + (1 + kMaxClockDrift) * p.owner->bench.turns.lease_length_ms();
-  p.to(kStartedAt + 3000 + waits - 1);
-  EXPECT_FALSE(p.owner->job());
-  p.to(kStartedAt + 3000 + waits + 1);
-  p.owner->job();  // it is notified with it
-  EXPECT_TRUE(p.owner->job());
-  // Nobody can have sent anything to an endpoint that started later.
-  Settings s = many(1);
-  EXPECT_TRUE(Node(s, 0, kStartedAt - 1).job());
-  EXPECT_FALSE(Node(s, 0, kStartedAt).job());
+TEST(SlowStartLeases, ANewIncarnationWaitsUntilEarlierSendsAndGrantsAreOutOfTheWindow) {
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 3000);
+  pair.owner.emplace(pair.settings, pair.order[0], kStartedAt + 3000, pair.is_alive);
+  EXPECT_FALSE(pair.owner->play_job());
+  EXPECT_TRUE(pair.grant(pair.request()).empty());
+  double wait_ms = pair.settings.overload_window_ms +
+                   (1 + kMaxClockDrift) * pair.owner->bench.turns.lease_length_ms();
+  pair.set_time(kStartedAt + 3000 + wait_ms - 1);
+  EXPECT_FALSE(pair.owner->play_job());
+  pair.set_time(kStartedAt + 3000 + wait_ms + 1);
+  pair.owner->play_job();  // this event notifies the Dispatcher of its part
+  EXPECT_TRUE(pair.owner->play_job());
+  // No earlier incarnation can have sent anything to an endpoint that started after this process.
+  Settings settings = fleet_settings(1);
+  EXPECT_TRUE(Node(settings, 0, kStartedAt - 1).play_job());
+  EXPECT_FALSE(Node(settings, 0, kStartedAt).play_job());
 }
 
-TEST(SlowStartLeases, ANewProcessWaitsOutTheOldOnesGrantsWherePeersAreAllowed) {
+TEST(SlowStartLeases, ANewProcessWaitsForTheOldProcessesGrantsWherePeersAreAllowed) {
   for (bool peers_allowed : {true, false}) {
-    Settings s = many(1);
-    s.peers = peers_allowed;
-    Node old_process(s, 0, kStartedAt - 1), new_process(s, 0, kStartedAt + 100);
-    EXPECT_FALSE(new_process.job());
+    Settings settings = fleet_settings(1);
+    settings.peers = peers_allowed;
+    Node old_process(settings, 0, kStartedAt - 1);
+    Node new_process(settings, 0, kStartedAt + 100);
+    EXPECT_FALSE(new_process.play_job());
     // The old process may have granted until now.
     new_process.bench.now = kStartedAt + 2000;
     new_process.bench.play(old_process.bench.d.learned_state(kStartedAt + 2000));
-    new_process.bench.now = kStartedAt + 2000 + s.overload_window_ms;
-    new_process.job();
-    EXPECT_EQ(new_process.job(), !peers_allowed);
+    new_process.bench.now = kStartedAt + 2000 + settings.overload_window_ms;
+    new_process.play_job();
+    EXPECT_EQ(new_process.play_job(), !peers_allowed);
     new_process.bench.now += (1 + kMaxClockDrift) * new_process.bench.turns.lease_length_ms() + 1;
-    new_process.job();
-    EXPECT_TRUE(new_process.job());
+    new_process.play_job();
+    EXPECT_TRUE(new_process.play_job());
   }
 }
 
-TEST(SlowStartLeases, LeasesAreRequestedAtAReadyEndpointAndNotAtADrainingOne) {
-  Pair p;
-  for (auto [state, asks] :
+TEST(SlowStartLeases, RequestsLeasesAtReadyEndpointsOnly) {
+  OwnerAndBorrower pair;
+  for (auto [state, is_requested] :
        {std::pair(EndpointState::draining, false), std::pair(EndpointState::ready, true)}) {
-    p.to(kStartedAt + (asks ? 300 : 100));
+    pair.set_time(kStartedAt + (is_requested ? 300 : 100));
     EndpointList list;
     list.entries = {{kWarmingUp, 0, 0, 0, state, 1, kStartedAt}};
-    p.borrower->bench.play(list);
-    EXPECT_EQ(!p.ask().empty(), asks);
+    pair.borrower->bench.play(list);
+    EXPECT_EQ(!pair.request().empty(), is_requested);
   }
 }
 
-TEST(SlowStartLeases, ForeignMessagesChangeNothing) {
-  Pair p;
-  p.to(kStartedAt + 100);
-  std::string ask = p.ask();
-  double before = p.owner->room().own;
-  for (std::size_t size = 0; size < ask.size(); ++size)
-    EXPECT_TRUE(p.grant(ask.substr(0, size)).empty());
+TEST(SlowStartLeases, MalformedOrUnrelatedMessagesChangeNothing) {
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 100);
+  std::string request = pair.request();
+  double before = pair.owner->budget().own;
+  for (std::size_t size = 0; size < request.size(); ++size)
+    EXPECT_TRUE(pair.grant(request.substr(0, size)).empty());
   for (std::size_t i : {0u, 1u, 2u, 7u, 11u}) {  // type, version, kind, endpoint, its incarnation
-    std::string other = ask;
-    other[i] = static_cast<char>(other[i] ^ 0x55);
-    EXPECT_TRUE(p.grant(other).empty()) << "byte " << i;
+    std::string altered = request;
+    altered[i] = static_cast<char>(altered[i] ^ 0x55);
+    EXPECT_TRUE(pair.grant(altered).empty()) << "byte " << i;
   }
-  EXPECT_TRUE(p.grant(ask + "x").empty());
-  EXPECT_DOUBLE_EQ(p.owner->room().own, before);
-  p.receive(encode({SlowStartMessage::Kind::grant, kWarmingUp,
-                    decode_slow_start_message(ask)->endpoint_incarnation,
-                    decode_slow_start_message(ask)->requester_incarnation,
-                    decode_slow_start_message(ask)->number + 1, 5000, 0}));
-  EXPECT_EQ(p.borrower->room().granted, 0) << "nothing was asked with that number";
+  EXPECT_TRUE(pair.grant(request + "x").empty());
+  EXPECT_DOUBLE_EQ(pair.owner->budget().own, before);
+  pair.receive(encode({SlowStartMessage::Kind::grant, kWarmingUp,
+                       decode_slow_start_message(request)->endpoint_incarnation,
+                       decode_slow_start_message(request)->requester_incarnation,
+                       decode_slow_start_message(request)->number + 1, 5000, 0}));
+  EXPECT_EQ(pair.borrower->budget().granted, 0) << "no request had that number";
 }
 
-TEST(SlowStartLeases, WhereGrantsAreOffNobodyRequestsAndNobodyGrants) {
-  Pair p;
-  p.to(kStartedAt + 100);
-  std::string ask = p.ask();
-  p.owner->bench.turns.set_leasing_enabled(false);
-  EXPECT_TRUE(p.grant(ask).empty());
-  p.to(kStartedAt + 2000);
-  p.borrower->bench.turns.set_leasing_enabled(false);
-  EXPECT_TRUE(p.ask().empty());
+TEST(SlowStartLeases, RequestsAndGrantsNothingWhileLeasingIsDisabled) {
+  OwnerAndBorrower pair;
+  pair.set_time(kStartedAt + 100);
+  std::string request = pair.request();
+  pair.owner->bench.turns.set_leasing_enabled(false);
+  EXPECT_TRUE(pair.grant(request).empty());
+  pair.set_time(kStartedAt + 2000);
+  pair.borrower->bench.turns.set_leasing_enabled(false);
+  EXPECT_TRUE(pair.request().empty());
 }
 
-TEST(SlowStartLeases, OwnersThatAreDeadOrUnresponsiveAreNotRequestedAgainAtOnce) {
-  Settings s = many(20);
+TEST(SlowStartLeases, DoesNotRequestDeadOwnersAndDelaysUnresponsiveOnes) {
+  Settings settings = fleet_settings(20);
   auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
   std::vector<bool> is_alive(20, true);
   is_alive[static_cast<std::size_t>(order[0])] = false;
-  Node borrower(s, order[10], kStartedAt - 1, is_alive);
-  std::map<int, int> asked;
+  Node borrower(settings, order[10], kStartedAt - 1, is_alive);
+  std::map<int, int> requests_by_owner;
   for (Time t = 100; t < 900; t += 100) {
     borrower.bench.now = kStartedAt + t;
-    borrower.job();
+    borrower.play_job();
     for (const SendPeerMessage& message : borrower.messages())
-      ++asked[message.peer];
+      ++requests_by_owner[message.peer];
   }
-  EXPECT_EQ(asked.count(order[0]), 0u);
-  EXPECT_EQ(asked.size(), 7u) << "each of the others in turn";
+  EXPECT_EQ(requests_by_owner.count(order[0]), 0u);
+  EXPECT_EQ(requests_by_owner.size(), 7u) << "one request cycle reaches each other owner";
 }
 
 }  // namespace
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -1,5 +1,5 @@
-// Nodes that share an endpoint that is warming up: each a Dispatcher with its SlowStartLeases;
-// nothing but what they send there is played.
+/// Test nodes that share an endpoint that is warming up. Each consists of a Dispatcher and its
+/// SlowStartLeases; the tests play only the requests to that endpoint.
 #pragma once
 
 #include "fleet/slow_start_leases.h"
@@ -7,33 +7,38 @@
 
 namespace keelflow::fleet {
 
-constexpr scheduler::EndpointId kWarmingUp = 7, kWarm = 8;
-constexpr scheduler::Time kStartedAt = 10000, kJob = 100;
+constexpr scheduler::EndpointId kWarmingUp = 7;
+constexpr scheduler::EndpointId kWarm = 8;
+constexpr scheduler::Time kStartedAt = 10000;
+constexpr scheduler::Time kJobMs = 100;
 
-// The budget does not change beneath the sums: the endpoint counts as warming up and is as
-// fast as if it had.
-inline scheduler::Settings many(int nodes) {
-  scheduler::Settings s = scheduler::basic_settings();
-  s.concurrent_attempts = false;
-  s.peers = true;
-  s.dispatchers = nodes;
-  s.slow_start_initial_fraction = 1;
-  s.slow_start_ms = 1e6;
-  s.overload_multiple = 4;
-  return s;
+/// Settings for a fleet of `nodes` dispatchers. The budget stays constant during a test: the
+/// endpoint counts as warming up for the whole test and starts at its full capacity.
+inline scheduler::Settings fleet_settings(int nodes) {
+  scheduler::Settings settings = scheduler::basic_settings();
+  settings.concurrent_attempts = false;
+  settings.peers = true;
+  settings.dispatchers = nodes;
+  settings.slow_start_initial_fraction = 1;
+  settings.slow_start_ms = 1e6;
+  settings.overload_multiple = 4;
+  return settings;
 }
 
+/// One dispatcher that knows the work of a typical job and the endpoint that is warming up.
 struct Node {
-  Node(scheduler::Settings s, int rank, scheduler::Time now, const std::vector<bool>& is_alive = {})
-      : bench((s.rank = rank, s), static_cast<std::uint64_t>(rank) + 1) {
-    bench.turns = SlowStartLeases(s, now);
-    bench.now = now - kJob;
+  Node(const scheduler::Settings& fleet_wide, int rank, scheduler::Time now,
+       const std::vector<bool>& is_alive = {})
+      : settings(with_rank(fleet_wide, rank)),
+        bench(settings, static_cast<std::uint64_t>(rank) + 1) {
+    bench.turns = SlowStartLeases(settings, now);
+    bench.now = now - kJobMs;
     scheduler::EndpointList list;
     list.entries = {{kWarm, 0, 0, 0, scheduler::EndpointState::ready, 1, 0}};
     bench.play(list);
     if (!is_alive.empty())
       bench.play(scheduler::MembershipChanged{is_alive});
-    bench.arrive(1, kJob);  // from then on it knows what a typical job takes
+    bench.arrive(1, kJobMs);  // teaches the dispatcher the work of a typical job
     bench.play(scheduler::AttemptStarted{1, 0});
     bench.now = now;
     bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
@@ -42,30 +47,36 @@
     bench.play(list);
   }
 
-  // A job comes, and ends as if it took no time. True: the endpoint was sent it.
-  bool job() {
+  // Plays a job that ends at once. Returns whether it was sent to the endpoint.
+  bool play_job() {
     scheduler::RequestId id = ++last;
-    bench.arrive(id, kJob);
-    bool went = !bench.sends.empty();
+    bench.arrive(id, kJobMs);
+    bool was_sent = !bench.sends.empty();
     bench.sends.clear();
-    if (went)
+    if (was_sent)
       bench.outcome(id, 0, scheduler::AttemptResult::cancelled, true);
     else
       bench.play(scheduler::ClientDisconnected{id});
-    return went;
+    return was_sent;
   }
-  // The lease messages that it sent since the last call.
+  // Returns the lease messages that the node sent since the last call.
   std::vector<scheduler::SendPeerMessage> messages() {
     std::vector<scheduler::SendPeerMessage> out;
-    for (scheduler::SendPeerMessage& t : std::exchange(bench.tells, {}))
-      if (decode_slow_start_message(t.bytes))
-        out.push_back(std::move(t));
+    for (scheduler::SendPeerMessage& message : std::exchange(bench.tells, {}))
+      if (decode_slow_start_message(message.bytes))
+        out.push_back(std::move(message));
     return out;
   }
-  scheduler::SlowStartBudget room() const {
+  scheduler::SlowStartBudget budget() const {
     return bench.d.slow_start_budget(kWarmingUp, bench.now);
   }
 
+  static scheduler::Settings with_rank(scheduler::Settings settings, int rank) {
+    settings.rank = rank;
+    return settings;
+  }
+
+  scheduler::Settings settings;
   scheduler::Bench bench;
   scheduler::RequestId last = 1;
 };
--- a/tests/logic/slow_start_sides_test.cpp
+++ b/tests/logic/slow_start_sides_test.cpp
@@ -1,4 +1,4 @@
-// The two sides of a slow-start lease, each by itself: what it sends and what it notifies.
+/// Unit tests of the two sides of a slow-start lease: the messages and notifications of each.
 #include <gtest/gtest.h>
 
 #include "fleet/slow_start_borrower.h"
@@ -19,6 +19,7 @@
   return lease;
 }
 
+/// Common fixture: one lease, and the output of the side under test.
 struct Sides : testing::Test {
   SlowStartMessage request(std::uint32_t number, std::uint32_t work_ms, std::uint32_t least = 1) {
     return {.kind = SlowStartMessage::Kind::request,
@@ -43,7 +44,7 @@
 
 using SlowStartOwnerTest = Sides;
 
-TEST_F(SlowStartOwnerTest, GrantsHalfOfItsBudgetAtMostAndEachRequestOnce) {
+TEST_F(SlowStartOwnerTest, GrantsAtMostHalfOfItsBudgetAndEachRequestOnce) {
   SlowStartOwner owner;
   owner.on_request(100, kLengthMs, 9, request(1, 1000), 600, lease, out);
   ASSERT_EQ(actions.size(), 1u);
@@ -52,20 +53,20 @@
   EXPECT_EQ(receiver(), 9);
   EXPECT_DOUBLE_EQ(lease.granted.at(9).until, 100 + (1 + kMaxClockDrift) * kLengthMs);
   owner.on_request(101, kLengthMs, 9, request(1, 1000), 600, lease, out);
-  EXPECT_EQ(actions.size(), 1u) << "the same request again";
+  EXPECT_EQ(actions.size(), 1u) << "a repeated request is ignored";
   owner.on_request(102, kLengthMs, 9, request(2, 1000, 400), 600, lease, out);
-  EXPECT_EQ(actions.size(), 1u) << "less than is of use is not granted";
+  EXPECT_EQ(actions.size(), 1u) << "a grant below the requested minimum is denied";
   EXPECT_EQ(owner.statistics().denied, 1u);
   EXPECT_EQ(owner.statistics().granted, 1u);
 }
 
-TEST_F(SlowStartOwnerTest, TakesBackNoMoreThanItGrantedAndOnce) {
+TEST_F(SlowStartOwnerTest, TakesBackAtMostTheGrantedWorkAndOnlyOnce) {
   SlowStartOwner owner;
   owner.on_request(100, kLengthMs, 9, request(1, 200), 600, lease, out);
   SlowStartMessage message = request(1, 5000);
   message.kind = SlowStartMessage::Kind::returned;
   owner.on_return(8, message, lease, out);
-  EXPECT_EQ(notifications.size(), 1u) << "of a dispatcher that holds no lease";
+  EXPECT_EQ(notifications.size(), 1u) << "a return from a dispatcher without a lease is ignored";
   owner.on_return(9, message, lease, out);
   owner.on_return(9, message, lease, out);
   ASSERT_EQ(notifications.size(), 2u);
@@ -73,6 +74,7 @@
   EXPECT_EQ(owner.statistics().returned, 1u);
 }
 
+/// Fixture with a borrower and a list of live dispatchers.
 struct SlowStartBorrowerTest : Sides {
   SlowStartMessage grant_of(const SlowStartMessage& request, std::uint32_t work_ms) {
     SlowStartMessage grant = request;
@@ -87,7 +89,7 @@
   SlowStartBorrower borrower{kBorrowerRank, kDispatchers, 5};
 };
 
-TEST_F(SlowStartBorrowerTest, RequestsOfAnOwnerWhatIsMissingAndHoldsTheLeaseFromTheRequestOn) {
+TEST_F(SlowStartBorrowerTest, RequestsTheMissingWorkAndCountsTheLeaseFromTheRequest) {
   request_lease(1000);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(sent().work_ms, 200u);
@@ -96,21 +98,21 @@
   EXPECT_FALSE(borrower.has_pending_request(1060, lease));
   EXPECT_FALSE(
       borrower.on_grant(1020, kLengthMs, receiver() + 1, grant_of(sent(), 200), lease, out))
-      << "of a dispatcher that was not asked";
+      << "a grant from a dispatcher without a request is ignored";
   EXPECT_TRUE(borrower.on_grant(1020, kLengthMs, receiver(), grant_of(sent(), 200), lease, out));
   EXPECT_EQ(lease.borrowed.until, 1500);
   EXPECT_FALSE(borrower.on_grant(1030, kLengthMs, receiver(), grant_of(sent(), 200), lease, out))
-      << "the same grant again";
+      << "a repeated grant is ignored";
   borrower.give_back(lease, 50, out);
   EXPECT_EQ(sent().kind, SlowStartMessage::Kind::returned);
   EXPECT_EQ(sent().work_ms, 50u);
   EXPECT_EQ(lease.borrowed.until, 0);
 }
 
-TEST_F(SlowStartBorrowerTest, AnUnresponsiveOwnerIsTheLastChoiceAndADeadOneIsNone) {
+TEST_F(SlowStartBorrowerTest, ChoosesUnresponsiveOwnersLastAndDeadOwnersNever) {
   request_lease(1000);
   int first = receiver();
-  for (scheduler::Time now = 1100; now < 2100; now += 100) {  // twice round the owners, nearly
+  for (scheduler::Time now = 1100; now < 2100; now += 100) {  // nearly two rounds of the owners
     request_lease(now);
     EXPECT_NE(receiver(), first) << now;
     borrower.on_grant(now, kLengthMs, receiver(), grant_of(sent(), 0), lease, out);  // denied
@@ -122,7 +124,7 @@
   EXPECT_EQ(actions.size(), before) << "no owner is alive";
 }
 
-TEST_F(SlowStartBorrowerTest, NothingIsRequestedWhereTheBudgetIsEnough) {
+TEST_F(SlowStartBorrowerTest, RequestsNothingWhileTheBudgetSuffices) {
   borrower.request_if_needed(1000, {.own = 100, .granted = 0, .typical = 100}, is_alive, lease,
                              out);
   EXPECT_TRUE(actions.empty());
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -1,4 +1,5 @@
-// Which endpoints each dispatcher has: the sums over all dispatchers, and what one change moves.
+/// Tests of subsetting: how evenly endpoints are assigned to dispatchers, and how many pairs one
+/// change moves.
 #include "fleet/subsets.h"
 
 #include <gtest/gtest.h>
@@ -15,12 +16,14 @@
 
 using scheduler::EndpointId;
 
+/// Size of a fleet.
 struct Size {
-  int dispatchers, endpoints;
+  int dispatchers = 0;
+  int endpoints = 0;
 };
 const Size kSizes[] = {{16, 20}, {100, 60}, {300, 200}, {40, 400}};
 
-std::vector<EndpointId> draw(int count, unsigned seed) {
+std::vector<EndpointId> draw_endpoints(int count, unsigned seed) {
   std::mt19937 random(seed);
   std::set<EndpointId> ids;
   while (static_cast<int>(ids.size()) < count)
@@ -28,7 +31,7 @@
   return {ids.begin(), ids.end()};
 }
 
-std::vector<int> first(int count) {
+std::vector<int> first_dispatchers(int count) {
   std::vector<int> all(static_cast<std::size_t>(count));
   std::iota(all.begin(), all.end(), 0);
   return all;
@@ -36,62 +39,67 @@
 
 using Pairs = std::set<std::pair<int, EndpointId>>;
 Pairs pairs_of(const std::vector<EndpointId>& endpoints, const std::vector<int>& dispatchers,
-               int of) {  // of so many in all
+               int configured_dispatchers) {
   Pairs out;
-  auto assigned = subsets(endpoints, dispatchers,
-                          endpoints_per_dispatcher(6, of, static_cast<int>(endpoints.size())));
-  for (std::size_t w = 0; w < endpoints.size(); ++w)
-    for (int d : assigned[w])
-      out.emplace(d, endpoints[w]);
+  auto assigned = subsets(
+      endpoints, dispatchers,
+      endpoints_per_dispatcher(6, configured_dispatchers, static_cast<int>(endpoints.size())));
+  for (std::size_t e = 0; e < endpoints.size(); ++e)
+    for (int d : assigned[e])
+      out.emplace(d, endpoints[e]);
   return out;
 }
 
-std::size_t added(const Pairs& before, const Pairs& after) {
+std::size_t added_pairs(const Pairs& before, const Pairs& after) {
   return static_cast<std::size_t>(std::count_if(
       after.begin(), after.end(), [&](const auto& p) { return !before.contains(p); }));
 }
 
-TEST(Subsets, EveryDispatcherHasAsManyAndEveryEndpointTwoMoreOrLessAtMost) {
+TEST(Subsets, DispatchersGetEqualSubsetsAndEndpointsDeviateByAtMostTwo) {
   for (auto [dispatchers, endpoints] : kSizes)
     for (unsigned seed = 1; seed <= 50; ++seed) {
-      auto ids = draw(endpoints, seed);
-      int each = endpoints_per_dispatcher(6, dispatchers, endpoints);
-      auto assigned = subsets(ids, first(dispatchers), each);
-      std::map<int, int> has;
-      double part = 1.0 * each * dispatchers / endpoints;
+      auto ids = draw_endpoints(endpoints, seed);
+      int subset_size = endpoints_per_dispatcher(6, dispatchers, endpoints);
+      auto assigned = subsets(ids, first_dispatchers(dispatchers), subset_size);
+      std::map<int, int> assigned_counts;
+      double mean = 1.0 * subset_size * dispatchers / endpoints;
       for (const auto& of : assigned) {
         EXPECT_GE(of.size(), 1u);
-        EXPECT_LE(std::abs(static_cast<double>(of.size()) - part), 2)
+        EXPECT_LE(std::abs(static_cast<double>(of.size()) - mean), 2)
             << dispatchers << "/" << endpoints << " seed " << seed;
         for (int d : of)
-          ++has[d];
+          ++assigned_counts[d];
       }
-      for (int d : first(dispatchers))
-        EXPECT_EQ(has[d], each) << dispatchers << "/" << endpoints << " seed " << seed;
+      for (int d : first_dispatchers(dispatchers))
+        EXPECT_EQ(assigned_counts[d], subset_size)
+            << dispatchers << "/" << endpoints << " seed " << seed;
     }
 }
 
-TEST(Subsets, OneMoreOrLessMovesLittle) {
+TEST(Subsets, RemovingOneDispatcherOrEndpointMovesLessThanTwiceItsPairs) {
   for (auto [dispatchers, endpoints] : kSizes) {
-    double by_dispatcher = 0, by_endpoint = 0, own_of_dispatcher = 0, own_of_endpoint = 0;
+    double by_dispatcher = 0;
+    double by_endpoint = 0;
+    double own_of_dispatcher = 0;
+    double own_of_endpoint = 0;
     for (unsigned seed = 1; seed <= 12; ++seed) {
-      auto ids = draw(endpoints, seed);
-      Pairs before = pairs_of(ids, first(dispatchers), dispatchers);
-      auto fewer = first(dispatchers);
+      auto ids = draw_endpoints(endpoints, seed);
+      Pairs before = pairs_of(ids, first_dispatchers(dispatchers), dispatchers);
+      auto fewer = first_dispatchers(dispatchers);
       int gone = static_cast<int>(seed) % dispatchers;
       std::erase(fewer, gone);
-      by_dispatcher += static_cast<double>(added(before, pairs_of(ids, fewer, dispatchers)));
+      by_dispatcher += static_cast<double>(added_pairs(before, pairs_of(ids, fewer, dispatchers)));
       own_of_dispatcher += static_cast<double>(std::count_if(
           before.begin(), before.end(), [&](const auto& p) { return p.first == gone; }));
       EndpointId lost = ids[seed];
       auto remaining = ids;
       std::erase(remaining, lost);
-      by_endpoint +=
-          static_cast<double>(added(before, pairs_of(remaining, first(dispatchers), dispatchers)));
+      by_endpoint += static_cast<double>(
+          added_pairs(before, pairs_of(remaining, first_dispatchers(dispatchers), dispatchers)));
       own_of_endpoint += static_cast<double>(std::count_if(
           before.begin(), before.end(), [&](const auto& p) { return p.second == lost; }));
     }
-    std::printf("%3d/%3d: moved %.2f times its own homes by a dispatcher, %.2f by an executor\n",
+    std::printf("%3d/%3d: pairs moved per removed pair: dispatcher %.2f, endpoint %.2f\n",
                 dispatchers, endpoints, by_dispatcher / own_of_dispatcher,
                 by_endpoint / own_of_endpoint);
     EXPECT_LT(by_dispatcher / own_of_dispatcher, 2);
@@ -99,46 +107,46 @@
   }
 }
 
-// A third sees the fleet without the dispatchers of one zone, a third a stale list: the sum stays
-// near what it was.
-TEST(Subsets, ThoseWhoSeeDifferentMembersStillAddUp) {
+// One third of the dispatchers sees the fleet without the dispatchers of one zone, one third has a
+// stale endpoint list. The number of dispatchers per endpoint must stay near the mean.
+TEST(Subsets, DispatchersWithDifferentViewsStillCoverEndpointsEvenly) {
   for (auto [dispatchers, endpoints] : kSizes) {
-    auto ids = draw(endpoints, 1);
+    auto ids = draw_endpoints(endpoints, 1);
     auto stale = ids;
     stale.resize(ids.size() * 9 / 10);
-    auto fewer = first(dispatchers);
+    auto fewer = first_dispatchers(dispatchers);
     std::erase_if(fewer, [](int d) { return d % 3 == 0; });
-    int each = endpoints_per_dispatcher(6, dispatchers, endpoints);
+    int subset_size = endpoints_per_dispatcher(6, dispatchers, endpoints);
     std::map<EndpointId, int> sum;
-    for (int d : first(dispatchers)) {
+    for (int d : first_dispatchers(dispatchers)) {
       const auto& list = d % 3 == 1 ? stale : ids;
-      const auto& members = d % 3 == 2 ? fewer : first(dispatchers);
+      const auto& members = d % 3 == 2 ? fewer : first_dispatchers(dispatchers);
       auto assigned = subsets(
           list, members, endpoints_per_dispatcher(6, dispatchers, static_cast<int>(list.size())));
-      int has = 0;
-      for (std::size_t w = 0; w < list.size(); ++w)
-        if (std::binary_search(assigned[w].begin(), assigned[w].end(), d)) {
-          ++sum[list[w]];
-          ++has;
+      int assigned_count = 0;
+      for (std::size_t e = 0; e < list.size(); ++e)
+        if (std::binary_search(assigned[e].begin(), assigned[e].end(), d)) {
+          ++sum[list[e]];
+          ++assigned_count;
         }
-      EXPECT_LE(has, each + 2);
-      EXPECT_GE(has, each - 2);
+      EXPECT_LE(assigned_count, subset_size + 2);
+      EXPECT_GE(assigned_count, subset_size - 2);
     }
-    double part = 1.0 * each * dispatchers / endpoints;
-    for (auto& [w, count] : sum)
-      EXPECT_LE(count, 2 * part + 2)
-          << "an executor is home to " << count << " instead of " << part;
+    double mean = 1.0 * subset_size * dispatchers / endpoints;
+    for (auto& [endpoint, count] : sum)
+      EXPECT_LE(count, 2 * mean + 2)
+          << "endpoint " << endpoint << " has " << count << " dispatchers; the mean is " << mean;
   }
 }
 
-TEST(Subsets, ADispatcherIsNotifiedWhenItsListOrTheMembersChangeAndOnlyThen) {
-  scheduler::Settings s;
-  s.dispatchers = 40;
-  s.rank = 7;
-  Subsets assigned(s);
+TEST(Subsets, NotifiesOnlyWhenTheListOrTheMembersChange) {
+  scheduler::Settings settings;
+  settings.dispatchers = 40;
+  settings.rank = 7;
+  Subsets assigned(settings);
   scheduler::EndpointList list;
-  for (EndpointId w : draw(30, 3))
-    list.entries.push_back({w, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
+  for (EndpointId endpoint : draw_endpoints(30, 3))
+    list.entries.push_back({endpoint, 0, 0, 0, scheduler::EndpointState::ready, 1, 0});
   auto notification = assigned.after(list);
   ASSERT_TRUE(notification);
   EXPECT_EQ(notification->endpoints.size(), 30u);
@@ -146,7 +154,7 @@
   list.scope = scheduler::ListScope::delta;
   list.entries.resize(1);
   list.entries[0].state = scheduler::EndpointState::draining;
-  EXPECT_FALSE(assigned.after(list));  // it is still there
+  EXPECT_FALSE(assigned.after(list));  // the endpoint is still listed
   list.entries[0].state = scheduler::EndpointState::gone;
   EXPECT_EQ(assigned.after(list)->endpoints.size(), 29u);
   std::vector<bool> is_alive(40, true);
--- a/tests/logic/turns/turns.pml
+++ b/tests/logic/turns/turns.pml
@@ -1,201 +1,412 @@
-/* One owner's part of a cold executor's budget, the others who ask it for grants, and a network that loses, doubles and
- * reorders words and delivers them at any time later. Any of them may be stalled at any time (it takes no step while time
- * goes on) and may start again with nothing but a new number of its life. Whatever happens, all work sent within any window
- * is within the part. The steps are those of logic/fleet/turns.cpp; turns_replay.cpp plays random runs against that.
+/* Model of slow-start leases: one owner's part of the budget of an endpoint that is warming up, the borrowers that request
+ * leases on it, and a network that loses, duplicates, reorders and arbitrarily delays messages. Each node may stall at any
+ * time (it takes no step while time advances) and may restart with no state but a new incarnation. The checked invariant:
+ * all work sent within any window is at most the part. The steps are those of slow_start_leases.cpp, slow_start_owner.cpp
+ * and slow_start_borrower.cpp in logic/fleet; slow_start_leases_replay.cpp plays random runs of the model against them.
  *
- * Times in units; work in ms. The defaults are small, for the search; a replay is given the real ratios.
+ * Times are in units, work is in ms. The defaults are small, for the search; the replay sets the real ratios.
  */
 #ifndef STEP
-#define STEP 1       /* of time at once */
-#define LENGTH 2     /* of a grant, by the clock of the one that asked */
-#define GIVEN_FOR 3  /* by the owner's: the length and the drift */
-#define EARLY 1      /* so long before its end a grant is given back, or later */
+#define STEP 1  /* units by which time advances */
+#define LENGTH 2  /* of a lease, by the borrower's clock */
+#define OWNER_LENGTH 3  /* of a lease, by the owner's clock: the length plus the drift */
+#define RETURN_BEFORE_END 1  /* a lease is returned when at most this much time remains */
 #define WINDOW 1
 #define PART 2
-#define JOB 1
-#define WANT 1
+#define JOB_WORK 1
+#define REQUESTED_WORK 1
 #define END 5
 #endif
-#ifndef LIVES
-#define LIVES 1      /* times that each may start again */
+#ifndef MAX_RESTARTS
+#define MAX_RESTARTS 1  /* of each node */
 #endif
-#ifndef ASKERS
-#define ASKERS 2
+#ifndef BORROWERS
+#define BORROWERS 2
 #endif
-#ifndef MOST
-#define MOST 1       /* words on their way */
+#ifndef MAX_IN_FLIGHT
+#define MAX_IN_FLIGHT 1  /* messages in the network */
 #endif
 #define STEPS (END / STEP + 2)
 
-/* Each of these takes away one guard: the search must then find a violation, or it proves nothing. */
-#ifndef WAITS
-#define WAITS 1
+/* Setting one of these to 0 removes one guard. The search must then find a violation; otherwise it could not show that the
+ * guard is needed. */
+#ifndef WAIT_AFTER_RESTART
+#define WAIT_AFTER_RESTART 1
 #endif
-#ifndef ENDS
-#define ENDS 1
+#ifndef CHECK_LEASE_END
+#define CHECK_LEASE_END 1
 #endif
-#ifndef NUMBERS
-#define NUMBERS 1
+#ifndef CHECK_REQUEST_NUMBERS
+#define CHECK_REQUEST_NUMBERS 1
 #endif
-#ifndef COUNTED_AT_END
-#define COUNTED_AT_END 1
+#ifndef COUNT_LEASE_AT_END
+#define COUNT_LEASE_AT_END 1
 #endif
-#ifndef BACK_ONCE
-#define BACK_ONCE 1
+#ifndef RETURN_ONCE
+#define RETURN_ONCE 1
 #endif
 
-#define ASK 1
-#define GRANT 2
-#define BACK 3
-chan net = [MOST] of { byte, byte, byte, byte, short };  /* what, asker, its life, number, work */
+#define LEASE_REQUEST 1
+#define LEASE_GRANT 2
+#define LEASE_RETURN 3
+chan network = [MAX_IN_FLIGHT] of { byte, byte, byte, byte, short };  /* kind, borrower, its incarnation, number, work */
 
 short now;
-short used[STEPS];        /* by time: what was truly sent */
-short spent[STEPS];       /* by time: what the owner knows that it sent */
-short given[STEPS];       /* by the time of the grant: what it granted and did not get back */
+short sent[STEPS];  /* by time: work actually sent */
+short sent_by_owner[STEPS];  /* by time: work that the owner knows it sent */
+short granted[STEPS];  /* by time of the grant: work granted and not returned */
 short owner_waits_until;
-byte owner_lives;
+byte owner_restarts;
 
-typedef Asker { byte life, number; bool waiting; short asked, held, until, started };
-Asker at[ASKERS];
-typedef Last { byte life, number; short work, when; bool returned };
-Last last[ASKERS];
+typedef Borrower {
+  byte incarnation, number;
+  bool is_awaiting_reply;
+  short requested_at, held_work, until, started_at
+};
+Borrower borrowers[BORROWERS];
+typedef GrantedLease {
+  byte incarnation, number;
+  short work, granted_at;
+  bool is_returned
+};
+GrantedLease granted_leases[BORROWERS];
 
-/* Scratch, no part of the state. */
-hidden byte i, life, number, what;
-hidden short k, work, sum, room;
+/* Temporary variables, not part of the state. */
+hidden byte borrower, incarnation, number, kind;
+hidden short k, work, sum, remaining;
 
-inline check() {
+inline check_window() {
   sum = 0;
-  for (k : 0 .. STEPS - 1) { if :: k * STEP <= now && k * STEP >= now - WINDOW -> sum = sum + used[k] :: else fi }
+  for (k : 0 .. STEPS - 1) {
+    if
+    :: k * STEP <= now && k * STEP >= now - WINDOW ->
+        sum = sum + sent[k]
+    :: else
+    fi
+  }
   assert(sum <= PART)
 }
 
-/* What is out of every window and every grant's end makes no difference any more. */
-inline forget() {
+/* Clears values that are outside every window and past every lease's end, as they no longer matter. */
+inline clear_expired() {
   for (k : 0 .. STEPS - 1) {
-    if :: k * STEP + GIVEN_FOR < now - WINDOW -> used[k] = 0; spent[k] = 0; given[k] = 0 :: else fi
+    if
+    :: k * STEP + OWNER_LENGTH < now - WINDOW ->
+        sent[k] = 0;
+        sent_by_owner[k] = 0;
+        granted[k] = 0
+    :: else
+    fi
   }
   k = 0;
-  for (k : 0 .. ASKERS - 1) {
-    if :: now - at[k].asked >= LENGTH && at[k].held == 0 -> at[k].until = 0 :: else fi;
-    if :: last[k].when + GIVEN_FOR < now - WINDOW -> last[k].work = 0; last[k].when = 0; last[k].returned = true :: else fi
+  for (k : 0 .. BORROWERS - 1) {
+    if
+    :: now - borrowers[k].requested_at >= LENGTH && borrowers[k].held_work == 0 ->
+        borrowers[k].until = 0
+    :: else
+    fi;
+    if
+    :: granted_leases[k].granted_at + OWNER_LENGTH < now - WINDOW ->
+        granted_leases[k].work = 0;
+        granted_leases[k].granted_at = 0;
+        granted_leases[k].is_returned = true
+    :: else
+    fi
   }
   k = 0
 }
 
-inline count_room() {
+inline compute_remaining() {
   sum = 0;
   for (k : 0 .. STEPS - 1) {
-    if :: k * STEP <= now && k * STEP >= now - WINDOW -> sum = sum + spent[k] :: else fi;
-    if :: k * STEP <= now && k * STEP + (COUNTED_AT_END -> GIVEN_FOR : 0) >= now - WINDOW -> sum = sum + given[k] :: else fi
+    if
+    :: k * STEP <= now && k * STEP >= now - WINDOW ->
+        sum = sum + sent_by_owner[k]
+    :: else
+    fi;
+    if
+    :: k * STEP <= now && k * STEP + (COUNT_LEASE_AT_END -> OWNER_LENGTH : 0) >= now - WINDOW ->
+        sum = sum + granted[k]
+    :: else
+    fi
   }
-  room = PART - sum;
-  if :: WAITS && now < owner_waits_until -> room = 0 :: else fi
+  remaining = PART - sum;
+  if
+  :: WAIT_AFTER_RESTART && now < owner_waits_until ->
+      remaining = 0
+  :: else
+  fi
 }
 
-inline give_back(i) {
+inline give_back(borrower) {
   if
-  :: at[i].held > 0 ->
-     if :: len(net) < MOST -> net ! BACK, i, at[i].life, at[i].number, at[i].held; printf("#sent\n")
-        :: else -> printf("#unsent\n") fi
+  :: borrowers[borrower].held_work > 0 ->
+      if
+      :: len(network) < MAX_IN_FLIGHT ->
+          network ! LEASE_RETURN, borrower, borrowers[borrower].incarnation,
+              borrowers[borrower].number, borrowers[borrower].held_work;
+          printf("#sent\n")
+      :: else ->
+          printf("#unsent\n")
+      fi
   :: else
   fi;
-  at[i].held = 0; at[i].until = 0
+  borrowers[borrower].held_work = 0;
+  borrowers[borrower].until = 0
 }
 
-/* What has a little time left is given back. */
-inline age(i) {
-  if :: at[i].until > now && at[i].until - now <= EARLY -> give_back(i) :: else fi
+/* Returns a lease that is about to end. */
+inline return_if_ending(borrower) {
+  if
+  :: borrowers[borrower].until > now && borrowers[borrower].until - now <= RETURN_BEFORE_END ->
+      give_back(borrower)
+  :: else
+  fi
 }
 
-/* A job comes to one that has no part: it uses its grant, and asks for another where too little is left of it. */
-inline arrive(i) {
+/* A job arrives at a borrower: it uses the lease, and requests another one if too little work is left. */
+inline arrive(borrower) {
   if
-  :: at[i].held >= JOB && (!ENDS || at[i].until > now) ->
-     at[i].held = at[i].held - JOB; used[now / STEP] = used[now / STEP] + JOB; printf("#arrive %d used\n", i); check()
-  :: else -> printf("#arrive %d held\n", i)
+  :: borrowers[borrower].held_work >= JOB_WORK && (!CHECK_LEASE_END ||
+      borrowers[borrower].until > now) ->
+      borrowers[borrower].held_work = borrowers[borrower].held_work - JOB_WORK;
+      sent[now / STEP] = sent[now / STEP] + JOB_WORK;
+      printf("#arrive %d used\n", borrower);
+      check_window()
+  :: else ->
+      printf("#arrive %d held\n", borrower)
   fi;
-  age(i);
+  return_if_ending(borrower);
   if
-  :: (at[i].held < JOB || (ENDS && at[i].until <= now)) && !(at[i].waiting && at[i].asked == now) ->
-     if :: at[i].until > now -> give_back(i) :: else -> at[i].held = 0 fi;
-     at[i].number++; at[i].asked = now; at[i].waiting = true;
-     if :: len(net) < MOST -> net ! ASK, i, at[i].life, at[i].number, 0; printf("#sent\n") :: else -> printf("#unsent\n") fi
+  :: (borrowers[borrower].held_work < JOB_WORK || (CHECK_LEASE_END &&
+      borrowers[borrower].until <= now)) && !(borrowers[borrower].is_awaiting_reply &&
+          borrowers[borrower].requested_at == now) ->
+      if
+      :: borrowers[borrower].until > now ->
+          give_back(borrower)
+      :: else ->
+          borrowers[borrower].held_work = 0
+      fi;
+      borrowers[borrower].number++;
+      borrowers[borrower].requested_at = now;
+      borrowers[borrower].is_awaiting_reply = true;
+      if
+      :: len(network) < MAX_IN_FLIGHT ->
+          network ! LEASE_REQUEST, borrower, borrowers[borrower].incarnation,
+              borrowers[borrower].number, 0;
+          printf("#sent\n")
+      :: else ->
+          printf("#unsent\n")
+      fi
   :: else
   fi
 }
 
-inline hear_ask() {
-  count_room();
-  work = (room / 2 < WANT -> room / 2 : WANT);
+inline on_request() {
+  compute_remaining();
+  work = (remaining / 2 < REQUESTED_WORK -> remaining / 2 : REQUESTED_WORK);
   if
-  :: (!NUMBERS || life > last[i].life || (life == last[i].life && number > last[i].number)) && work >= JOB ->
-     last[i].life = life; last[i].number = number; last[i].work = work; last[i].when = now; last[i].returned = false;
-     given[now / STEP] = given[now / STEP] + work;
-     printf("#grant %d\n", work);
-     if :: len(net) < MOST -> net ! GRANT, i, life, number, work; printf("#sent\n") :: else -> printf("#unsent\n") fi
-  :: else -> printf("#nothing\n")
+  :: (!CHECK_REQUEST_NUMBERS || incarnation > granted_leases[borrower].incarnation ||
+      (incarnation == granted_leases[borrower].incarnation &&
+          number > granted_leases[borrower].number)) && work >= JOB_WORK ->
+      granted_leases[borrower].incarnation = incarnation;
+      granted_leases[borrower].number = number;
+      granted_leases[borrower].work = work;
+      granted_leases[borrower].granted_at = now;
+      granted_leases[borrower].is_returned = false;
+      granted[now / STEP] = granted[now / STEP] + work;
+      printf("#grant %d\n", work);
+      if
+      :: len(network) < MAX_IN_FLIGHT ->
+          network ! LEASE_GRANT, borrower, incarnation, number, work;
+          printf("#sent\n")
+      :: else ->
+          printf("#unsent\n")
+      fi
+  :: else ->
+      printf("#nothing\n")
   fi
 }
 
-inline hear_back() {
+inline on_return() {
   if
-  :: last[i].life == life && last[i].number == number && (!last[i].returned || !BACK_ONCE) ->
-     last[i].returned = true;
-     given[last[i].when / STEP] = given[last[i].when / STEP] - (work < last[i].work -> work : last[i].work);
-     printf("#nothing\n")
-  :: else -> printf("#nothing\n")
+  :: granted_leases[borrower].incarnation == incarnation &&
+      granted_leases[borrower].number == number && (!granted_leases[borrower].is_returned ||
+          !RETURN_ONCE) ->
+      granted_leases[borrower].is_returned = true;
+      granted[granted_leases[borrower].granted_at / STEP] =
+          granted[granted_leases[borrower].granted_at / STEP] -
+              (work < granted_leases[borrower].work -> work : granted_leases[borrower].work);
+      printf("#nothing\n")
+  :: else ->
+      printf("#nothing\n")
   fi
 }
 
-inline hear_grant() {
-  age(i);
+inline on_grant() {
+  return_if_ending(borrower);
   if
-  :: (at[i].waiting || !NUMBERS) && life == at[i].life && number == at[i].number ->
-     at[i].waiting = false;
-     if :: now < at[i].asked + LENGTH || !ENDS -> at[i].held = work; at[i].until = at[i].asked + LENGTH; printf("#got %d\n", work)
-        :: else -> at[i].until = 0; printf("#late\n") fi
-  :: else -> printf("#nothing\n")
+  :: (borrowers[borrower].is_awaiting_reply || !CHECK_REQUEST_NUMBERS) &&
+      incarnation == borrowers[borrower].incarnation && number == borrowers[borrower].number ->
+      borrowers[borrower].is_awaiting_reply = false;
+      if
+      :: now < borrowers[borrower].requested_at + LENGTH || !CHECK_LEASE_END ->
+          borrowers[borrower].held_work = work;
+          borrowers[borrower].until = borrowers[borrower].requested_at + LENGTH;
+          printf("#got %d\n", work)
+      :: else ->
+          borrowers[borrower].until = 0;
+          printf("#late\n")
+      fi
+  :: else ->
+      printf("#nothing\n")
   fi
 }
 
-active proctype all() {
+active proctype fleet() {
   do
-  :: d_step { now + STEP <= END -> now = now + STEP; forget(); printf("#tick\n") }
-  :: d_step { now < END -> arrive(0) }
-#if ASKERS > 1
-  :: d_step { now < END -> arrive(1) }
+  :: d_step {
+        now + STEP <= END ->
+        now = now + STEP;
+        clear_expired();
+        printf("#tick\n")
+      }
+  :: d_step {
+        now < END ->
+        arrive(0)
+      }
+#if BORROWERS > 1
+  :: d_step {
+        now < END ->
+        arrive(1)
+      }
 #endif
-  :: d_step { now < END -> count_room();
-       if :: room >= JOB -> spent[now / STEP] = spent[now / STEP] + JOB; used[now / STEP] = used[now / STEP] + JOB; printf("#own used\n"); check()
-          :: else -> printf("#own held\n") fi }
-  :: d_step { len(net) > 0 -> net ? what, i, life, number, work;
-       printf("#deliver\n");
-       if :: what == ASK -> hear_ask() :: what == BACK -> hear_back() :: what == GRANT -> hear_grant() fi }
-#ifdef OFTEN  /* a random run takes each way as often as the others: these more, or little would happen */
-  :: d_step { now < END -> arrive(0) }
-  :: d_step { now < END -> arrive(0) }
-  :: d_step { now < END -> arrive(1) }
-  :: d_step { len(net) > 0 -> net ? what, i, life, number, work;
-       printf("#deliver\n");
-       if :: what == ASK -> hear_ask() :: what == BACK -> hear_back() :: what == GRANT -> hear_grant() fi }
-  :: d_step { len(net) > 0 -> net ? what, i, life, number, work;
-       printf("#deliver\n");
-       if :: what == ASK -> hear_ask() :: what == BACK -> hear_back() :: what == GRANT -> hear_grant() fi }
-  :: d_step { len(net) > 0 -> net ? what, i, life, number, work;
-       printf("#deliver\n");
-       if :: what == ASK -> hear_ask() :: what == BACK -> hear_back() :: what == GRANT -> hear_grant() fi }
+  :: d_step {
+        now < END ->
+        compute_remaining();
+        if
+        :: remaining >= JOB_WORK ->
+            sent_by_owner[now / STEP] = sent_by_owner[now / STEP] + JOB_WORK;
+            sent[now / STEP] = sent[now / STEP] + JOB_WORK;
+            printf("#own used\n");
+            check_window()
+        :: else ->
+            printf("#own held\n")
+        fi
+      }
+  :: d_step {
+        len(network) > 0 ->
+        network ? kind, borrower, incarnation, number, work;
+        printf("#deliver\n");
+        if
+        :: kind == LEASE_REQUEST ->
+            on_request()
+        :: kind == LEASE_RETURN ->
+            on_return()
+        :: kind == LEASE_GRANT ->
+            on_grant()
+        fi
+      }
+#ifdef REPLAY_WEIGHTS /* a random run chooses each alternative equally often; repeating these makes them more frequent */
+  :: d_step {
+        now < END ->
+        arrive(0)
+      }
+  :: d_step {
+        now < END ->
+        arrive(0)
+      }
+  :: d_step {
+        now < END ->
+        arrive(1)
+      }
+  :: d_step {
+        len(network) > 0 ->
+        network ? kind, borrower, incarnation, number, work;
+        printf("#deliver\n");
+        if
+        :: kind == LEASE_REQUEST ->
+            on_request()
+        :: kind == LEASE_RETURN ->
+            on_return()
+        :: kind == LEASE_GRANT ->
+            on_grant()
+        fi
+      }
+  :: d_step {
+        len(network) > 0 ->
+        network ? kind, borrower, incarnation, number, work;
+        printf("#deliver\n");
+        if
+        :: kind == LEASE_REQUEST ->
+            on_request()
+        :: kind == LEASE_RETURN ->
+            on_return()
+        :: kind == LEASE_GRANT ->
+            on_grant()
+        fi
+      }
+  :: d_step {
+        len(network) > 0 ->
+        network ? kind, borrower, incarnation, number, work;
+        printf("#deliver\n");
+        if
+        :: kind == LEASE_REQUEST ->
+            on_request()
+        :: kind == LEASE_RETURN ->
+            on_return()
+        :: kind == LEASE_GRANT ->
+            on_grant()
+        fi
+      }
 #endif
-  :: d_step { len(net) > 0 -> net ? what, i, life, number, work; printf("#lose\n") }
-  :: d_step { len(net) > 0 && len(net) < MOST -> net ? <what, i, life, number, work>; net ! what, i, life, number, work; printf("#double\n") }
-  :: d_step { len(net) > 1 -> net ? what, i, life, number, work; net ! what, i, life, number, work; printf("#rotate\n") }
-  :: d_step { owner_lives < LIVES && now < END ->
-       owner_lives++; owner_waits_until = now + WINDOW + GIVEN_FOR; printf("#owner again\n");
-       for (k : 0 .. STEPS - 1) { spent[k] = 0; given[k] = 0 }
-       for (k : 0 .. ASKERS - 1) { last[k].life = 0; last[k].number = 0; last[k].work = 0; last[k].when = 0; last[k].returned = true }; k = 0 }
-  :: d_step { at[0].life < LIVES && now > at[0].started && now < END ->
-       at[0].life++; at[0].number = 0; at[0].waiting = false; at[0].held = 0; at[0].until = 0; at[0].asked = 0; at[0].started = now; printf("#again 0\n") }
-  :: now >= END -> break
+  :: d_step {
+        len(network) > 0 ->
+        network ? kind, borrower, incarnation, number, work;
+        printf("#lose\n")
+      }
+  :: d_step {
+        len(network) > 0 && len(network) < MAX_IN_FLIGHT ->
+        network ? <kind, borrower, incarnation, number, work>;
+        network ! kind, borrower, incarnation, number, work;
+        printf("#double\n")
+      }
+  :: d_step {
+        len(network) > 1 ->
+        network ? kind, borrower, incarnation, number, work;
+        network ! kind, borrower, incarnation, number, work;
+        printf("#rotate\n")
+      }
+  :: d_step {
+        owner_restarts < MAX_RESTARTS && now < END ->
+        owner_restarts++;
+        owner_waits_until = now + WINDOW + OWNER_LENGTH;
+        printf("#owner again\n");
+        for (k : 0 .. STEPS - 1) {
+          sent_by_owner[k] = 0;
+          granted[k] = 0
+        }
+        for (k : 0 .. BORROWERS - 1) {
+          granted_leases[k].incarnation = 0;
+          granted_leases[k].number = 0;
+          granted_leases[k].work = 0;
+          granted_leases[k].granted_at = 0;
+          granted_leases[k].is_returned = true
+        };
+        k = 0
+      }
+  :: d_step {
+        borrowers[0].incarnation < MAX_RESTARTS && now > borrowers[0].started_at && now < END ->
+        borrowers[0].incarnation++;
+        borrowers[0].number = 0;
+        borrowers[0].is_awaiting_reply = false;
+        borrowers[0].held_work = 0;
+        borrowers[0].until = 0;
+        borrowers[0].requested_at = 0;
+        borrowers[0].started_at = now;
+        printf("#again 0\n")
+      }
+  :: now >= END ->
+      break
   od
 }
