--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -7,13 +7,13 @@
 namespace keelflow::fleet {
 namespace {
 
-// Times log2 of the members: how often an update rides along.
+// Each update is piggybacked on kTransmissionFactor * log2(members + 1) messages, rounded up.
 constexpr double kTransmissionFactor = 3;
-// Members to whom an urgent update goes at once.
-constexpr int kFanout = 4;
-// Gossip messages saved up at most, and their rate a millisecond.
-constexpr double kMostBudget = 24;
-constexpr double kBudgetPerMs = 0.04;
+// Number of members that receive an urgent update at once.
+constexpr int kUrgentFanout = 4;
+// Token bucket for urgent gossip messages: its capacity, and its refill rate in messages per ms.
+constexpr double kMaxGossipBudget = 24;
+constexpr double kGossipBudgetPerMs = 0.04;
 
 void add_new(const std::vector<MemberUpdate>& added, std::vector<MemberUpdate>& updates) {
   for (const MemberUpdate& update : added)
@@ -24,7 +24,7 @@
 }  // namespace
 
 Dissemination::Dissemination(const MemberTable& members, MemberSampler& sampler, Time now)
-    : members_(members), sampler_(sampler), budget_(kMostBudget), budget_at_(now) {}
+    : members_(members), sampler_(sampler), budget_(kMaxGossipBudget), budget_at_(now) {}
 
 void Dissemination::enqueue(int member) {
   double transmissions = std::ceil(kTransmissionFactor * std::log2(members_.size() + 1));
@@ -33,9 +33,9 @@
 
 void Dissemination::enqueue_urgent(int member, Time now, MembershipOutput& out) {
   enqueue(member);
-  budget_ = std::min(kMostBudget, budget_ + (now - budget_at_) * kBudgetPerMs);
+  budget_ = std::min(kMaxGossipBudget, budget_ + (now - budget_at_) * kGossipBudgetPerMs);
   budget_at_ = now;
-  for (int i = 0; i < kFanout; ++i) {
+  for (int i = 0; i < kUrgentFanout; ++i) {
     if (budget_ < 1) {
       ++held_back_;
       return;
@@ -53,7 +53,7 @@
   message.incarnation = members_.own_incarnation();
   message.digest = members_.digest();
   if (members_.is_accused(to))
-    add_new(members_.updates_of(to), message.updates);  // it alone can refute that
+    add_new(members_.updates_of(to), message.updates);  // only the accused member can refute it
   add_queued(message.updates);
   if (padding == Padding::table)
     add_from_table(message.updates);
@@ -82,8 +82,8 @@
        out, padding);
 }
 
-// Round robin: with many queued, the first of them must not be sent again before the rest is sent
-// once.
+// Selects updates round robin, so that with many queued updates each is sent once before any is
+// sent again.
 void Dissemination::add_queued(std::vector<MemberUpdate>& updates) {
   for (std::size_t left = transmissions_left_.size(); left > 0 && updates.size() < kMaxUpdates;
        --left) {
--- a/logic/fleet/slow_start_leases.cpp
+++ b/logic/fleet/slow_start_leases.cpp
@@ -12,11 +12,11 @@
 using scheduler::EndpointEntry;
 using scheduler::Event;
 
-// The last part of its length in which a lease is given back.
-constexpr double kReturnBeforeEnd = 0.25;
+// A lease is returned when less than this fraction of its length remains.
+constexpr double kReturnBeforeEndFraction = 0.25;
 
-// Unix milliseconds of the start, cut to 32 bits: greater than that of a former incarnation within
-// the weeks after which it comes round.
+// Unix milliseconds of the start, truncated to 32 bits: greater than those of earlier incarnations
+// until the value wraps around, after weeks.
 std::uint32_t incarnation_of(scheduler::Time started_at) {
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, started_at)));
 }
@@ -24,8 +24,8 @@
 bool same_incarnations(const std::map<scheduler::EndpointId, EndpointEntry>& a,
                        const std::map<scheduler::EndpointId, EndpointEntry>& b) {
   return a.size() == b.size() &&
-         std::equal(a.begin(), a.end(), b.begin(), [](const auto& one, const auto& other) {
-           return one.first == other.first && one.second.started_at == other.second.started_at;
+         std::equal(a.begin(), a.end(), b.begin(), [](const auto& left, const auto& right) {
+           return left.first == right.first && left.second.started_at == right.second.started_at;
          });
 }
 
@@ -48,7 +48,7 @@
       started_at_(started_at),
       slow_start_ms_(settings.slow_start_ms),
       window_ms_(settings.overload_window_ms),
-      length_ms_(kLeaseLengthInWindows * settings.overload_window_ms),
+      lease_length_ms_(kLeaseLengthInWindows * settings.overload_window_ms),
       is_alive_(static_cast<std::size_t>(dispatchers_), true),
       borrower_(self_, dispatchers_, incarnation_of(started_at)) {}
 
@@ -65,7 +65,7 @@
     if (apply_list(*list))
       rebuild_leases();
     for (auto& [id, lease] : leases_)
-      lease.entry = endpoints_.at(id);  // it may have begun to drain
+      lease.entry = endpoints_.at(id);  // its state may have changed, for example to draining
   } else if (const auto* members = std::get_if<scheduler::MembershipChanged>(&event)) {
     if (members->is_alive.size() == is_alive_.size())
       is_alive_ = members->is_alive;
@@ -74,7 +74,7 @@
   } else if (const auto* sibling = std::get_if<scheduler::SiblingProcess>(&event)) {
     has_sibling_process_ = sibling->is_present;
   } else if (std::holds_alternative<scheduler::LearnedState>(event)) {
-    // The learned state has what the old process sent, but not what it granted, until now.
+    // The learned state includes what the old process sent until now, but not what it granted.
     started_at_ = peers_ ? now_ : -1e18;
   }
   if (leases_.empty())
@@ -94,13 +94,13 @@
   peers_ = settings.peers;
   slow_start_ms_ = settings.slow_start_ms;
   window_ms_ = settings.overload_window_ms;
-  length_ms_ = kLeaseLengthInWindows * settings.overload_window_ms;
+  lease_length_ms_ = kLeaseLengthInWindows * settings.overload_window_ms;
   is_alive_.assign(static_cast<std::size_t>(dispatchers_), true);
   borrower_.reset(self_, dispatchers_);
   rebuild_leases();
 }
 
-// True: an endpoint was added or removed, or started again.
+// Returns true if an endpoint was added, removed or restarted.
 bool SlowStartLeases::apply_list(const scheduler::EndpointList& list) {
   if (list.scope == scheduler::ListScope::failed)
     return false;
@@ -150,19 +150,19 @@
   return entry.started_at > 0 && now_ < entry.started_at + slow_start_ms_;
 }
 
-// Until all is out of the window that a former incarnation may have sent, or granted to others who
-// sent it at the lease's end.
-bool SlowStartLeases::must_wait(const EndpointLease& lease) const {
-  double granted_ms = peers_ ? (1 + kDrift) * length_ms_ : 0;
+// Whether work may still be in the overload window that an earlier incarnation sent, or that it
+// granted to a borrower that sent it at the lease's end.
+bool SlowStartLeases::must_wait_for_earlier_incarnation(const EndpointLease& lease) const {
+  double granted_ms = peers_ ? (1 + kMaxClockDrift) * lease_length_ms_ : 0;
   return lease.entry.started_at <= started_at_ && now_ < started_at_ + window_ms_ + granted_ms;
 }
 
 double SlowStartLeases::fraction_of(const EndpointLease& lease) const {
-  return must_wait(lease) ? 0 : fraction_at(lease.place, dispatchers_);
+  return must_wait_for_earlier_incarnation(lease) ? 0 : fraction_at(lease.place, dispatchers_);
 }
 
 scheduler::Time SlowStartLeases::return_time(scheduler::Time until) const {
-  return until - length_ms_ * kReturnBeforeEnd;
+  return until - lease_length_ms_ * kReturnBeforeEndFraction;
 }
 
 bool SlowStartLeases::may_lease() const {
@@ -187,11 +187,11 @@
     notifications.emplace_back(std::move(shares));
 }
 
-// Leases that are about to end, and endpoints that have warmed up.
+// Returns leases that are about to end and removes endpoints that have warmed up.
 void SlowStartLeases::expire(const Dispatcher& dispatcher, SlowStartOutput out) {
   if (now_ < next_expiry_)
     return;
-  next_expiry_ = now_ + length_ms_;
+  next_expiry_ = now_ + lease_length_ms_;
   for (auto it = leases_.begin(); it != leases_.end();) {
     EndpointLease& lease = it->second;
     if (now_ >= lease.entry.started_at + slow_start_ms_) {
@@ -199,7 +199,8 @@
       continue;
     }
     const BorrowedLease& borrowed = lease.borrowed;
-    if (borrowed.until > now_ && borrowed.until - now_ < length_ms_ * kReturnBeforeEnd)
+    if (borrowed.until > now_ &&
+        borrowed.until - now_ < lease_length_ms_ * kReturnBeforeEndFraction)
       borrower_.give_back(lease, dispatcher.slow_start_budget(it->first, now_).granted, out);
     if (borrowed.until > now_)
       next_expiry_ = std::min(next_expiry_, return_time(borrowed.until));
@@ -231,13 +232,13 @@
   switch (decoded->kind) {
     case SlowStartMessage::Kind::request:
       if (may_lease() && fraction_of(lease) > 0)
-        owner_.on_request(now_, length_ms_, message.peer, *decoded,
+        owner_.on_request(now_, lease_length_ms_, message.peer, *decoded,
                           dispatcher.slow_start_budget(decoded->endpoint, now_).own, lease, out);
       return;
     case SlowStartMessage::Kind::returned:
       return owner_.on_return(message.peer, *decoded, lease, out);
     case SlowStartMessage::Kind::grant:
-      if (borrower_.on_grant(now_, length_ms_, message.peer, *decoded, lease, out))
+      if (borrower_.on_grant(now_, lease_length_ms_, message.peer, *decoded, lease, out))
         next_expiry_ = std::min(next_expiry_, return_time(lease.borrowed.until));
       return;
   }
