--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -16,8 +16,9 @@
 constexpr double kDesiredSizeSharingLoad = 6;
 // Minimum number of dispatchers for sharing load.
 constexpr int kLeastSharingDispatchers = 16;
-// Number of endpoints that a dispatcher gets by score alone in the first pass.
-constexpr int kUnboundedPicks = 2;
+// Number of endpoints that a dispatcher gets in the first pass, by score and limited only by the
+// upper bound on an endpoint's dispatchers.
+constexpr int kFirstPassPicks = 2;
 // Allowed deviation of an endpoint's number of dispatchers below and above the mean. Narrower
 // bounds move more pairs at each change. The mean is often a whole or half number; offsets that are
 // whole or half numbers would make many endpoints change at once when one dispatcher is added or
@@ -94,7 +95,7 @@
   };
   double under = mean < kSmallMean ? kUnderMean - 1 : kUnderMean;
   double over = mean < kSmallMean ? kOverMean - 1 : kOverMean;
-  pass(std::min(kUnboundedPicks, subset_size), mean + over);
+  pass(std::min(kFirstPassPicks, subset_size), mean + over);
   pass(subset_size, std::max(1.0, mean - under));
   pass(subset_size, mean + over);
   pass(subset_size, static_cast<double>(dispatchers.size()));
