--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -375,7 +375,7 @@
                    {"from", m.spec().from},
                    {"to", m.spec().to},
                    {"state", moves::word(m.state())},
-                   {"waits", moves::word(m.waits())},
+                   {"waits", moves::word(m.wait_reason())},
                    {"step", m.step() + 1},
                    {"steps", m.spec().steps.size()},
                    {"share", m.share()},
