--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -125,7 +125,7 @@
         continue;
       }
       if (!is_addressed)
-        throw_error("event record before the first address record");
+        throw_error("event before any 'about'");
       records.push_back({instance, read_record()});
     }
     return records;
