--- a/tests/replay/decisions_test.cpp
+++ b/tests/replay/decisions_test.cpp
@@ -1,6 +1,6 @@
-// The decisions of the Dispatcher and of the fleet's parts beside it: drawn days against what was
-// recorded of them. A change that is meant to change no decision leaves every line of
-// recordings/decisions.txt as it is.
+/// Compares the decisions of the Dispatcher and of its fleet components in random scenarios with
+/// recordings. A change that is not meant to change decisions must leave every line of
+/// recordings/decisions.txt unchanged.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -140,17 +140,18 @@
   return all;
 }
 
+/// Runs one scenario and compares its recording.
 class RecordedScenario : public testing::TestWithParam<ScenarioOptions> {};
 
-TEST_P(RecordedScenario, IsDecidedAsBefore) {
+TEST_P(RecordedScenario, MatchesTheRecordedDecisions) {
   Recording recording(GetParam().name);
   run_scenario(GetParam(), recording);
   expect_recorded(recording);
 }
 
 INSTANTIATE_TEST_SUITE_P(Dispatcher, RecordedScenario, testing::ValuesIn(scenarios()),
-                         [](const auto& day) {
-                           std::string name = day.param.name;
+                         [](const auto& scenario) {
+                           std::string name = scenario.param.name;
                            std::replace(name.begin(), name.end(), '-', '_');
                            return name;
                          });
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -1,3 +1,4 @@
+/// Runs random scenarios with simulated endpoints, clients and peer network.
 #include "dispatcher_day.h"
 
 #include <algorithm>
@@ -22,11 +23,14 @@
 using scheduler::Event;
 using scheduler::RequestId;
 
+constexpr EndpointId kFirstEndpointId = 1000;
+constexpr EndpointId kEndpointIdStep = 37;
 constexpr int kZones = 3;
 constexpr int kKinds = 2;
-constexpr double kMeanWork = 80;
-constexpr double kStart = 50000;  // the clock's time when the day begins
+constexpr double kMeanWorkMs = 80;
+constexpr double kStart = 50000;  // clock at the beginning of the scenario
 
+/// A simulated endpoint; the probabilities are per attempt.
 struct EndpointModel {
   EndpointEntry entry;
   double slowness = 1;
@@ -37,21 +41,23 @@
   int cores = 4;
 };
 
+/// An attempt at a simulated endpoint, given by its index.
 struct AttemptModel {
   std::size_t endpoint = 0;
   bool has_ended = false;
 };
 
+/// A Dispatcher with the fleet components of its process, and its requests.
 struct Node {
   std::unique_ptr<scheduler::Dispatcher> dispatcher;
   std::optional<fleet::Subsets> subsets;
   std::optional<fleet::SlowStartLeases> slow_start_leases;
-  std::uint64_t timer = 0;  // the latest
+  std::uint64_t timer = 0;  // id of the last timer that was set
   std::map<RequestId, std::vector<AttemptModel>> attempts;
   std::map<RequestId, double> work;
 };
 
-/// Something that is to happen: an event for one Dispatcher, or a change of the world.
+/// A scheduled event for one Dispatcher, or a change of the simulated environment.
 struct ScheduledEvent {
   double when = 0;
   std::uint64_t order = 0;
@@ -69,6 +75,7 @@
   }
 };
 
+/// Runs one scenario as a discrete event simulation.
 class Scenario {
  public:
   Scenario(const ScenarioOptions& options, Recording& recording)
@@ -94,7 +101,7 @@
   }
 
  private:
-  // A sibling is one process more, with the rank of the first.
+  // A sibling is one additional process with the rank of the first node.
   int count() const { return options_.dispatchers + (options_.sibling ? 1 : 0); }
   int rank_of(int node) const { return node < options_.dispatchers ? node : 0; }
 
@@ -138,7 +145,7 @@
   void draw_endpoints() {
     for (int i = 0; i < options_.endpoints; ++i) {
       EndpointModel endpoint;
-      endpoint.entry = {static_cast<EndpointId>(1000 + 37 * i),
+      endpoint.entry = {kFirstEndpointId + kEndpointIdStep * static_cast<EndpointId>(i),
                         i % kZones,
                         rng_.chance(0.7) ? 0 : 1,
                         i / 4,
@@ -191,8 +198,8 @@
     double capacity = 0;
     for (const EndpointModel& endpoint : endpoints_)
       capacity += endpoint.cores / endpoint.slowness;
-    double gap = kMeanWork * options_.dispatchers / (capacity * options_.load);
-    schedule(now_ - gap * std::log(1 - rng_.unit()), node, ScheduledEvent::Kind::arrival);
+    double mean_gap_ms = kMeanWorkMs * options_.dispatchers / (capacity * options_.load);
+    schedule(now_ - mean_gap_ms * std::log(1 - rng_.unit()), node, ScheduledEvent::Kind::arrival);
   }
 
   void process(ScheduledEvent& next) {
@@ -212,7 +219,7 @@
 
   void deliver(int node, Event event) {
     if (const auto* timer = std::get_if<scheduler::TimerFired>(&event)) {
-      // Now and then an old timer comes too: it has to be passed over.
+      // Stale timers are sometimes delivered; the Dispatcher must ignore them.
       if (timer->id != nodes_[static_cast<std::size_t>(node)].timer && !rng_.chance(0.1))
         return;
     }
@@ -225,7 +232,7 @@
     handle_event(node, std::move(event));
   }
 
-  // One event for one Dispatcher, with what stands beside it, and then what it wants done.
+  // Passes an event to one Dispatcher and its fleet components, then performs the actions.
   void handle_event(int index, Event event) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     Actions actions;
@@ -236,9 +243,9 @@
     if (auto subsets = node.subsets->after(event))
       notifications.push_back(std::move(*subsets));
     node.slow_start_leases->after(now_, event, *node.dispatcher, notifications, actions);
-    for (const Event& one : notifications) {
-      recording_.line(head + "told " + text_of(one));
-      node.dispatcher->handle(now_, one, actions);
+    for (const Event& notification : notifications) {
+      recording_.line(head + "told " + text_of(notification));
+      node.dispatcher->handle(now_, notification, actions);
     }
     for (const scheduler::Action& action : actions) {
       recording_.line(head + "> " + text_of(action));
@@ -257,7 +264,7 @@
                       ? 1 + static_cast<std::uint64_t>(40 * rng_.unit() * rng_.unit())
                       : 0;
     arrival.client_timeout_ms = rng_.between(100, 3000);
-    double work = kMeanWork * rng_.between(0.1, 1) * (rng_.chance(0.1) ? 5 : 1);
+    double work = kMeanWorkMs * rng_.between(0.1, 1) * (rng_.chance(0.1) ? 5 : 1);
     arrival.hint = rng_.chance(0.1) ? 0 : work * rng_.between(0.5, 2);
     arrival.slots = rng_.chance(0.1) ? 2 : 1;
     arrival.queue_weight = rng_.chance(0.1) ? 0.5 : 1;
@@ -277,7 +284,7 @@
   void carry_out(int index, const scheduler::SendAttempt& send) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     auto& attempts = node.attempts[send.request];
-    auto position = static_cast<std::size_t>((send.endpoint - 1000) / 37);
+    auto position = static_cast<std::size_t>((send.endpoint - kFirstEndpointId) / kEndpointIdStep);
     EndpointModel& endpoint = endpoints_[position];
     attempts.push_back({position, false});
     int attempt = static_cast<int>(attempts.size()) - 1;
@@ -297,7 +304,7 @@
     } else if (rng_.chance(endpoint.reject_probability)) {
       outcome.result = scheduler::AttemptResult::rejected;
     } else if (rng_.chance(endpoint.hang_probability)) {
-      return;  // nothing is heard of it until it is called off or the client leaves
+      return;  // no outcome until the attempt is cancelled or the client disconnects
     } else if (rng_.chance(endpoint.fail_probability)) {
       outcome.result =
           rng_.chance(0.5) ? scheduler::AttemptResult::error : scheduler::AttemptResult::reset;
@@ -352,7 +359,7 @@
       return;
     }
     if (!is_to_sibling && rng_.chance(0.1))
-      return;  // lost
+      return;  // the message is lost
     schedule(now_ + rng_.between(0.2, 4), to, ScheduledEvent::Kind::event,
              scheduler::PeerMessage{rank_of(index), message.bytes});
   }
@@ -417,7 +424,7 @@
     }
   }
 
-  // What was out at the former process is forgotten; its requests are its own.
+  // Attempts of the former process are discarded; the new process does not know its requests.
   void restart(int index) {
     Node& node = nodes_[static_cast<std::size_t>(index)];
     scheduler::LearnedState learned = node.dispatcher->learned_state(now_);
--- a/tests/replay/dispatcher_day.h
+++ b/tests/replay/dispatcher_day.h
@@ -1,42 +1,42 @@
-// A drawn day of several Dispatchers that share endpoints: what happens is drawn from a seed, and
-// what the Dispatchers do decides what happens next. The endpoints, the network between the
-// Dispatchers and the clients are played here.
+/// A random scenario of several Dispatchers that share endpoints. Events are drawn from a seed and
+/// depend on the actions of the Dispatchers. Endpoints, clients and the network between Dispatchers
+/// are simulated.
 #pragma once
 
 #include "recording.h"
 
 namespace keelflow::replay {
 
-/// What is unusual about a day; each switch brings in events that the plain day lacks.
+/// Parameters of a scenario. Each flag adds events that the default scenario does not have.
 struct ScenarioOptions {
   std::string name;
   std::uint64_t seed = 1;
   int dispatchers = 1;
   int endpoints = 12;
   double length_ms = 6000;
-  double load = 0.7;  // offered work over what all endpoints can do
+  double load = 0.7;  // offered work as a fraction of the capacity of all endpoints
   bool parallel_attempts = false;
-  bool polls_list = false;  // the list has to be asked for
+  bool polls_list = false;  // the endpoint list is polled, not pushed
   bool peers = false;
   bool retry_after = false;
   bool start_reports = true;
   bool keys = false;
   bool several_classes = true;
   bool tenants = false;
-  bool endpoint_restarts = false;  // endpoints start again during the day
-  bool faulty_endpoints = false;   // some fail, refuse or hang
+  bool endpoint_restarts = false;  // endpoints restart during the scenario
+  bool faulty_endpoints = false;   // some endpoints fail, reject or do not respond
   bool settings_change = false;
-  bool dispatcher_restarts =
-      false;             // a Dispatcher is replaced by one that is told what the former had learned
-  bool sibling = false;  // a second process of the same node
+  /// A Dispatcher is replaced by a new one that restores the learned state of the old one.
+  bool dispatcher_restarts = false;
+  bool sibling = false;  // runs a second process of the first node
   bool members_change = false;
-  bool sends_forbidden = false;  // for a while now and then
+  bool sends_forbidden = false;  // sending is forbidden for random periods
   bool clients_disconnect = false;
   bool cancel = true;
   int attempts = 4;
 };
 
-/// Plays the day and returns what was recorded.
+/// Runs the scenario and adds its inputs and outputs to the recording.
 void run_scenario(const ScenarioOptions& options, Recording& recording);
 
 }  // namespace keelflow::replay
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -1,5 +1,5 @@
-// What is decided beside the Dispatcher (membership, routes, discovery): drawn sequences of calls
-// against what was recorded.
+/// Compares the decisions of membership, routing and discovery in random call sequences with
+/// recordings.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -25,8 +25,8 @@
   return when ? text_of(*when) : std::string("never");
 }
 
-/// Many members on one network that loses, delays and repeats datagrams, while some stop, stall and
-/// come back.
+/// A simulated network of members that loses, delays and duplicates datagrams while members stop,
+/// stall and restart.
 class MembershipScenario {
  public:
   MembershipScenario(int members, std::uint64_t seed, Recording& recording)
@@ -51,7 +51,7 @@
  private:
   static constexpr double kStart = 1000000;
   struct Node {
-    std::unique_ptr<fleet::Membership> membership;  // null: it does not run
+    std::unique_ptr<fleet::Membership> membership;  // null while the member is not running
     double stalled_until = 0;
   };
   struct Datagram {
@@ -75,8 +75,8 @@
       if (!node.membership || now_ < node.stalled_until)
         continue;
       fleet::Membership::Output out;
-      bool known = node.membership->on_datagram(now_, datagram.from, datagram.bytes, out);
-      recording_.line("heard " + std::to_string(datagram.to) + " " + std::to_string(known));
+      bool is_known = node.membership->on_datagram(now_, datagram.from, datagram.bytes, out);
+      recording_.line("heard " + std::to_string(datagram.to) + " " + std::to_string(is_known));
       record_and_send(datagram.to, out);
     }
   }
@@ -145,7 +145,7 @@
   std::multimap<double, Datagram> in_transit_;
 };
 
-TEST(RecordedLogic, Membership) {
+TEST(RecordedLogic, MembershipMatchesTheRecording) {
   for (int members : {3, 12, 40}) {
     Recording recording("membership-" + std::to_string(members));
     MembershipScenario(members, static_cast<std::uint64_t>(members), recording).run_to_end();
@@ -153,7 +153,7 @@
   }
 }
 
-TEST(RecordedLogic, Subsets) {
+TEST(RecordedLogic, SubsetsMatchTheRecording) {
   Recording recording("subsets");
   Rng rng(31);
   for (int i = 0; i < 60; ++i) {
@@ -175,7 +175,7 @@
   expect_recorded(recording);
 }
 
-/// A Router whose lists, weights and pools change while requests come.
+/// A Router whose endpoint lists, weights and pools change between requests.
 class RouterScenario {
  public:
   RouterScenario(std::uint64_t seed, Recording& recording)
@@ -283,7 +283,7 @@
   routes::Router router_;
 };
 
-TEST(RecordedLogic, Router) {
+TEST(RecordedLogic, RouterMatchesTheRecording) {
   for (std::uint64_t seed : {41, 42, 43}) {
     Recording recording("router-" + std::to_string(seed));
     RouterScenario(seed, recording).run_to_end();
@@ -291,7 +291,7 @@
   }
 }
 
-TEST(RecordedLogic, CallScheduleLeaseAndOutage) {
+TEST(RecordedLogic, CallScheduleLeaseAndOutageMatchTheRecording) {
   Recording recording("discovery");
   Rng rng(51);
   for (int fleet = 0; fleet < 40; ++fleet) {
@@ -345,8 +345,8 @@
           if (rng.chance(0.2))
             outage.end();
       }
-      auto open = static_cast<std::size_t>(rng.below(4));
-      recording.line(text_of(now) + " next " + text_of(schedule.next_call(open)) + " " +
+      auto open_calls = static_cast<std::size_t>(rng.below(4));
+      recording.line(text_of(now) + " next " + text_of(schedule.next_call(open_calls)) + " " +
                      std::to_string(schedule.max_open_calls()) + " lease " +
                      std::to_string(lease.valid(now)) + " " + text_of(lease.until()) + " outage " +
                      text_of(outage.until(now)));
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -1,6 +1,6 @@
-// Every message between processes, to the byte: a release and the one before it run side by side.
-// What each encoder writes is compared with recordings/messages.txt, and what is recorded there is
-// read and written again.
+/// Checks every message between processes byte for byte, because consecutive releases run side by
+/// side. The output of each encoder is compared with recordings/messages.txt, and each recorded
+/// message is decoded and encoded again.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -51,7 +51,7 @@
             name + " " + (it == recorded_messages().end() ? "(not recorded)" : it->second));
 }
 
-// The recorded messages of that kind, as bytes.
+// The recorded messages whose names begin with `prefix`, as bytes.
 std::vector<std::string> recorded_bytes(const std::string& prefix) {
   std::vector<std::string> all;
   for (const auto& [name, text] : recorded_messages())
@@ -61,7 +61,7 @@
   return all;
 }
 
-TEST(RecordedMessages, LoadUpdatesOfPeers) {
+TEST(RecordedMessages, LoadUpdatesKeepTheirBytes) {
   Rng rng(61);
   for (int signal = 0; signal <= 6; ++signal) {
     for (int i = 0; i < 3; ++i) {
@@ -79,7 +79,7 @@
   for (const std::string& bytes : recorded_bytes("load-update-")) {
     auto read = scheduler::decode_load_update(bytes);
     ASSERT_TRUE(read);
-    // The last byte is read of two signals only.
+    // The last byte is significant for two signals only.
     bool has_detail = read->signal == scheduler::LoadSignal::served ||
                       read->signal == scheduler::LoadSignal::sent;
     std::size_t read_bytes = has_detail ? bytes.size() : bytes.size() - 1;
@@ -89,7 +89,7 @@
   EXPECT_FALSE(scheduler::decode_load_update("1234567"));
 }
 
-TEST(RecordedMessages, IncarnationTagsOfEndpoints) {
+TEST(RecordedMessages, IncarnationTagsKeepTheirValues) {
   Rng rng(62);
   for (int i = 0; i < 6; ++i) {
     scheduler::EndpointEntry entry;
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(RecordedMessages, SlowStartGrants) {
+TEST(RecordedMessages, SlowStartMessagesKeepTheirBytes) {
   Rng rng(63);
   for (int kind = 0; kind < 3; ++kind) {
     for (int i = 0; i < 3; ++i) {
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(RecordedMessages, Membership) {
+TEST(RecordedMessages, MembershipMessagesKeepTheirBytes) {
   Rng rng(64);
   for (int kind = 0; kind < 5; ++kind) {
     fleet::MembershipMessage message;
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(RecordedMessages, WatchQuestions) {
+TEST(RecordedMessages, WatchMessagesKeepTheirBytes) {
   for (int kind = 1; kind <= 3; ++kind)
     expect_message("watch-" + std::to_string(kind),
                    hex_of(discovery::encode({static_cast<discovery::WatchMessage::Kind>(kind)})));
@@ -159,13 +159,13 @@
 }
 
 scheduler::LearnedState example_learned_state() {
-  scheduler::LearnedState k;
-  k.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
-  k.kinds = {{4, 0.5}, {2, 1.5}};
-  k.fleet = {{11, 22.125}, 150, 0.25};
-  k.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
-                 {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
-  return k;
+  scheduler::LearnedState state;
+  state.classes = {{1.25, 900.5, 11}, {0.5, 0, 0}};
+  state.kinds = {{4, 0.5}, {2, 1.5}};
+  state.fleet = {{11, 22.125}, 150, 0.25};
+  state.endpoints = {{7, 1000, {1.25, 5, 1, 2, 2000}, 3, 400},
+                     {4000000000, 0, {0.75, 2.5, 0, 0, 0}, 0, 0}};
+  return state;
 }
 
 Names example_names() {
@@ -175,7 +175,7 @@
           .kinds = {"fast", "slow"}};
 }
 
-TEST(RecordedMessages, LearnedState) {
+TEST(RecordedMessages, LearnedStateKeepsItsText) {
   std::string written = to_json(example_learned_state(), example_names()).dump();
   expect_message("learned-state", written);
   auto it = recorded_messages().find("learned-state");
@@ -185,7 +185,7 @@
   EXPECT_EQ(text_of(scheduler::Event(read)), text_of(scheduler::Event(example_learned_state())));
 }
 
-/// One side of a hand-over, and a plain socket in the place of the other process.
+/// One side of a handover, with a plain socket in place of the other process.
 class RecordedHandover : public testing::Test {
  protected:
   RecordedHandover() {
@@ -230,7 +230,7 @@
         counters_);
   }
 
-  // The one socket that stands in the folder.
+  // The name of the only socket in the folder.
   std::string socket_name() const {
     for (const auto& entry : std::filesystem::directory_iterator(folder_))
       return entry.path().filename();
@@ -250,11 +250,11 @@
   void send(const std::string& line) const {
     ASSERT_EQ(::write(peer_, line.data(), line.size()), static_cast<ssize_t>(line.size()));
   }
-  // Runs the loop until the other side has read that many lines.
+  // Runs the event loop until the peer socket has received `count` lines.
   std::vector<std::string> lines(std::size_t count) {
-    auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (static_cast<std::size_t>(std::count(unread_.begin(), unread_.end(), '\n')) < count &&
-           std::chrono::steady_clock::now() < latest)
+           std::chrono::steady_clock::now() < deadline)
       poll_once();
     std::vector<std::string> all;
     for (std::size_t end; all.size() < count && (end = unread_.find('\n')) != std::string::npos;
@@ -265,8 +265,8 @@
     return all;
   }
   void wait_received(std::size_t count) {
-    auto latest = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (received_.size() < count && std::chrono::steady_clock::now() < latest)
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (received_.size() < count && std::chrono::steady_clock::now() < deadline)
       poll_once();
     EXPECT_EQ(received_.size(), count);
   }
@@ -274,19 +274,20 @@
     loop_.at(loop_.now() + std::chrono::milliseconds(1), [this] { loop_.stop(); });
     loop_.run();
     char bytes[4096];
-    ssize_t got = peer_ < 0 ? 0 : ::recv(peer_, bytes, sizeof bytes, MSG_DONTWAIT);
-    if (got > 0)
-      unread_.append(bytes, static_cast<std::size_t>(got));
+    ssize_t received = peer_ < 0 ? 0 : ::recv(peer_, bytes, sizeof bytes, MSG_DONTWAIT);
+    if (received > 0)
+      unread_.append(bytes, static_cast<std::size_t>(received));
   }
 
-  std::string folder_, unread_;
+  std::string folder_;
+  std::string unread_;
   int peer_ = -1;
   std::vector<std::string> received_;
   Counters counters_;
   net::EventLoop loop_;
 };
 
-TEST_F(RecordedHandover, TheProcessThatServes) {
+TEST_F(RecordedHandover, TheServingProcessKeepsItsMessages) {
   auto handover = make();
   handover->listen();
   expect_message("handover-socket", socket_name());
@@ -308,7 +309,7 @@
             (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
 }
 
-TEST_F(RecordedHandover, TheProcessThatTakesOver) {
+TEST_F(RecordedHandover, TheProcessThatTakesOverKeepsItsMessages) {
   std::string name = recorded_messages().contains("handover-socket")
                          ? recorded_messages().at("handover-socket")
                          : "none";
--- a/tests/replay/recording.cpp
+++ b/tests/replay/recording.cpp
@@ -1,3 +1,4 @@
+/// Text forms of events and actions, and the comparison with recordings.
 #include "recording.h"
 
 #include <gtest/gtest.h>
@@ -20,126 +21,133 @@
   return out;
 }
 
-std::string entry_text(const scheduler::EndpointEntry& e) {
-  return " [" + std::to_string(e.endpoint) + " " + std::to_string(e.zone) + " " +
-         std::to_string(e.kind) + " " + std::to_string(e.cell) + " " +
-         std::to_string(static_cast<int>(e.state)) + " " + text_of(e.nominal_capacity) + " " +
-         text_of(e.started_at) + "]";
+std::string entry_text(const scheduler::EndpointEntry& entry) {
+  return " [" + std::to_string(entry.endpoint) + " " + std::to_string(entry.zone) + " " +
+         std::to_string(entry.kind) + " " + std::to_string(entry.cell) + " " +
+         std::to_string(static_cast<int>(entry.state)) + " " + text_of(entry.nominal_capacity) +
+         " " + text_of(entry.started_at) + "]";
 }
 
-std::string subset_text(const scheduler::SubsetEntry& at) {
-  return " [" + std::to_string(at.endpoint) + " " + std::to_string(at.is_own) + joined(at.peers) +
-         "]";
+std::string subset_text(const scheduler::SubsetEntry& entry) {
+  return " [" + std::to_string(entry.endpoint) + " " + std::to_string(entry.is_own) +
+         joined(entry.peers) + "]";
 }
 
-/// One overload for each type of event.
+/// Converts events to text, with one overload for each type.
 struct EventText {
-  std::string operator()(const scheduler::EndpointList& e) const { return replay::text_of(e); }
-  std::string operator()(const scheduler::RequestArrived& e) const {
-    return "arrival " + std::to_string(e.request) + " " + std::to_string(e.class_index) + " " +
-           std::to_string(e.tenant) + " " + std::to_string(e.key) + " " +
-           text_of(e.client_timeout_ms) + " " + text_of(e.hint) + " " + text_of(e.slots) + " " +
-           text_of(e.memory) + " " + text_of(e.queue_weight) + " " +
-           std::to_string(e.is_client_retry);
+  std::string operator()(const scheduler::EndpointList& event) const {
+    return replay::text_of(event);
   }
-  std::string operator()(const scheduler::ResponseStreamStarted& e) const {
-    return "stream " + std::to_string(e.request);
+  std::string operator()(const scheduler::RequestArrived& event) const {
+    return "arrival " + std::to_string(event.request) + " " + std::to_string(event.class_index) +
+           " " + std::to_string(event.tenant) + " " + std::to_string(event.key) + " " +
+           text_of(event.client_timeout_ms) + " " + text_of(event.hint) + " " +
+           text_of(event.slots) + " " + text_of(event.memory) + " " + text_of(event.queue_weight) +
+           " " + std::to_string(event.is_client_retry);
   }
-  std::string operator()(const scheduler::AttemptStarted& e) const {
-    return "started " + std::to_string(e.request) + " " + std::to_string(e.attempt);
+  std::string operator()(const scheduler::ResponseStreamStarted& event) const {
+    return "stream " + std::to_string(event.request);
   }
-  std::string operator()(const scheduler::ClientDisconnected& e) const {
-    return "gone " + std::to_string(e.request) + " " + std::to_string(e.is_rerouted);
+  std::string operator()(const scheduler::AttemptStarted& event) const {
+    return "started " + std::to_string(event.request) + " " + std::to_string(event.attempt);
   }
-  std::string operator()(const scheduler::TimerFired& e) const {
-    return "timer " + std::to_string(e.id);
+  std::string operator()(const scheduler::ClientDisconnected& event) const {
+    return "gone " + std::to_string(event.request) + " " + std::to_string(event.is_rerouted);
   }
-  std::string operator()(const scheduler::PeerMessage& e) const {
-    return "peer " + std::to_string(e.peer) + " " + hex_of(e.bytes);
+  std::string operator()(const scheduler::TimerFired& event) const {
+    return "timer " + std::to_string(event.id);
   }
-  std::string operator()(const scheduler::HealthCheckResult& e) const {
-    return "probe " + std::to_string(e.endpoint) + " " + std::to_string(e.ok) + " " +
-           text_of(e.elapsed_ms);
+  std::string operator()(const scheduler::PeerMessage& event) const {
+    return "peer " + std::to_string(event.peer) + " " + hex_of(event.bytes);
   }
-  std::string operator()(const scheduler::AttemptFinished& e) const {
-    return "outcome " + std::to_string(e.request) + " " + std::to_string(e.attempt) + " " +
-           std::to_string(static_cast<int>(e.result)) + " " + text_of(e.elapsed_ms) + " " +
-           std::to_string(e.request_finished);
+  std::string operator()(const scheduler::HealthCheckResult& event) const {
+    return "probe " + std::to_string(event.endpoint) + " " + std::to_string(event.ok) + " " +
+           text_of(event.elapsed_ms);
   }
-  std::string operator()(const scheduler::SettingsChanged& e) const {
-    return "retune" + joined(e.learned_from);
+  std::string operator()(const scheduler::AttemptFinished& event) const {
+    return "outcome " + std::to_string(event.request) + " " + std::to_string(event.attempt) + " " +
+           std::to_string(static_cast<int>(event.result)) + " " + text_of(event.elapsed_ms) + " " +
+           std::to_string(event.request_finished);
   }
-  std::string operator()(const scheduler::LearnedState& k) const {
+  std::string operator()(const scheduler::SettingsChanged& event) const {
+    return "retune" + joined(event.learned_from);
+  }
+  std::string operator()(const scheduler::LearnedState& state) const {
     std::string out =
-        "knowledge " + text_of(k.fleet.mean_run_ms) + " " + text_of(k.fleet.congestion);
-    for (double delay : k.fleet.start_delay_ms)
+        "knowledge " + text_of(state.fleet.mean_run_ms) + " " + text_of(state.fleet.congestion);
+    for (double delay : state.fleet.start_delay_ms)
       out += " z" + text_of(delay);
-    for (const auto& c : k.classes)
-      out += " c" + text_of(c.factor) + "/" + text_of(c.hint_sum) + "/" + text_of(c.hint_count);
-    for (const auto& kind : k.kinds)
+    for (const auto& calibration : state.classes)
+      out += " c" + text_of(calibration.factor) + "/" + text_of(calibration.hint_sum) + "/" +
+             text_of(calibration.hint_count);
+    for (const auto& kind : state.kinds)
       out += " k" + text_of(kind.observed_cores) + "/" + text_of(kind.service_time_ratio);
-    for (const auto& w : k.endpoints)
-      out += " w" + std::to_string(w.endpoint) + "/" + text_of(w.started_at) + "/" +
-             text_of(w.health.service_time_ratio) + "/" + text_of(w.health.concurrency_limit) +
-             "/" + std::to_string(w.health.outlier_signs) + "/" +
-             std::to_string(w.health.consecutive_failures) + "/" + text_of(w.health.ejected_until) +
-             "/" + text_of(w.in_flight) + "/" + text_of(w.slow_start_work_ms);
+    for (const auto& endpoint : state.endpoints)
+      out += " w" + std::to_string(endpoint.endpoint) + "/" + text_of(endpoint.started_at) + "/" +
+             text_of(endpoint.health.service_time_ratio) + "/" +
+             text_of(endpoint.health.concurrency_limit) + "/" +
+             std::to_string(endpoint.health.outlier_signs) + "/" +
+             std::to_string(endpoint.health.consecutive_failures) + "/" +
+             text_of(endpoint.health.ejected_until) + "/" + text_of(endpoint.in_flight) + "/" +
+             text_of(endpoint.slow_start_work_ms);
     return out;
   }
-  std::string operator()(const scheduler::SiblingProcess& e) const {
-    return "twin " + std::to_string(e.is_present);
+  std::string operator()(const scheduler::SiblingProcess& event) const {
+    return "twin " + std::to_string(event.is_present);
   }
-  std::string operator()(const scheduler::MembershipChanged& e) const {
+  std::string operator()(const scheduler::MembershipChanged& event) const {
     std::string out = "members ";
-    for (bool lives : e.is_alive)
-      out += lives ? '1' : '0';
+    for (bool is_alive : event.is_alive)
+      out += is_alive ? '1' : '0';
     return out;
   }
-  std::string operator()(const scheduler::SubsetChanged& e) const {
-    std::string out = "homes " + std::to_string(e.shares_load);
-    for (const auto& at : e.endpoints)
-      out += subset_text(at);
+  std::string operator()(const scheduler::SubsetChanged& event) const {
+    std::string out = "homes " + std::to_string(event.shares_load);
+    for (const auto& entry : event.endpoints)
+      out += subset_text(entry);
     return out;
   }
-  std::string operator()(const scheduler::SlowStartShares& e) const {
+  std::string operator()(const scheduler::SlowStartShares& event) const {
     std::string out = "turns";
-    for (const auto& at : e.endpoints)
-      out += subset_text(at.subset) + "/" + text_of(at.started_at) + "/" + text_of(at.fraction);
+    for (const auto& entry : event.endpoints)
+      out += subset_text(entry.subset) + "/" + text_of(entry.started_at) + "/" +
+             text_of(entry.fraction);
     return out;
   }
-  std::string operator()(const scheduler::SlowStartGrant& e) const {
-    return "grant " + std::to_string(e.endpoint) + " " + text_of(e.started_at) + " " +
-           text_of(e.work_ms) + " " + text_of(e.until) + " " + std::to_string(e.is_received);
+  std::string operator()(const scheduler::SlowStartGrant& event) const {
+    return "grant " + std::to_string(event.endpoint) + " " + text_of(event.started_at) + " " +
+           text_of(event.work_ms) + " " + text_of(event.until) + " " +
+           std::to_string(event.is_received);
   }
-  std::string operator()(const scheduler::SendPermission& e) const {
-    return "permission " + std::to_string(e.is_allowed);
+  std::string operator()(const scheduler::SendPermission& event) const {
+    return "permission " + std::to_string(event.is_allowed);
   }
 };
 
-/// One overload for each type of action.
+/// Converts actions to text, with one overload for each type.
 struct ActionText {
-  std::string operator()(const scheduler::SendAttempt& a) const {
-    return "send " + std::to_string(a.request) + " " + std::to_string(a.endpoint) + " " +
-           text_of(a.timeout_ms);
+  std::string operator()(const scheduler::SendAttempt& action) const {
+    return "send " + std::to_string(action.request) + " " + std::to_string(action.endpoint) + " " +
+           text_of(action.timeout_ms);
   }
-  std::string operator()(const scheduler::RejectRequest& a) const {
-    return "refuse " + std::to_string(a.request) + " " + text_of(a.retry_after_ms);
+  std::string operator()(const scheduler::RejectRequest& action) const {
+    return "refuse " + std::to_string(action.request) + " " + text_of(action.retry_after_ms);
   }
-  std::string operator()(const scheduler::FailRequest& a) const {
-    return "fail " + std::to_string(a.request);
+  std::string operator()(const scheduler::FailRequest& action) const {
+    return "fail " + std::to_string(action.request);
   }
-  std::string operator()(const scheduler::CancelAttempt& a) const {
-    return "recall " + std::to_string(a.request) + " " + std::to_string(a.attempt);
+  std::string operator()(const scheduler::CancelAttempt& action) const {
+    return "recall " + std::to_string(action.request) + " " + std::to_string(action.attempt);
   }
-  std::string operator()(const scheduler::SetTimer& a) const {
-    return "set-timer " + std::to_string(a.id) + " " + text_of(a.when);
+  std::string operator()(const scheduler::SetTimer& action) const {
+    return "set-timer " + std::to_string(action.id) + " " + text_of(action.when);
   }
-  std::string operator()(const scheduler::SendHealthCheck& a) const {
-    return "probe " + std::to_string(a.endpoint);
+  std::string operator()(const scheduler::SendHealthCheck& action) const {
+    return "probe " + std::to_string(action.endpoint);
   }
   std::string operator()(const scheduler::PollEndpointList&) const { return "subscribe"; }
-  std::string operator()(const scheduler::SendPeerMessage& a) const {
-    return "tell " + std::to_string(a.peer) + " " + hex_of(a.bytes);
+  std::string operator()(const scheduler::SendPeerMessage& action) const {
+    return "tell " + std::to_string(action.peer) + " " + hex_of(action.bytes);
   }
 };
 
@@ -147,7 +155,7 @@
   return std::getenv("REPLAY_TRACE");
 }
 
-/// The recorded lines by name of the day.
+/// The recorded lines by scenario name.
 const std::map<std::string, std::string>& recorded() {
   static const std::map<std::string, std::string> lines = [] {
     std::map<std::string, std::string> read;
@@ -230,10 +238,10 @@
 void expect_recorded(const Recording& recording) {
   char hash[32];
   std::snprintf(hash, sizeof hash, "%016llx", static_cast<unsigned long long>(recording.hash()));
-  std::ostringstream now;
-  now << recording.name() << " " << recording.lines() << " " << hash;
+  std::ostringstream actual;
+  actual << recording.name() << " " << recording.lines() << " " << hash;
   auto it = recorded().find(recording.name());
-  EXPECT_EQ(now.str(), it == recorded().end() ? "(not recorded)" : it->second);
+  EXPECT_EQ(actual.str(), it == recorded().end() ? "(not recorded)" : it->second);
 }
 
 }  // namespace keelflow::replay
--- a/tests/replay/recording.h
+++ b/tests/replay/recording.h
@@ -1,5 +1,5 @@
-// A recording of one drawn day: a line of text for each input and each output, in a fixed form that
-// does not depend on how the code names things. Two builds that decide alike write the same lines.
+/// A recording of one random scenario: a line of text for each input and output, in a fixed format
+/// that does not depend on identifiers in the code. Builds with equal decisions write equal lines.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 
 namespace keelflow::replay {
 
-/// Collects lines and their hash (FNV-1a, 64 bits). The text itself is kept only where a trace was
-/// asked for.
+/// Counts lines and computes their hash (FNV-1a, 64 bits). Keeps the text only if REPLAY_TRACE is
+/// set.
 class Recording {
  public:
   explicit Recording(std::string name);
-  /// Writes the text to the folder that REPLAY_TRACE names, if it names one.
+  /// Writes the text to the folder in the environment variable REPLAY_TRACE, if set.
   ~Recording();
   Recording(const Recording&) = delete;
   Recording& operator=(const Recording&) = delete;
@@ -33,15 +33,15 @@
   std::uint64_t lines_ = 0;
 };
 
-/// A number in the shortest decimal form that gives back every bit of it.
+/// The shortest decimal form that converts back to the same number.
 std::string text_of(double value);
 std::string hex_of(std::string_view bytes);
 std::string text_of(const scheduler::Event& event);
 std::string text_of(const scheduler::Action& action);
 std::string text_of(const scheduler::EndpointList& list);
 
-/// A generator of its own, so that the drawn days depend on no library and on no generator of the
-/// code under test.
+/// A random number generator (splitmix64) that is independent of the standard library and of the
+/// generators of the code under test.
 class Rng {
  public:
   explicit Rng(std::uint64_t seed) : state_(seed) {}
@@ -55,8 +55,8 @@
   std::uint64_t state_;
 };
 
-/// Compares with the line `NAME LINES HASH` of tests/replay/recordings/decisions.txt; a difference
-/// fails the test.
+/// Fails the test unless the recording matches the line `NAME LINES HASH` of
+/// tests/replay/recordings/decisions.txt.
 void expect_recorded(const Recording& recording);
 
 }  // namespace keelflow::replay
--- a/tests/scheduler/cost_calibration_test.cpp
+++ b/tests/scheduler/cost_calibration_test.cpp
@@ -1,4 +1,4 @@
-/// The factor that a class learns between hints and running times.
+/// Tests of the factor between cost hints and run times that is learned for each class.
 #include "scheduler/cost_calibration.h"
 
 #include <gtest/gtest.h>
@@ -15,13 +15,13 @@
   return request;
 }
 
-TEST(CostCalibration, BeforeAnyRunTheCostIsTheHint) {
+TEST(CostCalibration, TheCostIsTheHintBeforeTheFirstRun) {
   CostCalibration calibration(1);
   EXPECT_DOUBLE_EQ(calibration.factor(0), 1);
   EXPECT_DOUBLE_EQ(calibration.calibrated_cost(request_with_hint(120)), 120);
 }
 
-TEST(CostCalibration, EachRunMovesTheFactorATenthOfTheWayAndOnlyThatOfItsClass) {
+TEST(CostCalibration, ARunMovesOnlyTheFactorOfItsClassByATenthOfTheDifference) {
   CostCalibration calibration(2);
   calibration.record_run(request_with_hint(100, 1), 300);
   EXPECT_DOUBLE_EQ(calibration.factor(1), 1.2);
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(calibration.factor(0), 1);
 }
 
-TEST(CostCalibration, OneExtremeRunCountsAsEightTimesItsHintAtMost) {
+TEST(CostCalibration, TheRatioOfARunIsClampedToBetweenAnEighthAndEight) {
   CostCalibration calibration(2);
   calibration.record_run(request_with_hint(100, 0), 1e6);
   EXPECT_DOUBLE_EQ(calibration.factor(0), 1 + 0.1 * (8 - 1));
@@ -37,7 +37,7 @@
   EXPECT_DOUBLE_EQ(calibration.factor(1), 1 + 0.1 * (1.0 / 8 - 1));
 }
 
-TEST(CostCalibration, WithoutAHintTheMeanOfTheClassCountsAndBeforeTheFirstTheGivenFigure) {
+TEST(CostCalibration, TheMeanHintOfAClassIsTheDefaultUntilAHintIsRecorded) {
   CostCalibration calibration(2);
   EXPECT_DOUBLE_EQ(calibration.mean_hint(0, 77), 77);
   calibration.record_hint(0, 100);
@@ -46,7 +46,7 @@
   EXPECT_DOUBLE_EQ(calibration.mean_hint(1, 77), 77);
 }
 
-TEST(CostCalibration, ClassesThatAreNumberedAnewTakeTheirFactorAlong) {
+TEST(CostCalibration, RenumberedClassesKeepTheirFactors) {
   CostCalibration calibration(2);
   calibration.record_run(request_with_hint(100, 1), 300);
   calibration.renumber({1, -1, 0}, 3);
@@ -55,7 +55,7 @@
   EXPECT_DOUBLE_EQ(calibration.factor(2), 1);
 }
 
-TEST(CostCalibration, AnotherProcessContinuesWithWhatWasLearned) {
+TEST(CostCalibration, RestoresTheLearnedFactorAndMeanHint) {
   CostCalibration calibration(1);
   calibration.record_run(request_with_hint(100), 300);
   calibration.record_hint(0, 40);
--- a/tests/scheduler/dispatcher_harness.h
+++ b/tests/scheduler/dispatcher_harness.h
@@ -1,5 +1,5 @@
-/// A dispatcher under test, its clock, and what it did. No endpoints are modelled: tests say what
-/// happens.
+/// A dispatcher under test with a clock and records of its actions. Endpoints are not modelled:
+/// each test supplies their events.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return settings;
 }
 
-/// One Dispatcher with the parts of the node that notify it, driven event by event.
+/// Drives one Dispatcher event by event, together with the parts of the node that notify it.
 struct DispatcherHarness {
   explicit DispatcherHarness(Settings settings, std::uint64_t seed = 1)
       : dispatcher(settings, seed), subsets(settings), slow_start_leases(settings, 0) {}
@@ -43,8 +43,8 @@
     if (auto subset_change = subsets.after(input))
       notifications.push_back(std::move(*subset_change));
     slow_start_leases.after(now, input, dispatcher, notifications, last_actions);
-    for (const Event& one : notifications)
-      dispatcher.handle(now, one, last_actions);
+    for (const Event& notification : notifications)
+      dispatcher.handle(now, notification, last_actions);
     for (const auto& action : last_actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
         timers.push_back(*timer);
@@ -61,7 +61,7 @@
     return last_actions;
   }
 
-  /// Moves the clock on and fires every timer that is due.
+  /// Advances the clock and fires every timer that is due, in the order of their times.
   void advance(Time to) {
     while (true) {
       std::size_t next = timers.size();
@@ -78,21 +78,21 @@
     now = to;
   }
 
-  void endpoints(int n, int zones = 1, int kinds = 1) {
+  void endpoints(int count, int zones = 1, int kinds = 1) {
     EndpointList list;
-    for (int i = 0; i < n; ++i)
+    for (int i = 0; i < count; ++i)
       list.entries.push_back({static_cast<EndpointId>(100 + i), i % zones, i % kinds, i / 4,
                               EndpointState::ready, 1, 0});
     handle(list);
   }
 
-  void arrive(RequestId id, double hint, int class_index = 0, double ttl = 10000,
+  void arrive(RequestId id, double hint, int class_index = 0, double timeout_ms = 10000,
               std::uint64_t key = 0) {
     RequestArrived arrival;
     arrival.request = id;
     arrival.class_index = class_index;
     arrival.hint = hint;
-    arrival.client_timeout_ms = ttl;
+    arrival.client_timeout_ms = timeout_ms;
     arrival.key = key;
     handle(arrival);
   }
@@ -118,12 +118,12 @@
   std::vector<SetTimer> timers;
 };
 
-/// Runs one request to its end on whatever endpoint it is sent to.
-inline void serve(DispatcherHarness& harness, RequestId id, double hint, double run,
+/// Sends one request and completes it successfully after `run_ms` on the selected endpoint.
+inline void serve(DispatcherHarness& harness, RequestId id, double hint, double run_ms,
                   int class_index = 0) {
   harness.arrive(id, hint, class_index);
   harness.handle(AttemptStarted{id, 0});
-  harness.advance(harness.now + run);
+  harness.advance(harness.now + run_ms);
   harness.outcome(id, 0, AttemptResult::ok, true);
 }
 
--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -1,4 +1,4 @@
-/// How a Dispatcher treats endpoints that reject, fail, stay silent or restart.
+/// Tests of how a Dispatcher handles endpoints that reject, fail, do not respond or restart.
 #include <algorithm>
 #include <set>
 
@@ -12,19 +12,19 @@
   harness.endpoints(1);
   for (RequestId id = 1; id <= 6; ++id)
     harness.arrive(id, 100);
-  std::size_t at_first = harness.sends.size();
-  EXPECT_LT(at_first, 6u);  // the others are queued
-  EXPECT_EQ(harness.dispatcher.queued_requests(), 6 - at_first);
-  // Timely service, again and again: more fit at once.
+  std::size_t initially_sent = harness.sends.size();
+  EXPECT_LT(initially_sent, 6u);  // the others are queued
+  EXPECT_EQ(harness.dispatcher.queued_requests(), 6 - initially_sent);
+  // Repeated timely service raises the limit, so more requests are in flight at once.
   RequestId next = 100;
   std::set<RequestId> started;
   std::size_t in_flight = 0;
-  std::size_t most = 0;
+  std::size_t max_in_flight = 0;
   for (int round = 0; round < 400; ++round) {
     std::vector<SendAttempt> sent(harness.sends.begin(), harness.sends.end());
     harness.sends.clear();
     in_flight += sent.size();
-    most = std::max(most, in_flight);
+    max_in_flight = std::max(max_in_flight, in_flight);
     for (const SendAttempt& send : sent) {
       harness.now += 1;
       harness.handle(AttemptStarted{send.request, 0});
@@ -37,10 +37,10 @@
     while (harness.dispatcher.queued_requests() < 5)
       harness.arrive(next++, 100);
   }
-  EXPECT_GT(most, at_first);
+  EXPECT_GT(max_in_flight, initially_sent);
 }
 
-TEST(Rejection, RequeuesAndIsNoFailure) {
+TEST(Rejection, RequeuesTheRequestWithoutFailingIt) {
   Settings settings = basic_settings();
   settings.classes[0].idempotency = Idempotency::non_idempotent;
   DispatcherHarness harness(settings);
@@ -63,12 +63,12 @@
   EXPECT_GE(harness.sends.size(), 2u);
 }
 
-TEST(Retry, GoesToAnEndpointThatHasNotHadTheRequestWhereOneHasCapacity) {
+TEST(Retry, PrefersAnUntriedEndpointWithCapacity) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     DispatcherHarness harness(basic_settings(), seed);
     harness.endpoints(3);
     harness.arrive(1, 100);
-    harness.now += 1000;  // whoever was ejected is available again
+    harness.now += 1000;  // ejected endpoints are available again
     harness.outcome(1, 0, AttemptResult::cancelled, false);
     harness.outcome(1, 1, AttemptResult::cancelled, false);
     ASSERT_EQ(harness.sends.size(), 3u);
@@ -78,32 +78,32 @@
   }
 }
 
-TEST(SilentAttempt, IsCancelledAlsoWhereOneAttemptAtATimeIsAllowed) {
+TEST(SilentAttempt, IsCancelledEvenIfOnlyOneAttemptMayBeInFlight) {
   Settings settings = basic_settings();
   settings.concurrent_attempts = false;
   settings.tick_ms = 4;
   DispatcherHarness harness(settings);
   harness.endpoints(2);
-  serve(harness, 1, 100, 100);  // the mean run
+  serve(harness, 1, 100, 100);  // establishes the mean run time
   harness.sends.clear();
   harness.arrive(2, 100);
   harness.advance(harness.now + 300);
-  EXPECT_TRUE(harness.cancels.empty());  // it may be queueing
+  EXPECT_TRUE(harness.cancels.empty());  // the attempt may still be queued at the endpoint
   harness.advance(harness.now + 300);
   EXPECT_EQ(harness.cancels.size(), 1u);
-  EXPECT_EQ(harness.sends.size(), 1u);  // not while the first is in flight
+  EXPECT_EQ(harness.sends.size(), 1u);  // no second attempt while the first is in flight
   harness.outcome(2, 0, AttemptResult::cancelled, false);
   ASSERT_EQ(harness.sends.size(), 2u);
   EXPECT_NE(harness.sends[1].endpoint, harness.sends[0].endpoint);
 }
 
-TEST(Ejection, AnEndpointThatFailsAtOnceIsTriedLessAndLessAndNotWithNonIdempotentRequests) {
+TEST(Ejection, RepeatedFailuresBackOffAndBlockNonIdempotentRequests) {
   Settings settings = basic_settings();
   settings.classes.resize(2);
   settings.classes[1].idempotency = Idempotency::non_idempotent;
   DispatcherHarness harness(settings);
   harness.endpoints(1);
-  serve(harness, 1, 100, 100);  // the mean run
+  serve(harness, 1, 100, 100);  // establishes the mean run time
   std::vector<Time> attempt_times;
   for (RequestId id = 2; harness.now < 20000; ++id) {
     std::size_t before = harness.sends.size();
@@ -114,7 +114,8 @@
       continue;
     }
     attempt_times.push_back(harness.now);
-    harness.handle(AttemptStarted{id, 0});  // it starts what it is sent, and fails it at once
+    harness.handle(
+        AttemptStarted{id, 0});  // the endpoint starts the attempt and fails it immediately
     harness.outcome(id, 0, AttemptResult::error, true);
   }
   ASSERT_GE(attempt_times.size(), 8u);
@@ -126,24 +127,25 @@
   EXPECT_TRUE(harness.sends.empty());
   harness.arrive(100002, 100, 0);
   ASSERT_EQ(harness.sends.size(), 1u);
-  harness.outcome(100002, 0, AttemptResult::ok, true);  // served: it looks healthy again
+  harness.outcome(100002, 0, AttemptResult::ok, true);  // success clears the fault signs
   ASSERT_EQ(harness.sends.size(), 2u);
   EXPECT_EQ(harness.sends[1].request, 100001u);
 }
 
-TEST(Incarnation, ANewOneLosesWhatWasLearnedButNotItsEarlierAttempts) {
+TEST(Incarnation, ANewOneResetsHealthButKeepsAttemptsInFlight) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(1);
   harness.arrive(1, 100);
   ASSERT_EQ(harness.sends.size(), 1u);
-  harness.advance(harness.now + 1000);  // a late start: the endpoint is ejected, its limit falls
+  harness.advance(harness.now + 1000);  // late start: the endpoint is ejected and its limit lowered
   harness.handle(EndpointList{ListScope::delta,
                               {{100, 0, 0, 0, EndpointState::ready, 1, harness.now - 20000}}});
   harness.arrive(2, 100);
   ASSERT_EQ(harness.sends.size(),
-            2u);  // the new one is used at once, beside the attempt at its former incarnation
+            2u);  // the new incarnation is used at once, beside the attempt at the former one
   harness.arrive(3, 100);
-  EXPECT_EQ(harness.sends.size(), 2u);  // but that one still counts
+  EXPECT_EQ(harness.sends.size(),
+            2u);  // the attempt at the former incarnation still counts against the limit
   harness.outcome(1, 0, AttemptResult::reset, false);
   EXPECT_GE(harness.sends.size(), 2u);
   EXPECT_TRUE(harness.answers.empty());
--- a/tests/scheduler/dispatcher_peers_test.cpp
+++ b/tests/scheduler/dispatcher_peers_test.cpp
@@ -1,4 +1,4 @@
-/// What dispatchers that share endpoints notify one another of, and what they make of it.
+/// Tests of the load updates that dispatchers with shared endpoints send and receive.
 #include <string>
 
 #include "dispatcher_harness.h"
@@ -7,7 +7,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Two endpoints that this dispatcher shares with 19 others, and what those report of the first.
+/// One dispatcher that shares two endpoints with 19 peers, and load updates from those peers.
 struct SharedEndpointsHarness : DispatcherHarness {
   static Settings shared_settings(Idempotency idempotency) {
     Settings settings = basic_settings();
@@ -26,7 +26,8 @@
         peer, encode({endpoint, incarnation_tag({.endpoint = endpoint, .started_at = started_at}),
                       load, signal})});
   }
-  int count_sent_to_first(int requests) {  // of so many requests that are served at once
+  /// Sends `requests` requests, each completed at once, and counts those sent to endpoint 100.
+  int count_sent_to_first(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
       sends.clear();
@@ -41,7 +42,7 @@
   RequestId last_request = 0;
 };
 
-TEST(PeerMessages, AnEndpointThatOthersHaveFilledIsPassedOverUntilTheyReportOtherwise) {
+TEST(PeerMessages, AnEndpointFilledByPeersIsSkippedUntilTheyReportLessLoad) {
   SharedEndpointsHarness harness;
   EXPECT_GT(harness.count_sent_to_first(40), 0);
   harness.receives(3, 100, 2);
@@ -49,11 +50,11 @@
   EXPECT_EQ(harness.count_sent_to_first(40), 0);
   harness.receives(3, 100, 0);
   harness.receives(4, 100, 0);
-  harness.advance(harness.now + 50);  // the others had a moment to fill it again
+  harness.advance(harness.now + 50);  // leaves peers time to fill the endpoint again
   EXPECT_GT(harness.count_sent_to_first(40), 0);
 }
 
-TEST(PeerMessages, TheLastReportOfADeadPeerExpires) {
+TEST(PeerMessages, TheLastUpdateOfADeadPeerExpires) {
   SharedEndpointsHarness harness;
   harness.receives(3, 100, 200);
   EXPECT_EQ(harness.count_sent_to_first(40), 0);
@@ -61,7 +62,7 @@
   EXPECT_GT(harness.count_sent_to_first(40), 0);
 }
 
-TEST(PeerMessages, AnEndpointThatFailsOthersIsEjectedHere) {
+TEST(PeerMessages, AnEndpointThatFailsForPeersIsEjected) {
   SharedEndpointsHarness harness;
   harness.count_sent_to_first(4);
   for (int peer : {3, 4, 5})
@@ -69,10 +70,9 @@
   EXPECT_EQ(harness.count_sent_to_first(40), 0);
 }
 
-TEST(PeerMessages, AnEndpointThatOthersCouldNotReachHasNoFaultsHere) {
-  SharedEndpointsHarness harness(
-      Idempotency::non_idempotent);  // an endpoint with faults is not sent these,
-                                     // however long it was ejected
+TEST(PeerMessages, AnEndpointUnreachableForPeersIsEjectedButNotMarkedFaulty) {
+  // Non-idempotent requests are not sent to an endpoint with faults, even after its ejection.
+  SharedEndpointsHarness harness(Idempotency::non_idempotent);
   for (int peer : {3, 4, 5})
     harness.receives(peer, 100, 0, LoadSignal::unreachable);
   EXPECT_EQ(harness.count_sent_to_first(40), 0);
@@ -80,23 +80,23 @@
   EXPECT_GT(harness.count_sent_to_first(40), 0);
 }
 
-TEST(PeerMessages, UpdatesOnAFormerIncarnationAndMalformedOnesChangeNothing) {
+TEST(PeerMessages, StaleMalformedAndUnlistedUpdatesAreIgnored) {
   SharedEndpointsHarness harness;
   for (int peer : {3, 4, 5})
     harness.receives(peer, 100, 200, LoadSignal::failed, 77);
   for (std::string bytes : {"", "1234567", "123456789"})
     harness.handle(PeerMessage{3, bytes});
   harness.handle(PeerMessage{3, std::string(8, '\xff')});
-  harness.receives(3, 999, 200, LoadSignal::failed);  // an endpoint that is not listed
+  harness.receives(3, 999, 200, LoadSignal::failed);  // unlisted endpoint
   EXPECT_GT(harness.count_sent_to_first(40), 0);
 }
 
-TEST(PeerMessages, ThoseWhoShareAnEndpointAreNotifiedOfEachSendAndEachEnd) {
+TEST(PeerMessages, PeersThatShareAnEndpointAreNotifiedOfEachSendAndEachEnd) {
   SharedEndpointsHarness harness;
   harness.arrive(1, 100);
   ASSERT_EQ(harness.sends.size(), 1u);
   ASSERT_EQ(harness.peer_messages.size(),
-            19u);  // with two endpoints it is in the subset of all twenty
+            19u);  // with two endpoints, each is in the subset of all twenty
   EXPECT_EQ(decode_load_update(harness.peer_messages[0].bytes)->endpoint,
             harness.sends[0].endpoint);
   EXPECT_EQ(decode_load_update(harness.peer_messages[0].bytes)->in_flight, 1);
--- a/tests/scheduler/dispatcher_queue_test.cpp
+++ b/tests/scheduler/dispatcher_queue_test.cpp
@@ -1,5 +1,5 @@
-/// The order in which a Dispatcher releases requests: calibration, quotas, objectives and
-/// congestion.
+/// Tests of the order in which a Dispatcher sends queued requests: calibration, quotas, latency
+/// objectives and congestion.
 #include <map>
 
 #include "dispatcher_harness.h"
@@ -20,7 +20,7 @@
   EXPECT_NEAR(harness.dispatcher.calibration(0), 3.0, 0.05);
 }
 
-TEST(Calibration, OnlyServedAttemptsTeach) {
+TEST(Calibration, UnsuccessfulAttemptsDoNotChangeIt) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(4);
   for (AttemptResult result :
@@ -35,10 +35,10 @@
   EXPECT_DOUBLE_EQ(harness.dispatcher.calibration(0), 1.0);
 }
 
-TEST(RequestQueueing, ARequestBeyondItsTenantsQuotaCountsAsLargerTheLessItWeighs) {
+TEST(RequestQueueing, AnOverQuotaRequestWithALowWeightIsSentAfterALargerRequest) {
   for (double over_quota_weight : {0.05, 1.0}) {
     Settings settings = basic_settings();
-    settings.tenant_quota = {1, 1};  // a request a second each
+    settings.tenant_quota = {1, 1};  // one request per second for each tenant
     settings.over_quota_weight = over_quota_weight;
     DispatcherHarness harness(settings);
     harness.endpoints(1);
@@ -52,18 +52,18 @@
     };
     arrive(1, 0, 100);
     arrive(2, 0, 100);
-    arrive(3, 0, 100);  // queued, and beyond the quota
-    arrive(4, 1, 300);  // queued, larger, and within
+    arrive(3, 0, 100);  // queued, over its quota
+    arrive(4, 1, 300);  // queued, larger, within its quota
     ASSERT_EQ(harness.sends.size(), 2u);
     harness.handle(AttemptStarted{1, 0});
-    harness.now += 5;  // before the other one counts as late to start
+    harness.now += 5;  // before the other request counts as a late start
     harness.outcome(1, 0, AttemptResult::ok, true);
     ASSERT_GE(harness.sends.size(), 3u);
     EXPECT_EQ(harness.sends[2].request, over_quota_weight < 1 ? 4u : 3u);
   }
 }
 
-TEST(RequestQueueing, ReleasesTheSmallestCalibratedCostFirst) {
+TEST(RequestQueueing, SendsTheSmallestCalibratedCostFirst) {
   DispatcherHarness harness(basic_settings());
   for (auto [id, hint] : std::map<RequestId, double>{{1, 300}, {2, 100}, {3, 200}, {4, 100}})
     harness.arrive(id, hint);
@@ -72,7 +72,7 @@
   harness.endpoints(8);
   ASSERT_EQ(harness.sends.size(), 4u);
   EXPECT_EQ(harness.sends[0].request, 2u);
-  EXPECT_EQ(harness.sends[1].request, 4u);  // the same hint: the earlier arrival first
+  EXPECT_EQ(harness.sends[1].request, 4u);  // equal hints are sent in order of arrival
   EXPECT_EQ(harness.sends[2].request, 3u);
   EXPECT_EQ(harness.sends[3].request, 1u);
 }
@@ -93,8 +93,8 @@
   EXPECT_EQ(harness.sends[0].request, 902u);
 }
 
-TEST(RequestQueueing, ARequestThatCanNoLongerBeInTimeLeavesAfterThoseThatCan) {
-  DispatcherHarness harness(basic_settings());  // in time within 500 ms
+TEST(RequestQueueing, AnOverdueRequestIsSentAfterThoseThatCanMeetTheirObjective) {
+  DispatcherHarness harness(basic_settings());  // latency objective: 500 ms
   harness.arrive(1, 100);
   harness.advance(harness.now + 600);
   harness.arrive(2, 300);
@@ -107,7 +107,7 @@
 TEST(RequestQueueing, AnOverdueRequestIsNotSentWhileCongestionIsHigh) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(40);
-  for (RequestId id = 1; id <= 30; ++id) {  // one rejection after another
+  for (RequestId id = 1; id <= 30; ++id) {  // consecutive rejections raise congestion
     harness.arrive(id, 100);
     if (harness.sends.back().request == id)
       harness.outcome(id, 0, AttemptResult::rejected, false);
@@ -121,12 +121,12 @@
   harness.endpoints(40);
   ASSERT_EQ(harness.sends.size(), 1u);
   EXPECT_EQ(harness.sends[0].request, 101u);
-  harness.advance(harness.now + 8000);  // congestion fades with nothing more rejected
+  harness.advance(harness.now + 8000);  // congestion fades while nothing is rejected
   ASSERT_EQ(harness.sends.size(), 2u);
   EXPECT_EQ(harness.sends[1].request, 100u);
 }
 
-TEST(RequestQueueing, ARequestWithoutHintCountsAsItsClassMean) {
+TEST(RequestQueueing, ARequestWithoutAHintHasTheMeanHintOfItsClass) {
   DispatcherHarness harness(basic_settings());
   harness.arrive(1, 100);
   harness.arrive(2, 300);
@@ -136,7 +136,7 @@
   EXPECT_EQ(harness.sends[1].request, 3u);
 }
 
-TEST(Fleet, DispatchersThatAreAliveSplitATenantsQuotaAndThoseOfTheDeadAreFreed) {
+TEST(Fleet, LiveDispatchersSplitTheTenantQuotaIncludingThePartsOfDeadOnes) {
   Settings settings = basic_settings();
   settings.dispatchers = 4;
   settings.tenant_quota = {8, 1};
@@ -149,17 +149,17 @@
       is_alive[static_cast<std::size_t>(d)] = true;
     harness.handle(MembershipChanged{is_alive});
     harness.arrive(100, 500);
-    harness.arrive(101, 500);  // they fill the one endpoint
+    harness.arrive(101, 500);  // these two fill the only endpoint
     for (RequestId id : {100u, 101u})
       harness.handle(AttemptStarted{id, 0});
-    harness.now += 4000;  // as much as may be saved up
+    harness.now += 4000;  // longer than a bucket takes to fill
     RequestArrived large;
     large.request = 50;
     large.tenant = 1;
     large.hint = 300;
     large.client_timeout_ms = 10000;
-    // Of eight a second a dispatcher alone may save up sixteen, one of four only four: the others
-    // count as larger.
+    // Of eight requests per second, the only live dispatcher can accumulate sixteen tokens, one of
+    // four only four. Requests beyond that count as larger.
     for (RequestId id = 1; id <= 10; ++id) {
       RequestArrived arrival;
       arrival.request = id;
--- a/tests/scheduler/dispatcher_random_events_test.cpp
+++ b/tests/scheduler/dispatcher_random_events_test.cpp
@@ -1,4 +1,5 @@
-/// A random stream of events against a checker of the rules that knows nothing of the scheduler.
+/// Random events checked against an independent model of the scheduling rules. The model does not
+/// use scheduler state.
 #include <map>
 #include <random>
 #include <vector>
@@ -10,11 +11,11 @@
 namespace {
 
 constexpr int kSteps = 3000;
-constexpr int kStepsWithArrivals = 2500;  // then those under way end
-constexpr int kStepsToEnd = 400;          // of 10 ms each: longer than any client waits
+constexpr int kStepsWithArrivals = 2500;  // in the remaining steps, requests in progress can finish
+constexpr int kStepsToEnd = 400;          // of 10 ms each; longer than any client timeout
 constexpr EndpointId kEndpoints = 14;
 
-/// What the checker knows of an attempt.
+/// An attempt as seen by the checker.
 struct CheckedAttempt {
   EndpointId endpoint;
   Time sent = 0;
@@ -22,7 +23,7 @@
   bool has_started = false;
 };
 
-/// What the checker knows of a request.
+/// A request as seen by the checker.
 struct CheckedRequest {
   bool has_ended = false;
   Time deadline = 0;
@@ -30,7 +31,7 @@
   std::vector<CheckedAttempt> attempts;
 };
 
-/// An attempt in flight.
+/// Identifies an attempt of a request.
 struct AttemptId {
   RequestId request;
   int attempt;
@@ -41,7 +42,7 @@
          result == AttemptResult::withheld;
 }
 
-/// One Dispatcher and its endpoints, with events drawn from a seed.
+/// Drives one Dispatcher with random events drawn from a seed and checks each action.
 class RandomEvents {
  public:
   explicit RandomEvents(unsigned seed)
@@ -67,12 +68,12 @@
       fire_timers();
     }
     for (const auto& [id, request] : requests_)
-      ASSERT_TRUE(request.has_ended) << "request " << id << " was lost";
+      ASSERT_TRUE(request.has_ended) << "request " << id << " was not answered";
     ASSERT_GT(last_request_, 300u);
   }
 
  private:
-  int draw_below(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
+  int draw_below(int bound) { return static_cast<int>(random_() % static_cast<unsigned>(bound)); }
 
   Settings draw_settings(unsigned seed) {
     Settings settings = basic_settings();
@@ -115,7 +116,7 @@
 
   void check_send(const SendAttempt& send) {
     CheckedRequest& request = requests_.at(send.request);
-    ASSERT_FALSE(request.has_ended) << "sent after its end";
+    ASSERT_FALSE(request.has_ended) << "attempt sent after the request ended";
     ASSERT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
     const EndpointEntry& endpoint = endpoints_.at(send.endpoint);
     ASSERT_EQ(endpoint.state, EndpointState::ready);
@@ -147,7 +148,7 @@
   }
 
   void check_answer(CheckedRequest& request) {
-    ASSERT_FALSE(request.has_ended) << "answered twice";
+    ASSERT_FALSE(request.has_ended) << "request answered twice";
     request.has_ended = true;
     ASSERT_LE(now_, request.deadline + settings_.grace_to_answer_ms);
   }
@@ -158,7 +159,7 @@
       return;
     for (const CheckedAttempt& attempt : request.attempts) {
       ASSERT_EQ(attempt.delivery, DeliveryState::not_delivered)
-          << "rejected though it may have run";
+          << "request rejected although an attempt may have run";
     }
   }
 
--- a/tests/scheduler/dispatcher_rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -1,4 +1,4 @@
-/// Rules 1 to 3, each with the case that would break it.
+/// Tests of rules 1 to 3: answers by the deadline, retry safety and use of the endpoint list.
 #include "dispatcher_harness.h"
 
 namespace keelflow::scheduler {
@@ -22,7 +22,7 @@
   EXPECT_TRUE(std::holds_alternative<RejectRequest>(harness.answers[0]));
 }
 
-TEST(AnsweredByDeadline, ATimeOutAtTheDeadlineIsAnsweredInTheSameCall) {
+TEST(AnsweredByDeadline, ATimeoutAtTheDeadlineIsAnsweredInTheSameCall) {
   DispatcherHarness harness(with_idempotency(Idempotency::non_idempotent));
   harness.endpoints(2);
   harness.arrive(1, 100, 0, 700);
@@ -32,7 +32,7 @@
   EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
 }
 
-TEST(AnsweredByDeadline, LateStaleAndUnknownEventsAreHarmless) {
+TEST(AnsweredByDeadline, LateStaleAndUnknownEventsCauseNoAnswer) {
   Settings settings = basic_settings();
   settings.zones = 2;
   DispatcherHarness harness(settings);
@@ -51,13 +51,13 @@
   harness.handle(PeerMessage{});
   harness.handle(EndpointList{ListScope::delta, {{7, 200, 200, 0, EndpointState::ready, 1, 0}}});
   EXPECT_TRUE(harness.answers.empty());
-  harness.arrive(2, 100, 55);  // a class that does not exist
+  harness.arrive(2, 100, 55);  // undefined class
   ASSERT_EQ(harness.answers.size(), 1u);
   harness.advance(harness.now + 5000);
   EXPECT_EQ(harness.answers.size(), 1u);
 }
 
-TEST(RetrySafety, ANonIdempotentRequestThatMayHaveRunIsNotSentAgainAndFails) {
+TEST(RetrySafety, ANonIdempotentRequestThatMayHaveRunFailsWithoutARetry) {
   for (AttemptResult result : {AttemptResult::error, AttemptResult::reset}) {
     DispatcherHarness harness(with_idempotency(Idempotency::non_idempotent));
     harness.endpoints(4);
@@ -69,7 +69,7 @@
   }
 }
 
-TEST(RetrySafety, ARequestWithAKeyIsRepeatedOnlyWithinItsDeduplicationScope) {
+TEST(RetrySafety, ARequestWithAKeyIsRetriedOnlyWithinItsDeduplicationScope) {
   for (DeduplicationScope scope : {DeduplicationScope::zone, DeduplicationScope::cell}) {
     Settings settings = with_idempotency(Idempotency::idempotent_with_key, scope);
     settings.zones = 2;
@@ -89,7 +89,7 @@
   }
 }
 
-TEST(RetrySafety, ARequestWithAKeyIsNotRepeatedAfterItsDeduplicationWindow) {
+TEST(RetrySafety, ARequestWithAKeyIsNotRetriedAfterItsDeduplicationWindow) {
   DispatcherHarness harness(
       with_idempotency(Idempotency::idempotent_with_key, DeduplicationScope::zone, 300));
   harness.endpoints(4);
@@ -101,7 +101,7 @@
   EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
 }
 
-TEST(EndpointListObeyed, NothingGoesToAnEndpointThatDrainsOrIsMissingFromAFullList) {
+TEST(EndpointListObeyed, NothingIsSentToADrainingEndpointOrOneMissingFromAFullList) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(2);
   harness.handle(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::draining, 1, 0}}});
@@ -116,7 +116,7 @@
     EXPECT_EQ(harness.sends[i].endpoint, 102u);
 }
 
-TEST(EndpointListObeyed, ThePolledListIsPolledAgainOftenEnoughAfterFailures) {
+TEST(EndpointListObeyed, FailedPollsAreRepeatedWithinHalfThePollLimit) {
   Settings settings = basic_settings();
   settings.polls_list = true;
   settings.dispatchers = 40;
@@ -130,9 +130,9 @@
   };
   harness.handle(EndpointList{ListScope::cached, {}});
   for (int i = 0; i < 60000; ++i) {
-    std::size_t had = polled.size();
+    std::size_t previous_polls = polled.size();
     collect();
-    if (polled.size() > had) {
+    if (polled.size() > previous_polls) {
       harness.now += 50;
       harness.handle(EndpointList{ListScope::failed, {}});
     } else {
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoint a Dispatcher selects: subsets, kinds, keys, load and service times.
+/// Tests of endpoint selection: subsets, kinds, keys, load and service times.
 #include <map>
 #include <set>
 
@@ -7,9 +7,9 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Endpoints are preferred where the dispatcher is notified that they are in its subset; one that is
-// warming up where it has a part of the budget.
-TEST(Fleet, TheSubsetIsAsNotifiedAndThatOfAnEndpointWarmingUpIsItsOwn) {
+// A dispatcher prefers the endpoints that it was notified are in its subset. It prefers an endpoint
+// that is warming up if it has a part of that endpoint's budget.
+TEST(Fleet, UsesTheNotifiedSubsetExceptForEndpointsThatAreWarmingUp) {
   Settings settings = basic_settings();
   settings.dispatchers = 100;
   settings.rank = 3;
@@ -22,27 +22,28 @@
   harness.arrive(1, 10);
   ASSERT_EQ(harness.sends.size(), 1u);
   EXPECT_EQ(harness.sends[0].endpoint, 107u);
-  int own_while_warming_up = 0;
-  for (int rank = 0; rank < 100;
-       ++rank) {  // the first few of its own order alone, whatever it is notified of
+  int users_while_warming_up = 0;
+  // Only the first few dispatchers in the order of the endpoint use it, regardless of their
+  // notified subsets.
+  for (int rank = 0; rank < 100; ++rank) {
     settings.rank = rank;
-    DispatcherHarness one(settings);
+    DispatcherHarness other(settings);
     EndpointList list;
-    list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, one.now - 100});
-    SubsetChanged none{{{7, true, {}}}};
+    list.entries.push_back({7, 0, 0, 0, EndpointState::ready, 1, other.now - 100});
+    SubsetChanged not_in_subset{{{7, true, {}}}};
     for (EndpointId endpoint = 8; endpoint < 107; ++endpoint) {
       list.entries.push_back({endpoint, 0, 0, 0, EndpointState::ready, 1, 0});
-      none.endpoints.push_back({endpoint, false, {}});
+      not_in_subset.endpoints.push_back({endpoint, false, {}});
     }
-    one.handle(list);
-    one.handle(none);
-    one.arrive(1, 4);
-    own_while_warming_up += !one.sends.empty() && one.sends[0].endpoint == 7;
+    other.handle(list);
+    other.handle(not_in_subset);
+    other.arrive(1, 4);
+    users_while_warming_up += !other.sends.empty() && other.sends[0].endpoint == 7;
   }
-  EXPECT_EQ(own_while_warming_up, 5);
+  EXPECT_EQ(users_while_warming_up, 5);
 }
 
-TEST(EndpointSelection, FewestOwnSlotsAmongEndpointsWithCapacity) {
+TEST(EndpointSelection, PrefersTheEndpointWithTheFewestOwnSlotsInUse) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(4);
   for (RequestId id = 1; id <= 4; ++id)
@@ -50,10 +51,10 @@
   std::set<EndpointId> used;
   for (const auto& send : harness.sends)
     used.insert(send.endpoint);
-  EXPECT_GE(used.size(), 3u);  // samples of four out of four, with repeats: nearly all are found
+  EXPECT_GE(used.size(), 3u);  // four samples of four endpoints, with repeats, miss few of them
 }
 
-TEST(EndpointSelection, AnEndpointThatRunsSlowlyIsPassedOverForAnEquallyEmptyOne) {
+TEST(EndpointSelection, PrefersAFasterEndpointAtEqualLoad) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(2);
   int sent_to_slow = 0;
@@ -72,7 +73,7 @@
   EXPECT_LT(sent_to_slow, all / 4);
 }
 
-TEST(Kinds, ARequestGoesOnlyToItsOwnKind) {
+TEST(Kinds, ARequestIsSentOnlyToEndpointsOfItsKind) {
   Settings settings = basic_settings();
   settings.kinds = 2;
   settings.classes.resize(2, settings.classes[0]);
@@ -87,10 +88,10 @@
       {{100, 0, 0, 0, EndpointState::gone, 1, 0}, {101, 0, 1, 0, EndpointState::gone, 1, 0}}});
   harness.arrive(2, 100, 1);
   harness.handle(EndpointList{ListScope::delta, {{100, 0, 0, 0, EndpointState::ready, 1, 0}}});
-  EXPECT_EQ(harness.sends.size(), 1u);  // the wrong kind never gets it
+  EXPECT_EQ(harness.sends.size(), 1u);  // the ready endpoint is of the wrong kind
 }
 
-TEST(Keys, ARequestThatStartsLateStaysUnlessItHasNoKey) {
+TEST(Keys, ALateStartIsCancelledOnlyForARequestWithoutAKey) {
   for (std::uint64_t key : {0, 7}) {
     DispatcherHarness harness(basic_settings());
     harness.endpoints(8);
@@ -106,7 +107,7 @@
   }
 }
 
-TEST(Keys, EveryDispatcherFindsTheSameEndpointForAKey) {
+TEST(Keys, DispatchersSelectTheSameEndpointsForAKey) {
   Settings settings = basic_settings();
   settings.dispatchers = 2;
   std::map<std::uint64_t, std::set<EndpointId>> used;
@@ -127,14 +128,14 @@
   std::size_t pairs = 0;
   for (const auto& [key, endpoints] : used)
     pairs += endpoints.size();
-  EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five endpoints a key
+  EXPECT_LE(pairs, 60u * 5 / 2);  // random placement would use about five endpoints per key
 }
 
-TEST(SubsetChanged, WithManyDispatchersEachSamplesItsOwnFewEndpointsFirst) {
+TEST(SubsetChanged, EachOfManyDispatchersPrefersItsOwnSubset) {
   Settings settings = basic_settings();
   settings.dispatchers = 100;
   std::map<EndpointId, int> fleet;
-  int without_subset = 0;  // those to whom the hash gave no subset
+  int without_subset = 0;  // dispatchers for which the hash yields no subset
   for (settings.rank = 0; settings.rank < 100; ++settings.rank) {
     DispatcherHarness harness(settings, 11 + static_cast<std::uint64_t>(settings.rank));
     harness.endpoints(100);
@@ -151,7 +152,7 @@
       ++fleet[endpoint];
   }
   EXPECT_LE(without_subset, 3);
-  EXPECT_GE(fleet.size(), 90u);  // and together they use the whole fleet
+  EXPECT_GE(fleet.size(), 90u);  // together the dispatchers use nearly the whole fleet
 }
 
 }  // namespace
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -1,5 +1,5 @@
-/// Rule 4: all dispatchers, and all processes of a node, stay under the budget of an endpoint that
-/// warms up.
+/// Tests of rule 4: all dispatchers and all processes of a node together stay within the slow start
+/// budget of an endpoint.
 #include <cstdint>
 #include <utility>
 
@@ -9,12 +9,12 @@
 namespace keelflow::scheduler {
 namespace {
 
-// One that was restarted while an override drained it comes back warming up: whatever service time
-// ratio must be assumed of it, it is tried. The next request goes there whenever it is sampled,
-// which is in two of three cases among four endpoints.
-TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedBeforeItsServiceTimeRatioCounts) {
+// An endpoint that restarts while an override drains it is warming up when it is ready again. It
+// must be tried regardless of the service time ratio assumed for it. The next request is sent there
+// whenever the endpoint is sampled, in two of three cases among four endpoints.
+TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedDespiteItsAssumedServiceTimeRatio) {
   Settings settings = basic_settings();
-  settings.classes[0].objective_runtime_factor = 10;  // in time even there
+  settings.classes[0].objective_runtime_factor = 10;  // the objective can be met there even so
   int tried = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     DispatcherHarness harness(settings, seed);
@@ -31,13 +31,14 @@
   EXPECT_GT(tried, 100);
 }
 
-// All dispatchers together, each with a flood of work and an endpoint warming up among others.
+// The largest fraction of an overload that all dispatchers together send to an endpoint that is
+// warming up, each under a constant load of requests.
 double max_fraction_of_warming_up_endpoints(int dispatchers, double hint,
-                                            bool whole_fleet_warming_up) {
+                                            bool is_whole_fleet_warming_up) {
   Settings settings = basic_settings();
   settings.dispatchers = dispatchers;
   SentWorkByEndpoint sent;
-  int endpoints_warming_up = whole_fleet_warming_up ? 8 : 1;
+  int endpoints_warming_up = is_whole_fleet_warming_up ? 8 : 1;
   const Time started_at = 5000;
   for (int rank = 0; rank < dispatchers; ++rank) {
     settings.rank = rank;
@@ -67,21 +68,23 @@
   });
 }
 
-TEST(SlowStartBudget, AllDispatchersTogetherStayUnderTheBudgetOfAOneCoreEndpoint) {
+TEST(SlowStartBudget, AllDispatchersTogetherStayWithinTheBudgetOfAOneCoreEndpoint) {
   for (int dispatchers : {1, 3, 20})
     for (double hint : {60.0, 400.0})
-      for (bool all : {false, true}) {
-        double worst = max_fraction_of_warming_up_endpoints(dispatchers, hint, all);
-        EXPECT_LE(worst, 0.70) << dispatchers << " dispatchers, hint " << hint << ", all cold "
-                               << all;
+      for (bool are_all_warming_up : {false, true}) {
+        double worst = max_fraction_of_warming_up_endpoints(dispatchers, hint, are_all_warming_up);
+        EXPECT_LE(worst, 0.70) << dispatchers << " dispatchers, hint " << hint
+                               << ", all warming up " << are_all_warming_up;
       }
   EXPECT_GT(max_fraction_of_warming_up_endpoints(3, 60, true),
-            0.0);  // the endpoint warming up is used at all
+            0.0);  // endpoints that are warming up are used
 }
 
-// Two processes of one node, each with a flood of work, and all endpoints warming up. The new one
-// begins half a window later, with the learned state of the old one if they share it.
-double max_fraction_of_siblings(bool both, bool share_state) {
+// The largest fraction of an overload that two processes of one node send, under constant load and
+// with all endpoints warming up. The new process begins half a window later, with the learned state
+// of the old one if `shares_state`. If not `are_both_sending`, only the old process sends in that
+// period.
+double max_fraction_of_siblings(bool are_both_sending, bool shares_state) {
   Settings settings = basic_settings();
   DispatcherHarness old_process(settings, 3);
   DispatcherHarness new_process(settings, 4);
@@ -90,7 +93,8 @@
   EndpointList list;
   for (EndpointId i = 0; i < 4; ++i)
     list.entries.push_back({i, 0, 0, 0, EndpointState::ready, 1, started_at});
-  old_process.now = new_process.now = started_at;
+  old_process.now = started_at;
+  new_process.now = started_at;
   old_process.handle(list);
   new_process.handle(list);
   RequestId id = 0;
@@ -111,14 +115,14 @@
   for (Time now = started_at; now < joined_at; now += 10)
     step(old_process, new_process, now);
   new_process.advance(joined_at);
-  if (share_state) {
+  if (shares_state) {
     new_process.handle(old_process.dispatcher.learned_state(joined_at));
     new_process.handle(SiblingProcess{true});
     old_process.handle(SiblingProcess{true});
   }
   for (Time now = joined_at; now < started_at + settings.slow_start_ms; now += 10) {
     step(old_process, new_process, now);
-    step(both ? new_process : old_process, old_process, now);
+    step(are_both_sending ? new_process : old_process, old_process, now);
   }
   return max_window_fraction(settings, sent, [&](Time when) {
     return settings.slow_start_initial_fraction + (1 - settings.slow_start_initial_fraction) *
@@ -126,11 +130,12 @@
   });
 }
 
-TEST(SlowStartBudget, TwoProcessesOfOneNodeHaveOneBudget) {
-  double alone = max_fraction_of_siblings(false, false);
-  EXPECT_LE(alone, 0.70);
-  EXPECT_LT(max_fraction_of_siblings(true, true), 1.1 * alone);
-  EXPECT_GT(max_fraction_of_siblings(true, false), 1.4 * alone);  // so the test would notice
+TEST(SlowStartBudget, TwoProcessesOfANodeShareOneBudget) {
+  double single_process = max_fraction_of_siblings(false, false);
+  EXPECT_LE(single_process, 0.70);
+  EXPECT_LT(max_fraction_of_siblings(true, true), 1.1 * single_process);
+  EXPECT_GT(max_fraction_of_siblings(true, false),
+            1.4 * single_process);  // without shared state, the excess is detected
 }
 
 }  // namespace
--- a/tests/scheduler/dispatcher_state_transfer_test.cpp
+++ b/tests/scheduler/dispatcher_state_transfer_test.cpp
@@ -1,10 +1,11 @@
-/// What a Dispatcher takes over from another process, and preserves when its settings change.
+/// Tests of the state that a Dispatcher restores from another process, and of the state that it
+/// keeps when its settings change.
 #include "dispatcher_harness.h"
 
 namespace keelflow::scheduler {
 namespace {
 
-TEST(SiblingProcess, KnowsWhatTheOtherLearnedAndWhereItsSlotsAre) {
+TEST(SiblingProcess, RestoresTheLearnedStateAndSlotsInUseOfTheOtherProcess) {
   Settings settings = basic_settings();
   DispatcherHarness old_process(settings);
   DispatcherHarness new_process(settings);
@@ -16,7 +17,7 @@
     old_process.outcome(id, 0, AttemptResult::ok, true);
   }
   old_process.arrive(41, 100);
-  EndpointId busy = old_process.sends.back().endpoint;
+  EndpointId busy_endpoint = old_process.sends.back().endpoint;
   new_process.now = old_process.now;
   new_process.endpoints(2);
   EXPECT_EQ(new_process.dispatcher.calibration(0), 1);
@@ -25,10 +26,10 @@
   EXPECT_GT(new_process.dispatcher.calibration(0), 2.5);
   new_process.arrive(1, 100);
   ASSERT_EQ(new_process.sends.size(), 1u);
-  EXPECT_NE(new_process.sends[0].endpoint, busy);
+  EXPECT_NE(new_process.sends[0].endpoint, busy_endpoint);
 }
 
-TEST(SettingsChanged, PreservesWhatWasLearnedAndTheClassOfRequestsUnderWay) {
+TEST(SettingsChanged, KeepsTheLearnedStateAndTheClassOfRequestsInProgress) {
   Settings settings = basic_settings();
   DispatcherHarness harness(settings);
   harness.endpoints(2);
@@ -47,20 +48,20 @@
   EXPECT_EQ(harness.dispatcher.calibration(1), learned);
   harness.arrive(51, 100, 1);
   std::size_t before = harness.sends.size();
-  harness.outcome(50, 0, AttemptResult::reset, false);  // arrived as idempotent, and is retried
+  harness.outcome(50, 0, AttemptResult::reset, false);  // arrived as idempotent: retried
   EXPECT_EQ(harness.sends.size(), before + 1);
-  harness.outcome(51, 0, AttemptResult::reset, false);  // arrived as non-idempotent
+  harness.outcome(51, 0, AttemptResult::reset, false);  // arrived as non-idempotent: fails
   EXPECT_EQ(harness.sends.size(), before + 1);
   ASSERT_EQ(harness.answers.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<FailRequest>(harness.answers[0]));
 }
 
-TEST(SettingsChanged, AQueuedRequestThatHasUsedUpAStricterAttemptLimitEndsAtOnce) {
+TEST(SettingsChanged, AQueuedRequestEndsAtOnceIfItHasReachedALoweredAttemptLimit) {
   Settings settings = basic_settings();
   DispatcherHarness harness(settings);
   harness.endpoints(1);
   harness.arrive(1, 100);
-  harness.outcome(1, 0, AttemptResult::connect_failed, false);  // the only endpoint is ejected now
+  harness.outcome(1, 0, AttemptResult::connect_failed, false);  // ejects the only endpoint
   ASSERT_TRUE(harness.answers.empty());
   ASSERT_EQ(harness.dispatcher.queued_requests(), 1u);
   settings.max_attempts = 1;
--- a/tests/scheduler/dispatcher_test.cpp
+++ b/tests/scheduler/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-/// The same settings, seed and events always give the same actions.
+/// Tests that equal settings, seeds and events yield equal actions.
 #include <utility>
 #include <vector>
 
@@ -13,18 +13,18 @@
     for (RequestId id = 1; id < 60; ++id)
       harness.arrive(id, 50 + id % 7);
     harness.advance(harness.now + 500);
-    std::vector<std::pair<RequestId, EndpointId>> all;
+    std::vector<std::pair<RequestId, EndpointId>> sent;
     for (const auto& send : harness.sends)
-      all.emplace_back(send.request, send.endpoint);
-    return all;
+      sent.emplace_back(send.request, send.endpoint);
+    return sent;
   };
   Settings settings = basic_settings();
   settings.zones = 3;
-  DispatcherHarness alone(settings, 5);
+  DispatcherHarness reference(settings, 5);
   DispatcherHarness same(settings, 5);
   DispatcherHarness other(settings, 6);
-  auto expected = run(alone);
-  // Two instances in one process act as in two: interleaving them changes nothing.
+  auto expected = run(reference);
+  // Instances in one process share no state: running another between the two changes nothing.
   run(other);
   EXPECT_EQ(run(same), expected);
 }
--- a/tests/scheduler/embed_example.cpp
+++ b/tests/scheduler/embed_example.cpp
@@ -1,4 +1,4 @@
-/// The README's example: an embedder's loop in small.
+/// The example in the README: a minimal program that embeds the scheduler.
 #include <iostream>
 
 #include "scheduler/dispatcher.h"
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -1,4 +1,4 @@
-/// The concurrency limit of an endpoint, and its ejection.
+/// Tests of the concurrency limit and the ejection of an endpoint.
 #include "scheduler/endpoint_health.h"
 
 #include <gtest/gtest.h>
@@ -7,11 +7,12 @@
 namespace {
 
 constexpr EndpointSlot kSlot = 0;
-constexpr double kMeanRunMs = 1000;  // a tenth of it is the shortest ejection
+constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of the mean run
 constexpr double kBaseEjectionMs = 100;
-constexpr double kMinJitterFactor = 0.75;  // ejections are drawn around their length
+constexpr double kMinJitterFactor = 0.75;  // ejection durations have random jitter
 constexpr double kMaxJitterFactor = 1.25;
 
+/// The health of one endpoint, with a clock that the test sets.
 struct EndpointHealthTest : ::testing::Test {
   EndpointHealthTest() : environment(Settings{}, 1), health(environment) {
     environment.now = 1000;
@@ -34,14 +35,14 @@
   EXPECT_FALSE(health.has_fault_signs(kSlot));
 }
 
-TEST_F(EndpointHealthTest, TheLimitGrowsOnlyWhereItBinds) {
+TEST_F(EndpointHealthTest, TheLimitGrowsOnlyWhenItIsFullyUsed) {
   health.record_success(kSlot, 0.5);
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 2);
   health.record_success(kSlot, 1);
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 2.5);
 }
 
-TEST_F(EndpointHealthTest, OverloadLowersTheLimitToOneAtLeastAndIsNoFault) {
+TEST_F(EndpointHealthTest, OverloadLowersTheLimitToNoLessThanOneAndIsNotAFault) {
   health.eject_as_overloaded(kSlot, kMeanRunMs);
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1.4);
   EXPECT_TRUE(health.is_ejected(kSlot));
@@ -52,7 +53,7 @@
   EXPECT_FALSE(health.has_fault_signs(kSlot));
 }
 
-TEST_F(EndpointHealthTest, TheEjectionOfAnOutlierDoublesThreeTimesAndThenStays) {
+TEST_F(EndpointHealthTest, TheEjectionOfAnOutlierDoublesUpToThreeTimes) {
   for (double duration : {2.0, 4.0, 8.0, 8.0}) {
     health.eject_as_outlier(kSlot, kMeanRunMs);
     expect_ejected_for_about(duration * kBaseEjectionMs);
@@ -62,7 +63,7 @@
   EXPECT_DOUBLE_EQ(health.concurrency_limit(kSlot), 1);
 }
 
-TEST_F(EndpointHealthTest, FailuresOneAfterAnotherDoubleItSixTimes) {
+TEST_F(EndpointHealthTest, ConsecutiveFailuresDoubleTheEjectionUpToSixTimes) {
   for (int i = 0; i < 10; ++i)
     health.record_failure(kSlot);
   EXPECT_TRUE(health.fails_repeatedly(kSlot));
@@ -70,7 +71,7 @@
   expect_ejected_for_about(64 * kBaseEjectionMs);
 }
 
-TEST_F(EndpointHealthTest, ATimelyStartClearsSignsButOnlyAServedAttemptClearsFailures) {
+TEST_F(EndpointHealthTest, ATimelyStartClearsOutlierSignsButNotFailures) {
   health.eject_as_outlier(kSlot, kMeanRunMs);
   health.record_failure(kSlot);
   health.record_success(kSlot, 0);
@@ -86,13 +87,13 @@
   EXPECT_DOUBLE_EQ(health.ejected_until(kSlot), 5000);
 }
 
-TEST_F(EndpointHealthTest, WithoutAMeanRunAnEjectionLastsSomeTicks) {
+TEST_F(EndpointHealthTest, WithoutAMeanRunAnEjectionLastsFourTicks) {
   environment.settings.tick_ms = 50;
   health.eject_as_overloaded(kSlot, 0);
   expect_ejected_for_about(4 * 50);
 }
 
-TEST_F(EndpointHealthTest, ANewIncarnationForgetsTheFaultsOfTheFormerOne) {
+TEST_F(EndpointHealthTest, ANewIncarnationHasNoFaultsOfTheFormerOne) {
   health.record_failure(kSlot);
   health.eject_as_outlier(kSlot, kMeanRunMs);
   health.reset(kSlot);
--- a/tests/scheduler/endpoint_table_test.cpp
+++ b/tests/scheduler/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoints there are, in which slots, and the indexes over them.
+/// Tests of the endpoint table: slots, attempts in flight and indexes.
 #include "scheduler/endpoint_table.h"
 
 #include <gtest/gtest.h>
@@ -18,11 +18,11 @@
   table.remove(7);
   EXPECT_FALSE(table.find(7));
   EXPECT_FALSE(table.is_listed(7));
-  table.remove(7);  // not listed any more: nothing happens
+  table.remove(7);  // no effect: the endpoint is no longer listed
   EXPECT_TRUE(table.listed().empty());
 }
 
-TEST(EndpointTable, TheSlotOfAnEndpointThatIsGoneIsUsedAgainWithNothingInFlight) {
+TEST(EndpointTable, TheSlotOfARemovedEndpointIsReusedWithNothingInFlight) {
   EndpointTable table(1);
   EndpointSlot slot = table.add(entry_of(7));
   table.record_send(slot, 2);
@@ -34,7 +34,7 @@
   EXPECT_FALSE(table.at(slot).was_used);
 }
 
-TEST(EndpointTable, TheSlotStaysWhileAnAttemptIsInFlightThere) {
+TEST(EndpointTable, ASlotIsNotReusedWhileAnAttemptIsInFlight) {
   EndpointTable table(1);
   EndpointSlot slot = table.add(entry_of(7));
   table.record_send(slot, 1);
@@ -47,7 +47,7 @@
   EXPECT_EQ(table.add(entry_of(9)), slot);
 }
 
-TEST(EndpointTable, ANewIncarnationCountsWhatIsInFlightAtTheFormerOne) {
+TEST(EndpointTable, ANewIncarnationIncludesAttemptsInFlightAtTheFormerOne) {
   EndpointTable table(1);
   EndpointSlot slot = table.add(entry_of(7));
   table.record_send(slot, 2);
@@ -58,7 +58,7 @@
   EXPECT_FALSE(table.at(slot).was_used);
 }
 
-TEST(EndpointTable, AttemptsThatRunAreCountedApartFromThoseThatWait) {
+TEST(EndpointTable, RunningAndWaitingAttemptsAreCountedSeparately) {
   EndpointTable table(1);
   EndpointSlot slot = table.add(entry_of(7));
   for (int i = 0; i < 3; ++i)
@@ -82,7 +82,7 @@
   EXPECT_TRUE(table.in_cell(2).empty());
 }
 
-TEST(EndpointTable, IndexesAreByKindAndTheSubsetHoldsOnlyAvailableOnes) {
+TEST(EndpointTable, IndexesAreByKindAndTheSubsetHoldsOnlyAvailableEndpoints) {
   EndpointTable table(2);
   EndpointSlot first = table.add(entry_of(7, 0));
   EndpointSlot second = table.add(entry_of(8, 1));
@@ -97,7 +97,7 @@
   EXPECT_TRUE(table.available_in_subset(1).has(second));
 }
 
-TEST(EndpointTable, TheRingHoldsReadyEndpointsWhetherAvailableOrNot) {
+TEST(EndpointTable, TheRingHoldsReadyEndpointsEvenIfUnavailable) {
   EndpointTable table(2);
   EndpointSlot slot = table.add(entry_of(7, 1));
   table.index(slot, false, false);
--- a/tests/scheduler/key_frequency_test.cpp
+++ b/tests/scheduler/key_frequency_test.cpp
@@ -1,4 +1,4 @@
-/// How often each key is met.
+/// Tests of the frequency estimate of keys.
 #include "scheduler/key_frequency.h"
 
 #include <gtest/gtest.h>
@@ -6,16 +6,16 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr int kKeysPerHalving = 4096;  // keys after which older ones count half
+constexpr int kKeysPerHalving = 4096;  // counts are halved after this number of keys
 
-TEST(KeyFrequency, AKeyThatWasNotMetHasNoFraction) {
+TEST(KeyFrequency, AnUnseenKeyHasAFractionOfZero) {
   KeyFrequency frequency;
   EXPECT_DOUBLE_EQ(frequency.fraction(7), 0);
   frequency.count(8);
   EXPECT_DOUBLE_EQ(frequency.fraction(7), 0);
 }
 
-TEST(KeyFrequency, TheFractionIsOfAllThatWereCounted) {
+TEST(KeyFrequency, TheFractionIsOfAllCountedKeys) {
   KeyFrequency frequency;
   for (std::uint64_t key : {7, 7, 7, 8})
     frequency.count(key);
@@ -23,7 +23,7 @@
   EXPECT_DOUBLE_EQ(frequency.fraction(8), 0.25);
 }
 
-TEST(KeyFrequency, OlderTrafficCountsLessThanNewOne) {
+TEST(KeyFrequency, OlderTrafficCountsLessThanNewTraffic) {
   KeyFrequency frequency;
   for (int i = 0; i < kKeysPerHalving; ++i)
     frequency.count(7);
@@ -35,7 +35,7 @@
   EXPECT_LT(frequency.fraction(7), 0.01);
 }
 
-TEST(KeyFrequency, AKeyThatIsMetNoMoreIsForgotten) {
+TEST(KeyFrequency, AKeyThatIsNoLongerSeenIsForgotten) {
   KeyFrequency frequency;
   frequency.count(7);
   for (int i = 0; i < 2 * kKeysPerHalving; ++i)
--- a/tests/scheduler/request_queue_test.cpp
+++ b/tests/scheduler/request_queue_test.cpp
@@ -1,4 +1,4 @@
-/// The order of the queue, by class and tier.
+/// Tests of the order of the request queue, by class and tier.
 #include "scheduler/request_queue.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return request;
 }
 
-TEST(RequestQueue, TheSmallestCostIsFirstAndOfEqualOnesTheEarlierArrival) {
+TEST(RequestQueue, OrdersByCostAndThenByArrival) {
   RequestQueue queue(1);
   Request large = make_request(1, 300, 0);
   Request later = make_request(2, 100, 2);
@@ -25,7 +25,7 @@
   EXPECT_EQ(queue.all(), (std::vector<RequestId>{3, 2, 1}));
 }
 
-TEST(RequestQueue, ARequestIsQueuedOnceAndNotAfterItsEnd) {
+TEST(RequestQueue, ARequestIsQueuedOnlyOnceAndNotAfterItFinished) {
   RequestQueue queue(1);
   Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
@@ -39,7 +39,7 @@
   EXPECT_EQ(queue.size(), 1u);
 }
 
-TEST(RequestQueue, RemovingOneThatIsNotQueuedChangesNothing) {
+TEST(RequestQueue, RemovingARequestThatIsNotQueuedChangesNothing) {
   RequestQueue queue(1);
   Request request = make_request(1, 100, 0);
   Request other = make_request(2, 100, 1);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(queue.all().empty());
 }
 
-TEST(RequestQueue, AnOverdueRequestChangesTheTierAndItsWaitCountsAnew) {
+TEST(RequestQueue, AnOverdueRequestMovesToTheOverdueTierAndItsWaitRestarts) {
   RequestQueue queue(1);
   Request request = make_request(1, 100, 0);
   queue.push(request, 1000);
@@ -64,7 +64,7 @@
   EXPECT_EQ(queue.size(), 1u);
 }
 
-TEST(RequestQueue, ARequestInFlightThatIsOverdueIsNotQueuedByThat) {
+TEST(RequestQueue, MarkingARequestInFlightOverdueDoesNotQueueIt) {
   RequestQueue queue(1);
   Request request = make_request(1, 100, 0);
   queue.mark_overdue(request, 1500);
@@ -72,7 +72,7 @@
   EXPECT_EQ(queue.size(), 0u);
 }
 
-TEST(RequestQueue, TheCheapestClassIsByCalibratedCostAmongThoseThatAreNotBlocked) {
+TEST(RequestQueue, TheCheapestClassIsTheUnblockedOneWithTheLowestCalibratedCost) {
   RequestQueue queue(3);
   CostCalibration calibration(3);
   calibration.restore({{4, 0, 0}, {1, 0, 0}, {1, 0, 0}});
--- a/tests/scheduler/request_table_test.cpp
+++ b/tests/scheduler/request_table_test.cpp
@@ -1,4 +1,4 @@
-/// Requests that have not been forgotten.
+/// Tests of the table of requests in progress and of their removal.
 #include "scheduler/request_table.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   EXPECT_EQ(table.find(4), nullptr);
 }
 
-TEST(RequestTable, OnlyAnAttemptInFlightIsFoundAsSuch) {
+TEST(RequestTable, FindInFlightReturnsOnlyAttemptsInFlight) {
   RequestTable table;
   table.add(arrival_of(9)).attempts.push_back({.endpoint = 7});
   EXPECT_NE(table.find_in_flight(9, 0), nullptr);
@@ -31,7 +31,7 @@
   EXPECT_EQ(table.find_in_flight(9, 0), nullptr);
 }
 
-TEST(RequestTable, AFinishedRequestIsForgottenOnceNothingOfItIsInFlight) {
+TEST(RequestTable, AFinishedRequestIsForgottenOnceNoAttemptIsInFlight) {
   RequestTable table;
   Request& request = table.add(arrival_of(9));
   request.attempts.push_back({.endpoint = 7});
@@ -43,11 +43,11 @@
   EXPECT_EQ(table.find(9), nullptr);
 }
 
-TEST(RequestTable, ARequestThatIsNotFinishedStays) {
+TEST(RequestTable, AnUnfinishedRequestIsNotForgotten) {
   RequestTable table;
   table.add(arrival_of(9));
   table.forget_if_done(9);
-  table.forget_if_done(8);  // there is none of that id: nothing happens
+  table.forget_if_done(8);  // no effect: unknown id
   EXPECT_NE(table.find(9), nullptr);
 }
 
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -1,4 +1,5 @@
-/// Which attempts may follow which, and when a request may be rejected as safe to retry.
+/// Tests of which attempts may follow earlier ones, and of when a request may be rejected as safe
+/// to retry.
 #include "scheduler/retry_policy.h"
 
 #include <gtest/gtest.h>
@@ -7,8 +8,9 @@
 namespace {
 
 constexpr Time kNow = 10000;
-constexpr double kWindowMs = 1000;  // deduplication; nine tenths of it are used
+constexpr double kWindowMs = 1000;  // deduplication window, of which nine tenths are used
 
+/// One request, and endpoints in the cell and zone of its earlier attempts and outside.
 struct RetryPolicyTest : ::testing::Test {
   RetryPolicyTest()
       : environment(test_settings(), 1),
@@ -38,7 +40,7 @@
     class_settings().idempotency = idempotency;
     class_settings().deduplication_scope = scope;
   }
-  /// An attempt in zone 0 and cell 5 before.
+  /// Adds an earlier attempt in zone 0 and cell 5.
   void add_attempt(DeliveryState delivery, Time sent = kNow - 100) {
     request.attempts.push_back(
         {.endpoint = 9, .zone = 0, .cell = 5, .sent = sent, .delivery = delivery});
@@ -54,7 +56,7 @@
   EndpointSlot other_zone;
 };
 
-TEST_F(RetryPolicyTest, AnIdempotentRequestMayFollowAnyAttemptAnywhere) {
+TEST_F(RetryPolicyTest, AnIdempotentRequestMayBeRetriedAnywhereAtAnyTime) {
   set_class(Idempotency::idempotent);
   add_attempt(DeliveryState::may_have_run, kNow - 100 * kWindowMs);
   EXPECT_TRUE(policy.may_send(request, other_zone));
@@ -62,7 +64,7 @@
   EXPECT_TRUE(policy.may_reject(request));
 }
 
-TEST_F(RetryPolicyTest, ANonIdempotentRequestFollowsOnlyAttemptsThatWereNotDelivered) {
+TEST_F(RetryPolicyTest, ANonIdempotentRequestIsRetriedOnlyAfterUndeliveredAttempts) {
   set_class(Idempotency::non_idempotent);
   add_attempt(DeliveryState::not_delivered);
   EXPECT_TRUE(policy.may_send(request, same_cell));
@@ -81,7 +83,7 @@
   EXPECT_FALSE(policy.may_reject(request));
 }
 
-TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinItsDeduplicationScope) {
+TEST_F(RetryPolicyTest, ARequestWithAKeyIsRetriedOnlyWithinItsDeduplicationScope) {
   add_attempt(DeliveryState::may_have_run);
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
   EXPECT_TRUE(policy.may_send(request, other_zone));
@@ -93,7 +95,7 @@
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
-TEST_F(RetryPolicyTest, ARequestWithAKeyFollowsOnlyWithinNineTenthsOfItsWindow) {
+TEST_F(RetryPolicyTest, ARequestWithAKeyIsRetriedOnlyWithinNineTenthsOfItsWindow) {
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::zone);
   add_attempt(DeliveryState::may_have_run, kNow);
   environment.now = kNow + 0.9 * kWindowMs;
@@ -103,7 +105,7 @@
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
-TEST_F(RetryPolicyTest, ARequestWithAKeyMayBeRejectedWhereEveryEndpointDropsRepeatsOrNoneHasIt) {
+TEST_F(RetryPolicyTest, ARequestWithAKeyMayBeRejectedIfDeduplicatedEverywhereOrNotDelivered) {
   add_attempt(DeliveryState::may_have_run);
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
   EXPECT_TRUE(policy.may_reject(request));
@@ -113,7 +115,7 @@
   EXPECT_TRUE(policy.may_reject(request));
 }
 
-TEST_F(RetryPolicyTest, WithoutConcurrentAttemptsNothingFollowsOneInFlight) {
+TEST_F(RetryPolicyTest, WithoutConcurrentAttemptsNothingIsSentWhileOneIsInFlight) {
   environment.settings.concurrent_attempts = false;
   add_attempt(DeliveryState::in_flight);
   EXPECT_FALSE(policy.may_send(request, same_cell));
@@ -121,7 +123,7 @@
   EXPECT_TRUE(policy.may_send(request, same_cell));
 }
 
-TEST_F(RetryPolicyTest, NothingIsSentAfterTheLastAttemptTheDeadlineTheStreamOrTheEnd) {
+TEST_F(RetryPolicyTest, NothingIsSentOnceAttemptsAreUsedUpTheDeadlinePassedOrAResponseBegan) {
   request.is_streaming = true;
   EXPECT_FALSE(policy.may_send(request, same_cell));
   request.is_streaming = false;
@@ -139,18 +141,18 @@
   EXPECT_FALSE(policy.may_send(request, same_cell));
 }
 
-TEST_F(RetryPolicyTest, NothingIsSentToAnEndpointThatDrainsOrIsOfAnotherKind) {
+TEST_F(RetryPolicyTest, NothingIsSentToADrainingEndpointOrOneOfAnotherKind) {
   endpoints.set_state(same_cell, EndpointState::draining);
   EXPECT_FALSE(policy.may_send(request, same_cell));
   class_settings().kind = 1;
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
-TEST_F(RetryPolicyTest, RetryAfterIsAQuarterOfTheMeanRunWithinItsLimits) {
-  EXPECT_DOUBLE_EQ(policy.retry_after(), 0);  // not among the settings: no guidance
+TEST_F(RetryPolicyTest, RetryAfterIsAQuarterOfTheMeanRunWithinLimits) {
+  EXPECT_DOUBLE_EQ(policy.retry_after(), 0);  // disabled in the settings
   environment.settings.retry_after = true;
   environment.settings.max_retry_after_ms = 500;
-  EXPECT_DOUBLE_EQ(policy.retry_after(), 40);  // four ticks at least
+  EXPECT_DOUBLE_EQ(policy.retry_after(), 40);  // at least four ticks
   statistics.record_run(1000);
   EXPECT_DOUBLE_EQ(policy.retry_after(), 250);
   ServiceStatistics long_runs(environment.settings);
--- a/tests/scheduler/sampled_set_test.cpp
+++ b/tests/scheduler/sampled_set_test.cpp
@@ -1,4 +1,4 @@
-/// A set of small numbers that is accessed by position.
+/// Tests of a set of small integers with access by position.
 #include "scheduler/sampled_set.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   return items;
 }
 
-TEST(SampledSet, HoldsEachItemOnceHoweverOftenItIsSet) {
+TEST(SampledSet, SettingAnItemTwiceKeepsOneCopy) {
   SampledSet set;
   set.set(5, true);
   set.set(5, true);
@@ -25,7 +25,7 @@
   EXPECT_FALSE(set.has(1000));
 }
 
-TEST(SampledSet, TheLastItemTakesThePlaceOfARemovedOne) {
+TEST(SampledSet, TheLastItemMovesToThePositionOfARemovedItem) {
   SampledSet set;
   for (std::uint32_t item : {3, 1, 2})
     set.set(item, true);
@@ -35,7 +35,7 @@
   EXPECT_EQ(set[1], 1u);
 }
 
-TEST(SampledSet, RemovingWhatIsNotInItChangesNothing) {
+TEST(SampledSet, RemovingAnAbsentItemChangesNothing) {
   SampledSet set;
   set.set(3, true);
   set.set(9, false);
@@ -44,7 +44,7 @@
   EXPECT_EQ(set.size(), 0u);
 }
 
-TEST(SampledSet, AnItemThatComesBackIsInItAgain) {
+TEST(SampledSet, ARemovedItemCanBeAddedAgain) {
   SampledSet set;
   for (std::uint32_t item : {3, 1, 2})
     set.set(item, true);
--- a/tests/scheduler/service_statistics_test.cpp
+++ b/tests/scheduler/service_statistics_test.cpp
@@ -1,4 +1,4 @@
-/// Averages of how fast attempts start and run.
+/// Tests of the averages of start delays and run times.
 #include "scheduler/service_statistics.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return settings;
 }
 
-TEST(ServiceStatistics, AnEndpointLearnsFasterThanItsKindAndLeavesOtherKindsAlone) {
+TEST(ServiceStatistics, ARatioMovesTheEndpointFasterThanItsKindAndNoOtherKind) {
   ServiceStatistics statistics(two_kinds_and_zones());
   statistics.reset(kSlot, 1);
   statistics.record_ratio(kSlot, 1, 2, false);
@@ -26,7 +26,7 @@
   EXPECT_DOUBLE_EQ(statistics.kind_service_time_ratio(0), 1);
 }
 
-TEST(ServiceStatistics, WhileAnEndpointWarmsUpItsKindLearnsNothing) {
+TEST(ServiceStatistics, ARatioDuringWarmUpDoesNotChangeTheKind) {
   ServiceStatistics statistics(two_kinds_and_zones());
   statistics.reset(kSlot, 0);
   statistics.record_ratio(kSlot, 0, 2, true);
@@ -34,7 +34,7 @@
   EXPECT_DOUBLE_EQ(statistics.kind_service_time_ratio(0), 1);
 }
 
-TEST(ServiceStatistics, ANewIncarnationHasTheRatioOfItsKind) {
+TEST(ServiceStatistics, ANewIncarnationStartsWithTheRatioOfItsKind) {
   ServiceStatistics statistics(two_kinds_and_zones());
   statistics.reset(kSlot, 0);
   statistics.record_ratio(kSlot, 0, 2, false);
@@ -42,7 +42,7 @@
   EXPECT_DOUBLE_EQ(statistics.service_time_ratio(kSlot), 1.1);
 }
 
-TEST(ServiceStatistics, OneExtremeRatioCountsAsFourAtMostAndAQuarterAtLeast) {
+TEST(ServiceStatistics, ARatioIsClampedToBetweenAQuarterAndFour) {
   ServiceStatistics statistics(two_kinds_and_zones());
   statistics.reset(kSlot, 0);
   statistics.record_ratio(kSlot, 0, 1000, false);
@@ -52,7 +52,7 @@
   EXPECT_DOUBLE_EQ(statistics.service_time_ratio(kSlot), 1 - 0.2 * 0.75);
 }
 
-TEST(ServiceStatistics, TheMeanRunStartsAtTheFirstAndMovesATenthOfTheWay) {
+TEST(ServiceStatistics, TheMeanRunStartsAtTheFirstRunAndMovesByATenthOfTheDifference) {
   ServiceStatistics statistics(two_kinds_and_zones());
   EXPECT_DOUBLE_EQ(statistics.mean_run(), 0);
   statistics.record_run(100);
@@ -61,7 +61,7 @@
   EXPECT_DOUBLE_EQ(statistics.mean_run(), 110);
 }
 
-TEST(ServiceStatistics, AStartIsLateAfterThreeMeanDelaysOfItsZoneFourTicksAndTenMs) {
+TEST(ServiceStatistics, TheStartTimeoutIsThreeMeanDelaysOfTheZoneFourTicksAndTenMs) {
   ServiceStatistics statistics(two_kinds_and_zones());
   EXPECT_DOUBLE_EQ(statistics.start_timeout(0, 5), 30);
   statistics.record_start_delay(1, 20);
@@ -69,7 +69,7 @@
   EXPECT_DOUBLE_EQ(statistics.start_timeout(0, 5), 30);
 }
 
-TEST(ServiceStatistics, TheMostAttemptsThatRanAtOnceAreTheCoresOfAKind) {
+TEST(ServiceStatistics, TheObservedCoresOfAKindAreTheMaximumOfConcurrentRuns) {
   ServiceStatistics statistics(two_kinds_and_zones());
   EXPECT_DOUBLE_EQ(statistics.observed_cores(0), 1);
   statistics.record_running(0, 4);
@@ -78,7 +78,7 @@
   EXPECT_DOUBLE_EQ(statistics.observed_cores(1), 1);
 }
 
-TEST(ServiceStatistics, AnotherProcessContinuesWithWhatWasLearned) {
+TEST(ServiceStatistics, RestoresTheLearnedState) {
   ServiceStatistics statistics(two_kinds_and_zones());
   LearnedState learned;
   learned.kinds = {{4, 1.5}, {2, 0.5}};
--- a/tests/scheduler/settings_test.cpp
+++ b/tests/scheduler/settings_test.cpp
@@ -1,4 +1,4 @@
-/// Settings that cannot be are rejected.
+/// Tests that invalid settings are rejected.
 #include <cmath>
 #include <stdexcept>
 #include <string>
@@ -8,7 +8,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-TEST(Settings, ImpossibleOnesThrow) {
+TEST(Settings, InvalidSettingsThrow) {
   auto modified = [](auto change) {
     Settings settings = basic_settings();
     change(settings);
@@ -26,7 +26,7 @@
                std::invalid_argument);
 }
 
-/// What `validate` says against the settings; empty: nothing.
+/// The error message of `validate`, or an empty string if the settings are valid.
 std::string validation_error(const Settings& settings) {
   try {
     validate(settings);
@@ -36,17 +36,17 @@
   return "";
 }
 
-TEST(Settings, OrdinaryOnesAreValid) {
+TEST(Settings, BasicSettingsAreValid) {
   EXPECT_EQ(validation_error(basic_settings()), "");
 }
 
-TEST(Settings, AFaultNamesWhatIsWrong) {
+TEST(Settings, AnErrorNamesTheInvalidSetting) {
   Settings settings = basic_settings();
   settings.max_attempts = 0;
   EXPECT_EQ(validation_error(settings), "scheduler settings: max_attempts must be positive");
 }
 
-TEST(Settings, TheOwnRankAndZoneAreAmongTheNumbersOfThem) {
+TEST(Settings, RankAndZoneMustBeInRange) {
   for (int position : {-1, 2}) {
     Settings ranks = basic_settings();
     ranks.dispatchers = 2;
@@ -59,32 +59,32 @@
   }
 }
 
-TEST(Settings, FiguresAreFiniteAndNotNegative) {
-  for (double figure : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
+TEST(Settings, ValuesMustBeFiniteAndNotNegative) {
+  for (double value : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
     for (auto member : {&Settings::tick_ms, &Settings::poll_within_ms, &Settings::slow_start_ms,
                         &Settings::overload_window_ms, &Settings::over_quota_weight}) {
       Settings settings = basic_settings();
-      settings.*member = figure;
+      settings.*member = value;
       EXPECT_EQ(validation_error(settings),
                 "scheduler settings: a figure is negative or not finite");
     }
   }
 }
 
-TEST(Settings, FiguresOfEachClassAreFiniteAndNotNegative) {
-  for (double figure : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
+TEST(Settings, ClassValuesMustBeFiniteAndNotNegative) {
+  for (double value : {-1.0, static_cast<double>(NAN), static_cast<double>(INFINITY)}) {
     for (auto member : {&ClassSettings::deduplication_window_ms,
                         &ClassSettings::latency_objective_ms, &ClassSettings::priority_weight}) {
       Settings settings = basic_settings();
       settings.classes.emplace_back();
-      settings.classes[1].*member = figure;
+      settings.classes[1].*member = value;
       EXPECT_EQ(validation_error(settings),
                 "scheduler settings: a class figure is negative or not finite");
     }
   }
 }
 
-TEST(Settings, AClassRunsOnAKindThatExistsOrOnAny) {
+TEST(Settings, TheKindOfAClassMustExistOrBeAny) {
   Settings settings = basic_settings();
   settings.kinds = 2;
   for (int kind : {-1, 0, 1}) {
--- a/tests/scheduler/sliding_window_test.cpp
+++ b/tests/scheduler/sliding_window_test.cpp
@@ -1,4 +1,4 @@
-/// Amounts by time.
+/// Tests of sums of amounts over a sliding time window.
 #include "scheduler/sliding_window.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-TEST(SlidingWindow, TheSumIsOfAmountsAtItsStartAndLater) {
+TEST(SlidingWindow, SumIncludesAmountsAtTheWindowStartAndLater) {
   SlidingWindow window;
   window.add(100, 1, 0);
   window.add(200, 2, 0);
@@ -17,20 +17,20 @@
   EXPECT_DOUBLE_EQ(window.sum(301), 0);
 }
 
-TEST(SlidingWindow, AnAmountForATimeToComeCountsAtOnce) {
+TEST(SlidingWindow, AnAmountInTheFutureCountsAtOnce) {
   SlidingWindow window;
   window.add(5000, 3, 0);
   EXPECT_DOUBLE_EQ(window.sum(1000), 3);
 }
 
-TEST(SlidingWindow, WhatWasForgottenDoesNotComeBack) {
+TEST(SlidingWindow, ExpiredAmountsStayRemoved) {
   SlidingWindow window;
   window.add(100, 1, 0);
   window.add(300, 2, 200);
   EXPECT_DOUBLE_EQ(window.sum(0), 2);
 }
 
-TEST(SlidingWindow, AnAmountCanBeTakenBack) {
+TEST(SlidingWindow, ANegativeAmountReducesTheSum) {
   SlidingWindow window;
   window.add(100, 5, 0);
   window.add(100, -2, 0);
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -1,4 +1,5 @@
-/// Rule 4 in a fleet of a hundred dispatchers that notify one another, or whose messages are lost.
+/// Tests of rule 4 (the slow start budget) with 100 dispatchers that notify peers or whose messages
+/// are lost.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -15,31 +16,32 @@
 namespace {
 
 constexpr EndpointId kEndpoints = 60;
-constexpr EndpointId kWarmingUp = 36;  // the first of them, which started at the same time
+constexpr EndpointId kWarmingUp = 36;  // endpoints 0 to 35, all started at the same time
 constexpr int kDispatchers = 100;
 constexpr Time kStartedAt = 5000;
 constexpr Time kStepMs = 5;
-constexpr double kRuntimeFactor = 2.5;  // a request is in time within 500 ms and so many hints
+constexpr double kRuntimeFactor =
+    2.5;  // the latency objective is 500 ms plus this multiple of the hint
 
-/// What a fleet is played with.
+/// Parameters of a simulated fleet.
 struct FleetOptions {
   unsigned seed = 1;
   bool notifies_peers = false;
-  unsigned lost_percent = 0;  ///< of all messages
+  unsigned lost_percent = 0;  ///< percentage of all messages
   std::size_t nodes_with_lost_messages =
-      0;                        ///< the first so many receive all, and nobody receives theirs
-  unsigned arrival_steps = 67;  ///< a request arrives at a node every so many steps
+      0;                        ///< the messages of this number of first nodes are lost
+  unsigned arrival_steps = 67;  ///< mean number of steps between arrivals at a node
 };
 
-/// A request of the fleet's clients.
+/// The arrival time and cost hint of a client request.
 struct ClientRequest {
   Time arrived_at = 0;
   double hint = 0;
 };
 
-/// A fleet of 100 dispatchers with three requests a second each, and 60 endpoints with two cores
-/// and a queue in order, 36 of them started at the same time. One request in ten is eight times the
-/// others. Messages take 2 to 21 ms. It is played when it is built.
+/// A simulated fleet of 100 dispatchers with three requests per second each, and 60 endpoints with
+/// two cores and a FIFO queue, 36 of them started at the same time. One request in ten is eight
+/// times as large as the others. Messages take 2 to 21 ms. The constructor runs the simulation.
 class LargeFleet {
  public:
   explicit LargeFleet(const FleetOptions& options) : options_(options), random_(options.seed) {
@@ -61,7 +63,8 @@
                                [&](Time when) { return 2 * capacity_fraction(when); });
   }
   double fraction_in_time() const { return 1.0 * in_time_ / arrived_; }
-  // On average endpoints that are warming up can do 0.6 of what the others can.
+  // The mean work of endpoints that are warming up, relative to the others. Their mean capacity is
+  // 0.6 of that of the others.
   double relative_use_of_warming_up() const {
     return mean(warming_up_, kWarmingUp) / mean(warmed_up_, kEndpoints - kWarmingUp);
   }
@@ -139,8 +142,8 @@
   static double mean(const SentWorkByEndpoint& sends, EndpointId endpoints) {
     double sum = 0;
     for (const auto& [endpoint, all] : sends)
-      for (const SentWork& one : all)
-        sum += one.work_ms;
+      for (const SentWork& attempt : all)
+        sum += attempt.work_ms;
     return sum / endpoints;
   }
 
@@ -150,37 +153,37 @@
   std::vector<std::unique_ptr<DispatcherHarness>> nodes_;
   SentWorkByEndpoint warming_up_;
   SentWorkByEndpoint warmed_up_;
-  std::map<EndpointId, std::array<Time, 2>> free_at_;  // of each core
+  std::map<EndpointId, std::array<Time, 2>> free_at_;  // when each core becomes free
   std::map<RequestId, ClientRequest> requests_;
   std::multimap<Time, std::function<void()>> pending_events_;
   int in_time_ = 0;
   int arrived_ = 0;
 };
 
-TEST(SlowStartBudget, AHundredDispatchersTogetherUseEndpointsWarmingUpAndStayUnderTheirBudget) {
+TEST(SlowStartBudget, AHundredDispatchersUseWarmingUpEndpointsWithinTheirBudget) {
   for (unsigned seed : {1u, 2u, 3u}) {
     LargeFleet silent({.seed = seed});
     LargeFleet notifying({.seed = seed, .notifies_peers = true});
     LargeFleet cut_off({.seed = seed, .notifies_peers = true, .lost_percent = 100});
     LargeFleet lossy({.seed = seed, .notifies_peers = true, .lost_percent = 20});
-    // 0.62 of the budget is given out, and a request counts as nine tenths of its hint at least:
-    // 0.69 is the most.
+    // Dispatchers receive 0.62 of the overload threshold in total, and a request counts as at least
+    // nine tenths of its hint, so the maximum is 0.69.
     for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
       EXPECT_LE(fleet->max_budget_fraction(), 0.70) << "seed " << seed;
     EXPECT_GT(silent.relative_use_of_warming_up(), 0.25)
-        << "seed " << seed;  // with parts that go by what was received it was 0.18
+        << "seed " << seed;  // it was 0.18 when budget parts depended on received messages
     EXPECT_GT(notifying.relative_use_of_warming_up(), 0.35) << "seed " << seed;
     EXPECT_GT(lossy.relative_use_of_warming_up(), 0.31) << "seed " << seed;
     EXPECT_GT(notifying.fraction_in_time(), silent.fraction_in_time() + 0.12) << "seed " << seed;
   }
 }
 
-// Twice the ordinary traffic, and the messages of ninety are lost: where budgets went by what was
-// received it was 0.98.
-TEST(SlowStartBudget, NinetyOfAHundredWhoseMessagesAreLostInARushStayUnderTheBudget) {
-  LargeFleet mute(
+// Twice the usual traffic, with the messages of 90 nodes lost. The fraction was 0.98 when budgets
+// depended on received messages.
+TEST(SlowStartBudget, StaysWithinTheBudgetAtDoubleTrafficWithMessagesOfNinetyNodesLost) {
+  LargeFleet fleet(
       {.seed = 3, .notifies_peers = true, .nodes_with_lost_messages = 90, .arrival_steps = 30});
-  EXPECT_LE(mute.max_budget_fraction(), 0.70);
+  EXPECT_LE(fleet.max_budget_fraction(), 0.70);
 }
 
 }  // namespace
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -1,4 +1,4 @@
-/// What an endpoint that is warming up may be sent.
+/// Tests of the work that may be sent to an endpoint that is warming up.
 #include "scheduler/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -9,6 +9,7 @@
 constexpr Time kStartedAt = 10000;
 constexpr double kWindowMs = 2000;
 
+/// One endpoint that has just started, and a clock that the test sets.
 struct SlowStartTest : ::testing::Test {
   SlowStartTest()
       : environment(test_settings(), 1),
@@ -45,10 +46,11 @@
   EndpointSlot warming_up_slot = 0;
 };
 
-// Of one core at a fifth of its capacity, three times that within 2000 ms, of which 0.62 are used.
+// One core at a fifth of its capacity is overloaded by three times that work within 2000 ms; the
+// fleet may use 0.62 of it.
 constexpr double kFleetBudgetMs = 0.62 * 3 * 0.2 * kWindowMs;
 
-TEST_F(SlowStartTest, AnEndpointWarmsUpFromItsStartForTheTimeOfTheSettings) {
+TEST_F(SlowStartTest, AnEndpointWarmsUpFromItsStartForTheConfiguredTime) {
   EXPECT_TRUE(slow_start.is_warming_up(warming_up_slot));
   EXPECT_DOUBLE_EQ(slow_start.weight(warming_up_slot), 0.2);
   environment.now = kStartedAt + 4000;
@@ -64,23 +66,23 @@
   EXPECT_DOUBLE_EQ(slow_start.weight(old), 1);
 }
 
-TEST_F(SlowStartTest, UntilItIsNotifiedADispatcherHasAnEvenPartOfTheBudget) {
+TEST_F(SlowStartTest, TheBudgetIsSplitEvenlyUntilAFractionIsSet) {
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 4, 1e-9);
   slow_start.set_fraction(warming_up_slot, 0.5);
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 2, 1e-9);
 }
 
-TEST_F(SlowStartTest, WhatWasSentCountsUntilTheWindowHasPassed) {
-  double whole = slow_start.budget(warming_up_slot).own;
-  slow_start.spend(warming_up_slot, whole);
+TEST_F(SlowStartTest, SentWorkCountsUntilTheWindowHasPassed) {
+  double initial_budget = slow_start.budget(warming_up_slot).own;
+  slow_start.spend(warming_up_slot, initial_budget);
   EXPECT_FALSE(slow_start.has_budget_for(warming_up_slot, 1));
-  EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), whole);
+  EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), initial_budget);
   environment.now += kWindowMs + 1;
-  EXPECT_TRUE(slow_start.has_budget_for(warming_up_slot, whole));
+  EXPECT_TRUE(slow_start.has_budget_for(warming_up_slot, initial_budget));
   EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), 0);
 }
 
-TEST_F(SlowStartTest, AGrantIsSpentBeforeTheOwnPartAndEndsAtItsTime) {
+TEST_F(SlowStartTest, AGrantIsSpentBeforeTheOwnPartAndExpires) {
   double own = slow_start.budget(warming_up_slot).own;
   slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
   EXPECT_NEAR(slow_start.budget(warming_up_slot).total(), own + 100, 1e-9);
@@ -92,7 +94,7 @@
   EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).granted, 0);
 }
 
-TEST_F(SlowStartTest, WhatWasGrantedToAnotherCountsAsSentAndCanBeGivenBack) {
+TEST_F(SlowStartTest, WorkGrantedToAPeerCountsAsSentAndCanBeReturned) {
   double own = slow_start.budget(warming_up_slot).own;
   slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, false));
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, own - 100, 1e-9);
@@ -100,14 +102,14 @@
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, own - 60, 1e-9);
 }
 
-TEST_F(SlowStartTest, AListedSizeIsBelievedUpToTwiceTheCoresThatWereSeen) {
+TEST_F(SlowStartTest, ListedCapacityIsLimitedToTwiceTheObservedCores) {
   EndpointSlot large = add({.endpoint = 8, .nominal_capacity = 16, .started_at = kStartedAt});
   EXPECT_NEAR(slow_start.budget(large).own, 2 * kFleetBudgetMs / 4, 1e-9);
   statistics.record_running(0, 4);
   EXPECT_NEAR(slow_start.budget(large).own, 8 * kFleetBudgetMs / 4, 1e-9);
 }
 
-TEST_F(SlowStartTest, WorkCountsAsNineTenthsOfItsHintAtLeastAndWithTheRatioOfItsKind) {
+TEST_F(SlowStartTest, WorkIsScaledByTheRatioOfItsKindToNoLessThanNineTenthsOfItsHint) {
   EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 50), 100);
   EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 150), 150);
   for (int i = 0; i < 200; ++i)
@@ -115,12 +117,12 @@
   EXPECT_DOUBLE_EQ(slow_start.work_of(warming_up_slot, 100, 100), 90);
 }
 
-TEST_F(SlowStartTest, ANewIncarnationHasNothingSentAndNothingGranted) {
-  double whole = slow_start.budget(warming_up_slot).total();
+TEST_F(SlowStartTest, ANewIncarnationHasNoSentOrGrantedWork) {
+  double initial_budget = slow_start.budget(warming_up_slot).total();
   slow_start.spend(warming_up_slot, 100);
   slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
   slow_start.reset(warming_up_slot);
-  EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).total(), whole);
+  EXPECT_DOUBLE_EQ(slow_start.budget(warming_up_slot).total(), initial_budget);
 }
 
 }  // namespace
--- a/tests/scheduler/subset_test.cpp
+++ b/tests/scheduler/subset_test.cpp
@@ -1,4 +1,4 @@
-/// Which endpoints are in the subset, while they warm up and after.
+/// Tests of subset membership of endpoints, during and after their warm-up.
 #include "scheduler/subset.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 constexpr EndpointSlot kSlot = 3;
 
-TEST(Subset, UntilTheDispatcherIsNotifiedAllEndpointsBelongToIt) {
+TEST(Subset, AllEndpointsBelongToItUntilTheFirstNotification) {
   Subset subset;
   subset.reset(kSlot);
   EXPECT_TRUE(subset.entry(kSlot, false).is_own);
@@ -17,7 +17,7 @@
   EXPECT_FALSE(subset.shares_load());
 }
 
-TEST(Subset, AnEndpointThatWarmsUpHasAnEntryOfItsOwn) {
+TEST(Subset, AnEndpointHasASeparateEntryWhileItWarmsUp) {
   Subset subset;
   subset.reset(kSlot);
   subset.set(kSlot, {7, false, {1, 2}});
@@ -28,7 +28,7 @@
   EXPECT_EQ(subset.entry(kSlot, true).peers, (std::vector<int>{4}));
 }
 
-TEST(Subset, ANewIncarnationBelongsToItAgainAndOthersStayAsTheyAre) {
+TEST(Subset, ResettingAnEndpointAffectsNoOther) {
   Subset subset;
   subset.reset(kSlot);
   subset.reset(kSlot + 1);
@@ -40,7 +40,7 @@
   EXPECT_FALSE(subset.entry(kSlot + 1, false).is_own);
 }
 
-TEST(Subset, ItsExtentIsWhatTheDispatcherWasNotifiedOfLast) {
+TEST(Subset, TheLastExtentReplacesTheFormerOne) {
   Subset subset;
   subset.set_extent(0.25, true);
   EXPECT_DOUBLE_EQ(subset.fraction(), 0.25);
--- a/tests/scheduler/timer_queue_test.cpp
+++ b/tests/scheduler/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-/// Many timers kept by one outside timer.
+/// Tests of a queue of timers that is driven by one external timer.
 #include "scheduler/timer_queue.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-TEST(TimerQueue, TimersAreDueInTheOrderOfTheirTimesAndThenOfTheirAdding) {
+TEST(TimerQueue, TimersAreOrderedByTimeAndThenByInsertion) {
   TimerQueue timers;
   timers.add(300, TimerPurpose::deadline, 1);
   timers.add(100, TimerPurpose::overdue, 2);
@@ -29,7 +29,7 @@
   EXPECT_FALSE(timers.is_due(100));
 }
 
-TEST(TimerQueue, TheOutsideTimerIsSetAgainOnlyForAnEarlierTime) {
+TEST(TimerQueue, TheExternalTimerIsRearmedOnlyForAnEarlierTime) {
   TimerQueue timers;
   EXPECT_FALSE(timers.needs_arming());
   timers.add(200, TimerPurpose::reindex);
@@ -42,7 +42,7 @@
   EXPECT_DOUBLE_EQ(timers.arm(), 100);
 }
 
-TEST(TimerQueue, AStaleOutsideTimerChangesNothing) {
+TEST(TimerQueue, AStaleExternalTimerChangesNothing) {
   TimerQueue timers;
   timers.add(200, TimerPurpose::reindex);
   timers.arm();
--- a/tests/scheduler_shape.py
+++ b/tests/scheduler_shape.py
@@ -1,4 +1,4 @@
-"""The scheduler stays in small files: each begins with a doc comment and has at most 350 lines, the dispatcher 200."""
+"""Checks that each scheduler file begins with a doc comment and has at most 350 lines, the dispatcher 200."""
 import pathlib
 import sys
 
@@ -14,5 +14,5 @@
         violations.append(f"{path.name}: {len(lines) - 1} lines, {limit} at most")
     if not lines[0].startswith("/// "):
         violations.append(f"{path.name}: no doc comment in its first line")
-print("\n".join(violations) or f"{len(files)} files in shape")
+print("\n".join(violations) or f"{len(files)} files within the limits")
 sys.exit(bool(violations) or len(files) < 30)
--- a/tests/simulator_adapter/adapter_pipe.py
+++ b/tests/simulator_adapter/adapter_pipe.py
@@ -1,4 +1,4 @@
-"""The adapter over a pipe: one instance from its spawn to a failure, and input that is cut off or malformed."""
+"""Tests the adapter over a pipe: one instance from spawn to a failure report, and truncated or malformed input."""
 import struct
 import subprocess
 import sys
@@ -46,9 +46,9 @@
 frames = replies(result.stdout)
 assert len(frames) == 4 and frames[0] == [], frames
 codes = [[a[0] for a in f] for f in frames]
-assert codes[2][:2] == [130, 10], codes  # as, hand_off
+assert codes[2][:2] == [130, 10], codes  # instance header, attempt to send
 assert struct.unpack(">II", frames[2][1][1:9]) == (9, 77)
-assert 30 in codes[3], codes  # report_failure: it may have run
+assert 30 in codes[3], codes  # failure of a request that may have run
 
 for cut in (5, 20, len(start) - 3):
     result = run(start[:cut])
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,4 +1,4 @@
-/// The simulator's protocol: events read, actions written, and settings in its text form.
+/// Tests of the simulator protocol: decoding of events, encoding of actions and text settings.
 #include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
@@ -60,7 +60,7 @@
   return std::get<T>(std::get<Event>(addressed.record));
 }
 
-TEST(Codec, ReadsARequestATimerAndTheirInstances) {
+TEST(Codec, DecodesEventsWithTheirInstances) {
   std::string body =
       padded_record("3c 00000003") +
       padded_record(
@@ -82,7 +82,7 @@
   EXPECT_EQ(event_of<ClientDisconnected>(records[2]).request, 0x0e6f2b19u);
 }
 
-TEST(Codec, ReadsTheEndpointListAndOutcomes) {
+TEST(Codec, DecodesTheEndpointListAndOutcomes) {
   std::string body = padded_record("3c 00000003") +
                      padded_record("32 00 0000000000000029 00000000 00000002") +
                      padded_record("78 5d3a91c4 02 03124a07 000a 4032800000000000 01") +
@@ -105,7 +105,7 @@
   EXPECT_TRUE(outcome.request_finished);
 }
 
-TEST(Codec, WritesActions) {
+TEST(Codec, EncodesActionsByInstance) {
   ReplyWriter writer;
   writer.instance(3);
   writer.action(SendAttempt{0x5d3a91c4, 0x03124a07, 80});
@@ -126,7 +126,7 @@
   EXPECT_EQ(writer.finish(), bytes_from_hex("00000000 00000000"));
 }
 
-TEST(Codec, MalformedFramesAreNamed) {
+TEST(Codec, ErrorsDescribeMalformedFrames) {
   auto error_of = [](const std::string& body, std::uint32_t records) -> std::string {
     try {
       read_body(header_for(body, records), body);
@@ -166,7 +166,7 @@
   return text.erase(at, text.find('\n', at) + 1 - at);
 }
 
-TEST(SettingsText, IsRead) {
+TEST(SettingsText, IsDecoded) {
   Settings settings = read_settings(kProfile);
   EXPECT_EQ(settings.dispatchers, 2);
   EXPECT_EQ(settings.zones, 2);
@@ -180,7 +180,7 @@
   EXPECT_EQ(settings.report[1], ReportField::free_slots);
 }
 
-TEST(SettingsText, FaultsNameTheKey) {
+TEST(SettingsText, ErrorsNameTheKey) {
   auto error_of = [](const std::string& text) -> std::string {
     try {
       read_settings(text);
@@ -201,7 +201,7 @@
   EXPECT_NE(error_of("nonsense\n").find("nonsense"), std::string::npos);
 }
 
-TEST(InstanceTable, AnEventForAnInstanceThatDoesNotRunIsSkippedAndUnknownCodesAreLoggedOnce) {
+TEST(InstanceTable, SkipsEventsForUnknownInstancesAndLogsUnknownCodesOnce) {
   InstanceTable table;
   std::string log;
   std::string body = padded_record("3c 00000003") + padded_record("50 0e6f2b19") +
