--- a/logic/admin_overrides/admin_overrides.cpp
+++ b/logic/admin_overrides/admin_overrides.cpp
@@ -44,8 +44,7 @@
   auto it = listed_.find(endpoint);
   if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
-  // A delta or a full list would mean to the scheduler that discovery has answered, and it would
-  // stop polling.
+  // The scheduler would take a delta or a full list for an answer of discovery and stop polling.
   EndpointList list{.scope = ListScope::cached, .entries = {}};
   for (const auto& [id, entry] : listed_)
     apply_override(list.entries.emplace_back(entry));
--- a/logic/discovery/call_end.h
+++ b/logic/discovery/call_end.h
@@ -7,23 +7,24 @@
 
 namespace keelflow::discovery {
 
-/// Why a call to discovery ended. What that proves about discovery is decided by the list lease
-/// (list_lease.h) and the outage presumption (outage_presumption.h).
+/// Why a call to discovery ended. The list lease (list_lease.h) and the outage presumption
+/// (outage_presumption.h) decide what that proves about discovery.
 enum class CallEnd : std::uint8_t {
-  connect_refused,  ///< nobody listens at the address (ECONNREFUSED)
+  connect_refused,  ///< no process listens at the address (ECONNREFUSED)
   connect_failed,   ///< any other connection error, or no socket was available
   not_connected,    ///< replaced by a later call before its connection was established
   rejected,         ///< answered with a status other than 200
   closed,           ///< closed or reset by discovery after the connection was established
-  timed_out,        ///< a watch without a heartbeat in time, or an object that was not completed
+  timed_out,        ///< a watch missed its heartbeat, or an object was not completed in time
   unanswered,       ///< replaced by a later call while connected and without an answer
-  malformed,        ///< its body is no list, or has entries that cannot be decoded
-  stale_version,    ///< its list is older than the present one
+  malformed,        ///< the body is not a list, or has entries that cannot be decoded
+  stale_version,    ///< the list is older than the current one
   superseded,       ///< another call has become the watch
   cancelled,        ///< the address of discovery has changed, or the process ends
 };
 
-/// The name in the log. Part of the log's format, so it stays when an enumerator is renamed.
+/// The name in the log. It is part of the log's format and does not change when an enumerator is
+/// renamed.
 constexpr std::string_view to_string(CallEnd end) {
   switch (end) {
     case CallEnd::connect_refused:
--- a/logic/discovery/list_lease.cpp
+++ b/logic/discovery/list_lease.cpp
@@ -7,11 +7,12 @@
 
 using namespace std::chrono_literals;
 
-// The longest delay of a process between its check of the lease and the write that follows.
+// The longest delay between a process's check of the lease and the write that follows.
 constexpr Duration kMaxWriteDelay = 150ms;
-// The platform regards changes of a discovery named by a new configuration as received after 4 s.
+// After a new configuration names another discovery, the platform regards its changes as received
+// after 4 s.
 constexpr Duration kReconfigurationDeadline = 4s;
-// The lease ends this much earlier than necessary, or the whole drain grace if that is shorter.
+// The lease ends earlier than necessary by this time, or by the drain grace if that is shorter.
 constexpr Duration kMaxGraceReserve = 500ms;
 
 }  // namespace
@@ -29,7 +30,7 @@
   expires_at_ = std::max(expires_at_, when + lease_duration());
 }
 
-// A change that an agent has counts as received at once.
+// With pushed lists, a change counts as received as soon as the agent has it.
 void ListLease::answered_without_list(TimePoint now) {
   if (!terms_.pushed)
     return;
--- a/logic/discovery/list_lease.h
+++ b/logic/discovery/list_lease.h
@@ -1,10 +1,10 @@
 /// \file
-/// How long requests may be sent by the endpoint list that this process has.
+/// How long requests may be sent according to the endpoint list that this process has.
 ///
-/// The list is held under a lease. The lease is renewed by every proof that discovery has nothing
-/// newer for this process, and by every proof that discovery cannot be reached. Without either it
-/// expires before the platform regards the first change that this process may have missed as
-/// received. It depends on no timer, call interval or fleet size.
+/// The list is valid under a lease. Each proof that discovery has nothing newer for this process
+/// renews the lease, and so does each proof that discovery cannot be reached. Without such a proof
+/// the lease expires before the platform regards the first change that this process may have missed
+/// as received. The lease depends on no timer, call interval or fleet size.
 #pragma once
 
 #include <optional>
@@ -15,35 +15,39 @@
 
 /// The settings that decide how long a lease runs.
 struct LeaseTerms {
-  bool pushed = false;  ///< lists are pushed to an agent: without a watch a change counts at once
-  Duration drain_grace{};    ///< after a change counts, in which a send is still permitted
-  Duration poll_deadline{};  ///< lists are polled: without a watch a change counts this long after
-                             ///< it was made, if that is sooner than `kListDeadline`
+  bool pushed = false;     ///< lists are pushed to an agent: without a watch a change counts as
+                           ///< received at once
+  Duration drain_grace{};  ///< how long a send is still permitted after a change counts
+  /// Lists are polled: without a watch a change counts as received this long after it was made, if
+  /// that is sooner than `kListDeadline`.
+  Duration poll_deadline{};
 };
 
-/// The lease's state. Does no I/O: the caller passes the time. Reports no errors; not thread-safe.
+/// The lease on the endpoint list. Does no I/O: the caller passes the time. Reports no errors; not
+/// thread-safe.
 class ListLease {
  public:
   explicit ListLease(const LeaseTerms& terms) : terms_(terms) {}
 
-  /// Takes effect with the next event; a lease that runs is neither extended nor cut.
+  /// Takes effect with the next event; the current lease is neither extended nor shortened.
   void change(const LeaseTerms& terms) { terms_ = terms; }
 
-  /// At `when` discovery had nothing newer than what this process has received: an object, or a
-  /// heartbeat after one. `when` must not be later than the time at which that was written.
+  /// At `when` discovery had nothing newer than what this process has received. The proof is an
+  /// object, or a heartbeat after one; `when` must not be later than the time at which discovery
+  /// wrote it.
   void current_as_of(TimePoint when);
   /// At `when` discovery accepted no connection.
   void unreachable_as_of(TimePoint when);
-  /// The watch was ended by discovery or by the network. Not for a watch that timed out: silence
-  /// proves nothing, and the lease runs from the last `current_as_of`.
+  /// Discovery or the network closed the watch. Must not be called for a watch that timed out: a
+  /// timeout proves nothing, and the lease runs from the last `current_as_of`.
   void watch_closed(TimePoint now);
-  /// There is no watch, and discovery has answered a call in some way: it can be reached and has
-  /// not sent its list yet.
+  /// There is no watch, and discovery has answered a call without sending its list, so it can be
+  /// reached.
   void answered_without_list(TimePoint now);
   /// A new configuration has changed the address of discovery.
   void discovery_moved(TimePoint now);
-  /// The process has just started, or was stopped while its watch was open: its list may be of any
-  /// age.
+  /// The process has just started, or was suspended while its watch was open, so the age of its
+  /// list is unknown.
   void revoke();
 
   bool valid(TimePoint now) const { return now < expires_at_; }
@@ -53,7 +57,7 @@
   Duration lease_duration() const;
 
   LeaseTerms terms_;
-  std::optional<TimePoint> last_proof_;  // the last proof that the list was complete
+  std::optional<TimePoint> last_proof_;  // time of the last proof that the list was current
   TimePoint expires_at_ = TimePoint::min();
 };
 
--- a/logic/discovery/outage_presumption.cpp
+++ b/logic/discovery/outage_presumption.cpp
@@ -7,15 +7,16 @@
 
 using namespace std::chrono_literals;
 
-// A call that is rejected earlier has not waited in discovery's queue, and proves nothing about it.
+// A call that is rejected sooner has not waited in discovery's queue and is no evidence of an
+// outage.
 constexpr Duration kMinQueueTime = 800ms;
-// How long a rejected call is evidence, from its start.
+// How long a rejected call is evidence, counted from its start.
 constexpr Duration kRejectionLifetime = 5s;
-// How long the answer of a peer without a watch is evidence for an outage.
+// How long the answer of a peer without a watch is evidence of an outage.
 constexpr Duration kNoWatchLifetime = 3s;
-// How long the answer of a peer with a watch is evidence against one.
+// How long the answer of a peer with a watch is evidence against an outage.
 constexpr Duration kWatchLifetime = 2500ms;
-// The first two bytes of a message.
+// The first two bytes of a watch message.
 constexpr char kTag = '\x57';
 constexpr char kVersion = 1;
 constexpr std::size_t kMessageSize = 3;
--- a/logic/discovery/outage_presumption.h
+++ b/logic/discovery/outage_presumption.h
@@ -1,11 +1,13 @@
 /// \file
-/// Whether an outage of discovery is presumed, so that the list from before it stays in use.
+/// Whether an outage of discovery is presumed. During an outage the last endpoint list stays in
+/// use.
 ///
 /// A call that is answered with 503 after it has waited in discovery's queue means that discovery
-/// is down or overloaded, and does not tell which. Under overload some processes of the fleet have
-/// a watch; in an outage none has. So peers are polled, a few random ones each second. An outage is
-/// presumed only while this process' own calls are rejected, some peers have recently answered that
-/// they have no watch either, and none that it has one. Without answers nothing is presumed.
+/// is either down or overloaded. Under overload some processes of the fleet have a watch; during an
+/// outage none has. Therefore a few random peers are polled each second. An outage is presumed only
+/// while this process's own calls are rejected, some peer has recently answered that it has no
+/// watch either, and no peer has recently answered that it has one. Without answers from peers no
+/// outage is presumed.
 #pragma once
 
 #include <cstdint>
@@ -25,10 +27,11 @@
   void call_rejected(TimePoint began, TimePoint now);
   void peer_has_watch(TimePoint now);
   void peer_has_no_watch(TimePoint now);
-  /// Discovery can be reached, or its state is not known any more: all evidence is dropped.
+  /// Discovery can be reached, or its state is no longer known. Drops all evidence.
   void end();
 
-  /// Until when an outage is presumed if nothing further happens. Empty: none is presumed at `now`.
+  /// Until when an outage is presumed if no further event occurs. Empty if none is presumed at
+  /// `now`.
   std::optional<TimePoint> until(TimePoint now) const;
 
  private:
@@ -37,8 +40,8 @@
   std::optional<TimePoint> last_peer_with_watch_;
 };
 
-/// What processes ask and answer one another about their watches: three bytes, a tag, a version and
-/// the kind. A process of an earlier release ignores it as a message of an unknown kind.
+/// The question whether a peer has a watch, or the answer. Encoded in three bytes: tag, version and
+/// kind. A process of an earlier release ignores it as a message of an unknown kind.
 struct WatchMessage {
   enum class Kind : std::uint8_t {
     question = 1,
@@ -47,7 +50,7 @@
   } kind = Kind::question;
 };
 std::string encode(const WatchMessage& message);
-/// Empty: the bytes are a message of another kind.
+/// Empty if the bytes are not a watch message.
 std::optional<WatchMessage> decode_watch_message(std::string_view bytes);
 
 }  // namespace keelflow::discovery
--- a/logic/operation_guard/operation_guard.cpp
+++ b/logic/operation_guard/operation_guard.cpp
@@ -43,7 +43,7 @@
     return SendVerdict(Reason::endpoint_not_ready);
   if (!facts.is_address_current)
     return SendVerdict(Reason::endpoint_moved);
-  // Last, as the only condition that can become true again: the caller may wait for it.
+  // Checked last: only this condition can become true again, so the caller may wait for it.
   if (!facts.is_list_lease_valid)
     return SendVerdict(Reason::list_lease_expired);
   return SendVerdict(Reason::none);
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -1,10 +1,10 @@
 /// \file
-/// The final check of four operations: may this be sent, repeated, closed or started now? Every
-/// path checks right before its system call. The scheduler decides which endpoint a request goes
-/// to, whether it is retried and what is rejected; the guard can only forbid.
+/// The final check before a request is sent, repeated or started, or a connection is closed. Every
+/// code path checks right before its system call. The scheduler decides which endpoint a request
+/// goes to, whether it is retried and what is rejected; the guard can only forbid.
 ///
-/// All functions are pure: the caller passes typed facts and gets a typed verdict. They report no
-/// errors and own nothing.
+/// The check functions are pure: the caller passes typed facts and gets a typed verdict. They
+/// report no errors and have no state.
 #pragma once
 
 #include <array>
@@ -17,65 +17,65 @@
 
 namespace keelflow::operation_guard {
 
-/// What is checked: sending a request's bytes to an endpoint, a further attempt of a request,
-/// closing a client's connection, starting to process a request.
+/// The operations that are checked: sending a request's bytes to an endpoint, starting a further
+/// attempt of a request, closing a client's connection, starting to process a request.
 enum class Operation : std::uint8_t { send, repeat, close, start };
 constexpr std::size_t kOperationCount = static_cast<std::size_t>(Operation::start) + 1;
 
 /// Why an operation is forbidden.
 enum class Reason : std::uint8_t {
-  none,                 ///< it is allowed
-  list_lease_expired,   ///< a newer list may count as received
-  endpoint_not_ready,   ///< it drains, was removed, or is disabled by an override
+  none,                 ///< the operation is allowed
+  list_lease_expired,   ///< the platform may regard a newer list as received
+  endpoint_not_ready,   ///< the endpoint drains, was removed, or is disabled by an override
   endpoint_moved,       ///< the connection is to a former address of the endpoint
   deadline_passed,      ///< the client's timeout has passed
   window_expired,       ///< endpoints may no longer recognise a retry as such
   client_disconnected,  ///< the client has disconnected or has its response
   may_have_run,         ///< a non-idempotent request may have run already
-  attempt_in_flight,    ///< another attempt has neither ended nor been abandoned
+  attempt_in_flight,    ///< another attempt has not ended and was not abandoned
   request_unanswered,   ///< the connection has a request without a response
   response_unsent,      ///< bytes of a response are still to be written
-  bytes_unread,         ///< the peer has sent bytes that were not read
+  bytes_unread,         ///< the client has sent bytes that were not read
   process_ended,        ///< the process accepts no new requests
 };
 constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::process_ended) + 1;
 
-/// The names in the log and in /status. Part of both formats, so they stay when an enumerator is
-/// renamed.
+/// The names in the log and in /status. They are part of both formats and do not change when an
+/// enumerator is renamed.
 std::string_view to_string(Operation operation);
 std::string_view to_string(Reason reason);
 
 /// The state of this process.
 enum class Phase : std::uint8_t { starting, serving, draining, ended };
 
-/// Before the first byte, or the last one, of a request is written to an endpoint.
+/// The facts checked before the first or the last byte of a request is written to an endpoint.
 struct SendFacts {
   bool is_list_lease_valid = false;
   bool is_endpoint_ready = false;
   bool is_address_current = false;  ///< the connection is to the endpoint's present address
   bool has_waiting_client = false;
-  bool is_in_window = false;             ///< within the time in which a retry is recognised
-  std::chrono::nanoseconds time_left{};  ///< of the client's timeout
+  bool is_in_window = false;             ///< endpoints still recognise a retry as such
+  std::chrono::nanoseconds time_left{};  ///< until the client's timeout passes
 };
 
-/// Before a further attempt of a request.
+/// The facts checked before a further attempt of a request starts.
 struct RepeatFacts {
   scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
   bool is_hedging_allowed = false;               ///< the settings allow hedged requests
   bool has_earlier_attempt_in_flight = false;    ///< an earlier attempt is in flight
-  bool has_earlier_attempt_at_endpoint = false;  ///< one is in flight at the same endpoint
+  bool has_earlier_attempt_at_endpoint = false;  ///< such an attempt is at the same endpoint
   bool earlier_attempt_may_have_run = false;     ///< an earlier attempt that has ended may have run
-  bool is_in_window = false;  ///< those that may have run are still recognised as such
+  bool is_in_window = false;  ///< endpoints still recognise a retry of the earlier attempts
 };
 
-/// Before this process closes a client's connection by its own choice.
+/// The facts checked before this process closes a client's connection on its own initiative.
 struct CloseFacts {
   bool request_unanswered = false;
   bool response_unsent = false;
   bool bytes_unread = false;
 };
 
-/// Before a request is accepted.
+/// The facts checked before a request is accepted.
 struct StartFacts {
   Phase phase = Phase::serving;
   bool has_waiting_client = true;
@@ -94,7 +94,7 @@
   Reason reason_;
 };
 
-/// The verdict on a send, and the only source of a permit to write.
+/// The verdict on a send. It is the only source of a `SendPermit`.
 class SendVerdict : public Verdict {
  public:
   /// Precondition: `allowed()`.
--- a/tests/logic/list_lease_test.cpp
+++ b/tests/logic/list_lease_test.cpp
@@ -1,5 +1,5 @@
-// The lease of the list, in virtual time: whatever the outcome of the calls and the size of the
-// fleet, nothing is sent by a list once a change that it lacks counts as received.
+// Tests the list lease in virtual time. For any outcome of the calls and any fleet size, no request
+// is sent according to a list after a change that the list lacks counts as received.
 #include "discovery/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -17,25 +17,26 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kGrace = 500ms, kMaxWriteDelay = 150ms;
-const LeaseTerms kAsked{.pushed = false, .drain_grace = kGrace, .poll_deadline = 30s};
+constexpr Duration kGrace = 500ms;
+constexpr Duration kMaxWriteDelay = 150ms;
+const LeaseTerms kPolled{.pushed = false, .drain_grace = kGrace, .poll_deadline = 30s};
 const LeaseTerms kPushed{.pushed = true, .drain_grace = kGrace, .poll_deadline = 30s};
 const TimePoint kStart{1h};
 
-TEST(ListLease, ANewLeaseIsNotValid) {
-  for (const LeaseTerms& terms : {kAsked, kPushed})
+TEST(ListLease, IsNotValidBeforeTheFirstProof) {
+  for (const LeaseTerms& terms : {kPolled, kPushed})
     EXPECT_FALSE(ListLease(terms).valid(TimePoint{}));
 }
 
-TEST(ListLease, ExpiresBeforeAMissedChangeCounts) {
-  ListLease lease(kAsked);
+TEST(ListLease, ExpiresBeforeAMissedChangeCountsAsReceived) {
+  ListLease lease(kPolled);
   lease.current_as_of(kStart);
   EXPECT_TRUE(lease.valid(kStart + 5s));
   EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + kListDeadline);
 }
 
-TEST(ListLease, AnOlderProofDoesNotShortenIt) {
-  ListLease lease(kAsked);
+TEST(ListLease, IsNotShortenedByAnOlderProof) {
+  ListLease lease(kPolled);
   lease.current_as_of(kStart);
   TimePoint until = lease.until();
   lease.current_as_of(kStart - 3s);
@@ -43,7 +44,7 @@
 }
 
 TEST(ListLease, IsRenewedWhileDiscoveryAcceptsNoConnection) {
-  ListLease lease(kAsked);
+  ListLease lease(kPolled);
   lease.current_as_of(kStart);
   for (TimePoint now = kStart; now < kStart + 60s; now += 2s) {
     lease.unreachable_as_of(now);
@@ -51,41 +52,42 @@
   }
 }
 
-TEST(ListLease, WithPushedListsItExpiresWithinTheGraceAfterTheWatchWasClosed) {
+TEST(ListLease, ExpiresWithinTheGraceAfterTheWatchIsClosedIfListsArePushed) {
   ListLease lease(kPushed);
   lease.current_as_of(kStart);
   lease.watch_closed(kStart + 1s);
   EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 1s + kGrace);
 }
 
-TEST(ListLease, AnAnswerOfTheAgentCutsALeaseThatWasRenewedAsUnreachable) {
+TEST(ListLease, IsShortenedByAnAnswerWithoutListOnlyIfListsArePushed) {
   ListLease lease(kPushed);
   lease.current_as_of(kStart);
   lease.unreachable_as_of(kStart + 10s);
   lease.answered_without_list(kStart + 11s);
   EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 11s + kGrace);
-  ListLease asked(kAsked);
-  asked.current_as_of(kStart);
-  asked.answered_without_list(kStart + 1s);
-  EXPECT_TRUE(asked.valid(kStart + 5s)) << "asked for, it has six seconds to tell";
+  ListLease polled(kPolled);
+  polled.current_as_of(kStart);
+  polled.answered_without_list(kStart + 1s);
+  EXPECT_TRUE(polled.valid(kStart + 5s))
+      << "with polled lists a missed change counts only after 6 s";
 }
 
-TEST(ListLease, WithoutAWatchItExpiresWithinThePollInterval) {
+TEST(ListLease, ExpiresWithinThePollDeadlineAfterTheWatchIsClosedIfListsArePolled) {
   ListLease lease({.pushed = false, .drain_grace = kGrace, .poll_deadline = 2s});
   lease.current_as_of(kStart);
   lease.watch_closed(kStart + 1s);
   EXPECT_LE(lease.until(), kStart + 2s);
 }
 
-TEST(ListLease, AMovedDiscoveryLimitsItToFourSeconds) {
-  ListLease lease(kAsked);
+TEST(ListLease, ExpiresWithinFourSecondsAfterTheAddressOfDiscoveryChanges) {
+  ListLease lease(kPolled);
   lease.current_as_of(kStart);
   lease.discovery_moved(kStart);
   EXPECT_LE(lease.until() + kMaxWriteDelay, kStart + 4s);
 }
 
-TEST(ListLease, ARevokedLeaseNeedsANewProof) {
-  ListLease lease(kAsked);
+TEST(ListLease, IsInvalidAfterRevocationUntilANewProof) {
+  ListLease lease(kPolled);
   lease.current_as_of(kStart);
   lease.revoke();
   EXPECT_FALSE(lease.valid(kStart));
@@ -94,60 +96,61 @@
 }
 
 // The outcome of one call.
-enum class Outcome { rejected_at_once, rejected_late, reset, hangs, slow, good };
+enum class Outcome { rejected_immediately, rejected_late, reset, hangs, slow, successful };
 
-// One process with its watch, its calls and its lease, in a fleet of a configured size. The watch
-// is lost, calls fail as drawn, and a change is made meanwhile that only a good call brings.
+// One process with its watch, calls and lease, in a fleet of a configured size. The watch is lost,
+// calls fail at random, and meanwhile the list changes. Only a successful call returns the change.
 class Process {
  public:
   Process(const CallPolicy& policy, const LeaseTerms& terms, std::mt19937& random)
       : schedule_(policy), lease_(terms), random_(random) {}
 
-  // Whether at some moment it could send although the change counted. `silent`: the watch falls
-  // silent, else it is closed.
-  bool sends_late(bool silent, std::vector<Outcome> outcomes, TimePoint change,
-                  Duration counts_after) {
+  // Whether the process may at some time send although a change that it lacks counts as received.
+  // `is_timeout`: the watch times out; otherwise it is closed.
+  bool may_send_late(bool is_timeout, std::vector<Outcome> outcomes, TimePoint change,
+                     Duration counts_after) {
     TimePoint now = kStart;
     lease_.current_as_of(now);  // the last heartbeat of the watch
-    TimePoint lost = silent ? now + kHeartbeatTimeout : now;
-    if (!silent)
+    TimePoint lost_at = is_timeout ? now + kHeartbeatTimeout : now;
+    if (!is_timeout)
       lease_.watch_closed(now);
-    schedule_.watch_lost(lost, draw());
+    schedule_.watch_lost(lost_at, draw());
     bool has_change = false;
     for (; now < kStart + 60s; now += 5ms) {
       if (!has_change && now > std::max(change, kStart) + counts_after + kGrace &&
           lease_.valid(now - kMaxWriteDelay))
         return true;
-      has_change = play(now, outcomes) || has_change;
+      has_change = simulate_step(now, outcomes) || has_change;
     }
     return false;
   }
 
  private:
   struct Call {
-    TimePoint began, ends;
+    TimePoint started_at;
+    TimePoint ends_at;
     Outcome outcome;
   };
   double draw() { return std::uniform_real_distribution<double>()(random_); }
 
-  // True: the list has come.
-  bool play(TimePoint now, std::vector<Outcome>& outcomes) {
+  // Whether the list is received in this step.
+  bool simulate_step(TimePoint now, std::vector<Outcome>& outcomes) {
     auto next = schedule_.next_call(calls_.size());
     if (next && *next <= now) {
       if (calls_.size() >= schedule_.max_open_calls())
         calls_.pop_front();
       schedule_.call_began(now, draw());
-      Outcome outcome = outcomes.empty() ? Outcome::good : outcomes.back();
+      Outcome outcome = outcomes.empty() ? Outcome::successful : outcomes.back();
       if (!outcomes.empty())
         outcomes.pop_back();
-      calls_.push_back({now, now + lasts(outcome), outcome});
+      calls_.push_back({now, now + call_duration(outcome), outcome});
     }
     for (auto call = calls_.begin(); call != calls_.end(); ++call) {
-      if (call->ends > now)
+      if (call->ends_at > now)
         continue;
-      bool good = call->outcome == Outcome::good || call->outcome == Outcome::slow;
+      bool has_list = call->outcome == Outcome::successful || call->outcome == Outcome::slow;
       calls_.erase(call);
-      if (!good)
+      if (!has_list)
         return false;
       lease_.current_as_of(now);
       schedule_.watch_established();
@@ -155,9 +158,9 @@
     }
     return false;
   }
-  static Duration lasts(Outcome outcome) {
+  static Duration call_duration(Outcome outcome) {
     switch (outcome) {
-      case Outcome::rejected_at_once:
+      case Outcome::rejected_immediately:
         return 1ms;
       case Outcome::rejected_late:
         return 2s;
@@ -167,7 +170,7 @@
         return 1h;
       case Outcome::slow:
         return 1500ms;
-      case Outcome::good:
+      case Outcome::successful:
         break;
     }
     return 50ms;
@@ -179,44 +182,46 @@
   std::deque<Call> calls_;
 };
 
-class ListLeaseOfFleets : public testing::TestWithParam<int> {};  // configured processes
+class ListLeaseOfFleets : public testing::TestWithParam<int> {};  // number of configured processes
 INSTANTIATE_TEST_SUITE_P(Sizes, ListLeaseOfFleets,
                          testing::Values(5, 16, 30, 56, 100, 200, 300, 450, 600, 750, 900),
                          [](const auto& size) { return std::to_string(size.param); });
 
-TEST_P(ListLeaseOfFleets, NoSequenceOfFailuresLetsALateSendThrough) {
+TEST_P(ListLeaseOfFleets, NoSequenceOfFailuresAllowsALateSend) {
   std::mt19937 random(static_cast<unsigned>(GetParam()));
   for (int run = 0; run < 300; ++run) {
-    bool pushed = run % 2 == 1, silent = random() % 2 == 0;
-    Process process({.pushed = pushed, .processes = GetParam()}, pushed ? kPushed : kAsked, random);
+    bool is_pushed = run % 2 == 1;
+    bool is_timeout = random() % 2 == 0;
+    Process process({.pushed = is_pushed, .processes = GetParam()}, is_pushed ? kPushed : kPolled,
+                    random);
     std::vector<Outcome> outcomes(random() % 12);
     for (Outcome& outcome : outcomes)
       outcome = static_cast<Outcome>(random() % 5);
     TimePoint change = kStart + std::chrono::milliseconds(random() % 8000);
-    Duration counts_after = pushed && !silent ? Duration::zero() : kListDeadline;
-    ASSERT_FALSE(process.sends_late(silent, std::move(outcomes), change, counts_after))
+    Duration counts_after = is_pushed && !is_timeout ? Duration::zero() : kListDeadline;
+    ASSERT_FALSE(process.may_send_late(is_timeout, std::move(outcomes), change, counts_after))
         << "run " << run;
   }
 }
 
-TEST(OutagePresumption, NeedsRejectedCallsAndPeersWithoutAWatch) {
+TEST(OutagePresumption, RequiresRejectedCallsAndPeersWithoutAWatch) {
   OutagePresumption outage;
   EXPECT_FALSE(outage.until(kStart));
   outage.call_rejected(kStart - 2s, kStart);
-  EXPECT_FALSE(outage.until(kStart)) << "without answers of peers nothing is presumed";
+  EXPECT_FALSE(outage.until(kStart)) << "without answers from peers no outage is presumed";
   outage.peer_has_no_watch(kStart);
   EXPECT_TRUE(outage.until(kStart));
   EXPECT_FALSE(outage.until(kStart + 3s)) << "the answers of the peers have expired";
 }
 
-TEST(OutagePresumption, AnImmediateRejectionIsNoEvidence) {
+TEST(OutagePresumption, IgnoresAnImmediateRejection) {
   OutagePresumption outage;
   outage.peer_has_no_watch(kStart);
   outage.call_rejected(kStart - 10ms, kStart);
   EXPECT_FALSE(outage.until(kStart));
 }
 
-TEST(OutagePresumption, OnePeerWithAWatchEndsIt) {
+TEST(OutagePresumption, EndsWhenOnePeerHasAWatch) {
   OutagePresumption outage;
   outage.call_rejected(kStart - 2s, kStart);
   outage.peer_has_no_watch(kStart);
@@ -225,7 +230,7 @@
   EXPECT_FALSE(outage.until(kStart + 1s));
   outage.call_rejected(kStart + 1s, kStart + 3s);
   outage.peer_has_no_watch(kStart + 3s);
-  EXPECT_TRUE(outage.until(kStart + 3s)) << "a further outage";
+  EXPECT_TRUE(outage.until(kStart + 3s)) << "the answer of the peer with a watch has expired";
 }
 
 TEST(WatchMessage, RoundTripsAndRejectsOtherBytes) {
--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -1,4 +1,4 @@
-// Each fact that forbids an operation does so alone, with its own reason.
+// Tests that each fact that forbids an operation is sufficient alone and yields its own reason.
 #include "operation_guard/operation_guard.h"
 
 #include <gtest/gtest.h>
@@ -20,31 +20,31 @@
                       .is_in_window = true,
                       .time_left = 1ms};
 
-TEST(OperationGuard, ASendIsForbiddenByEachOfItsFacts) {
+TEST(OperationGuard, EachFactAloneForbidsASend) {
   EXPECT_TRUE(may_send(kSend).allowed());
   const std::vector<std::pair<Reason, std::function<void(SendFacts&)>>> faults = {
       {Reason::list_lease_expired,
-       [](SendFacts& f) {
-         f.is_list_lease_valid = false;
+       [](SendFacts& facts) {
+         facts.is_list_lease_valid = false;
        }},
       {Reason::endpoint_not_ready,
-       [](SendFacts& f) {
-         f.is_endpoint_ready = false;
+       [](SendFacts& facts) {
+         facts.is_endpoint_ready = false;
        }},
       {Reason::endpoint_moved,
-       [](SendFacts& f) {
-         f.is_address_current = false;
+       [](SendFacts& facts) {
+         facts.is_address_current = false;
        }},
       {Reason::client_disconnected,
-       [](SendFacts& f) {
-         f.has_waiting_client = false;
+       [](SendFacts& facts) {
+         facts.has_waiting_client = false;
        }},
       {Reason::window_expired,
-       [](SendFacts& f) {
-         f.is_in_window = false;
+       [](SendFacts& facts) {
+         facts.is_in_window = false;
        }},
-      {Reason::deadline_passed, [](SendFacts& f) {
-         f.time_left = 0ms;
+      {Reason::deadline_passed, [](SendFacts& facts) {
+         facts.time_left = 0ms;
        }}};
   for (const auto& [reason, break_fact] : faults) {
     SendFacts facts = kSend;
@@ -55,8 +55,10 @@
 
 TEST(OperationGuard, AnExpiredLeaseIsReportedOnlyWhenNothingElseForbidsASend) {
   SendFacts facts = kSend;
-  facts.is_list_lease_valid = facts.is_endpoint_ready = false;
-  EXPECT_EQ(may_send(facts).reason(), Reason::endpoint_not_ready) << "it would wait in vain";
+  facts.is_list_lease_valid = false;
+  facts.is_endpoint_ready = false;
+  EXPECT_EQ(may_send(facts).reason(), Reason::endpoint_not_ready)
+      << "waiting for a lease would not make the endpoint ready";
 }
 
 TEST(OperationGuard, ANonIdempotentRequestThatMayHaveRunIsNotRepeated) {
@@ -70,10 +72,10 @@
   }
   EXPECT_TRUE(
       may_repeat({.idempotency = Idempotency::non_idempotent, .is_in_window = true}).allowed())
-      << "it never ran";
+      << "no earlier attempt can have run";
 }
 
-TEST(OperationGuard, ARequestWithAnIdempotencyKeyIsRepeatedOnlyWithinItsWindow) {
+TEST(OperationGuard, ARequestWithAnIdempotencyKeyIsRepeatedOnlyWithinItsDeduplicationWindow) {
   RepeatFacts facts{.idempotency = Idempotency::idempotent_with_key,
                     .earlier_attempt_may_have_run = true,
                     .is_in_window = true};
@@ -93,14 +95,14 @@
   EXPECT_EQ(may_repeat(facts).reason(), Reason::attempt_in_flight);
 }
 
-TEST(OperationGuard, AConnectionIsClosedOnlyWithNothingPending) {
+TEST(OperationGuard, AConnectionIsClosedOnlyIfNothingIsPending) {
   EXPECT_TRUE(may_close({}).allowed());
   EXPECT_EQ(may_close({.request_unanswered = true}).reason(), Reason::request_unanswered);
   EXPECT_EQ(may_close({.response_unsent = true}).reason(), Reason::response_unsent);
   EXPECT_EQ(may_close({.bytes_unread = true}).reason(), Reason::bytes_unread);
 }
 
-TEST(OperationGuard, NoRequestIsStartedAtTheEndOrForADisconnectedClient) {
+TEST(OperationGuard, NoRequestIsStartedAfterTheProcessEndedOrForADisconnectedClient) {
   EXPECT_TRUE(may_start({.phase = Phase::draining}).allowed());
   EXPECT_EQ(may_start({.phase = Phase::ended}).reason(), Reason::process_ended);
   EXPECT_EQ(may_start({.has_waiting_client = false}).reason(), Reason::client_disconnected);
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -1,4 +1,4 @@
-// Administrative overrides, and which process is ready in a hand-over.
+// Tests administrative overrides, and which process accepts clients during a takeover.
 #include <gtest/gtest.h>
 
 #include "admin_overrides/admin_overrides.h"
@@ -36,7 +36,7 @@
   return EndpointState::gone;
 }
 
-TEST(AdminOverrides, ADisabledEndpointStaysDisabledWhateverDiscoveryLists) {
+TEST(AdminOverrides, ADisabledEndpointStaysDisabledWhenDiscoveryListsItAgain) {
   AdminOverrides overrides;
   overrides.apply(list(ListScope::full, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto disabled = overrides.disable(1, "one");
@@ -55,13 +55,14 @@
   auto enabled = overrides.enable(1);
   ASSERT_TRUE(enabled);
   EXPECT_EQ(state_of(*enabled, 1), EndpointState::ready);
-  EXPECT_EQ(enabled->entries.front().started_at, kLater);  // rule 4 counts from there
+  // The start that discovery reported last. Rule 4 counts from it.
+  EXPECT_EQ(enabled->entries.front().started_at, kLater);
   EXPECT_FALSE(overrides.enable(1));
 }
 
-// Any list but a cached one means to the scheduler that discovery has answered: it would stop
+// The scheduler takes any list except a cached one for an answer of discovery, and would stop
 // polling.
-TEST(AdminOverrides, AChangeIsNoAnswerOfDiscovery) {
+TEST(AdminOverrides, AnOverrideIsNotReportedAsAnAnswerOfDiscovery) {
   AdminOverrides overrides;
   overrides.apply(list(ListScope::cached, {{1, EndpointState::ready}, {2, EndpointState::ready}}));
   auto disabled = overrides.disable(1, "one");
@@ -93,26 +94,26 @@
             3u);
 }
 
-TEST(TakeoverReadiness, WaitsForTheElderAndForDiscoveryAndForNobodyForever) {
-  handover::TakeoverReadiness alone(1000, false);
-  EXPECT_EQ(alone.waits_for(1000), "");
-  handover::TakeoverReadiness both(1000, true);
-  EXPECT_NE(both.waits_for(1000), "");
-  both.endpoint_list_received();
-  EXPECT_NE(both.waits_for(1100), "");
-  both.state_received();
-  EXPECT_EQ(both.waits_for(1100), "");
-  handover::TakeoverReadiness silent(1000, true);
-  silent.endpoint_list_received();
-  EXPECT_NE(silent.waits_for(1000 + handover::kStateTimeoutMs - 1), "");
-  EXPECT_EQ(silent.waits_for(silent.latest_ready_ms()), "");
-  handover::TakeoverReadiness dead(1000, true);
-  dead.predecessor_ended();
-  EXPECT_NE(dead.waits_for(1001), "");
-  EXPECT_EQ(dead.waits_for(dead.latest_ready_ms()), "");
+TEST(TakeoverReadiness, WaitsForTheOldProcessAndForDiscoveryWithATimeoutForEach) {
+  handover::TakeoverReadiness without_old_process(1000, false);
+  EXPECT_EQ(without_old_process.waits_for(1000), "");
+  handover::TakeoverReadiness with_old_process(1000, true);
+  EXPECT_NE(with_old_process.waits_for(1000), "");
+  with_old_process.endpoint_list_received();
+  EXPECT_NE(with_old_process.waits_for(1100), "");
+  with_old_process.state_received();
+  EXPECT_EQ(with_old_process.waits_for(1100), "");
+  handover::TakeoverReadiness state_missing(1000, true);
+  state_missing.endpoint_list_received();
+  EXPECT_NE(state_missing.waits_for(1000 + handover::kStateTimeoutMs - 1), "");
+  EXPECT_EQ(state_missing.waits_for(state_missing.latest_ready_ms()), "");
+  handover::TakeoverReadiness old_process_ended(1000, true);
+  old_process_ended.predecessor_ended();
+  EXPECT_NE(old_process_ended.waits_for(1001), "");
+  EXPECT_EQ(old_process_ended.waits_for(old_process_ended.latest_ready_ms()), "");
 }
 
-TEST(TakeoverReadiness, AnElderLeavesTheSocketOnlyToOneThatIsReady) {
+TEST(TakeoverReadiness, TheOldProcessStopsAcceptingOnlyWhenItsSuccessorIsReady) {
   EXPECT_FALSE(handover::should_stop_accepting(true, false));
   EXPECT_FALSE(handover::should_stop_accepting(false, true));
   EXPECT_TRUE(handover::should_stop_accepting(true, true));
