--- a/scheduler/endpoint_feedback.h
+++ b/scheduler/endpoint_feedback.h
@@ -34,8 +34,8 @@
   void clear_outlier_signs(EndpointSlot slot) { health_.clear_outlier_signs(slot); }
   /// To be called when an attempt starts in time.
   void on_timely_start(EndpointSlot slot);
-  /// Handles an attempt that has not started in time; `is_fault`: the delay exceeds what a busy
-  /// endpoint explains.
+  /// Handles an attempt that has not started in time. `is_fault`: the delay is too long to be
+  /// explained by a busy endpoint, so it counts as a fault.
   void on_late_start(EndpointSlot slot, bool is_fault);
 
   /// Notifies the sibling process and the dispatchers that share the endpoint; the arguments are
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -10,7 +10,7 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by slot.
+/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by EndpointSlot.
 class EndpointHealth {
  public:
   explicit EndpointHealth(Environment& environment) : environment_(environment) {}
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -16,7 +16,10 @@
 
 constexpr int kRingProbes = 16;           // ring lookups that order the endpoints for a key
 constexpr double kKeySpreadFactor = 2.5;  // endpoints per key, per endpoint that its traffic fills
-constexpr double kFetchMeanRuns = 1.5;    // wait per additional endpoint, in mean running times
+// A queued request with a key may use one more endpoint each time it has waited about as long as an
+// endpoint takes to fetch the key's data from the shared store: this multiple of the mean running
+// time, plus one tick.
+constexpr double kFetchMeanRuns = 1.5;
 
 }  // namespace
 
@@ -195,8 +198,8 @@
   return ready;
 }
 
-// As many endpoints as the key's fraction of the traffic needs, plus one for each period of about a
-// fetch that the request has waited.
+// As many endpoints as the key's fraction of the traffic needs, plus one each time the request has
+// waited in the queue for about as long as an endpoint takes to fetch the key's data.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
   double fetch = kFetchMeanRuns * statistics_.mean_run() + environment_.settings.tick_ms;
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -85,7 +85,7 @@
   static std::size_t kind_index(int kind) { return static_cast<std::size_t>(kind); }
   EndpointSlot allocate_slot(EndpointId id);
 
-  std::vector<EndpointRecord> records_;  // by slot
+  std::vector<EndpointRecord> records_;  // by EndpointSlot
   std::vector<EndpointSlot> free_slots_;
   std::unordered_map<EndpointId, EndpointSlot> slots_;  // never iterated: unordered
   std::set<EndpointId> listed_;
--- a/scheduler/peer_load.h
+++ b/scheduler/peer_load.h
@@ -50,7 +50,7 @@
 /// none and messages may be lost.
 constexpr double kReportLifetimeMs = 5000;
 
-/// The slots that peers occupy at each endpoint, according to their last reports.
+/// The capacity slots that peers occupy at each endpoint, according to their last reports.
 class PeerLoad {
  public:
   /// Discards the reports for a new incarnation of the endpoint.
@@ -69,7 +69,7 @@
     double in_flight;
     Time until;
   };
-  std::vector<std::vector<Report>> reports_;  // by slot
+  std::vector<std::vector<Report>> reports_;  // by EndpointSlot
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/request.h
+++ b/scheduler/request.h
@@ -31,7 +31,7 @@
   Time deadline = 0;
   Time queued_since = 0;
   std::uint64_t sequence = 0;  ///< order of arrival
-  double load = 1;             ///< the larger of the requested slots and memory
+  double load = 1;             ///< larger of requested slots and memory, >= 1, limited
   double queue_cost = 0;       ///< queue order within the class, before calibration
   bool is_overdue = false;
   bool is_queued = false;
--- a/scheduler/retry_policy.h
+++ b/scheduler/retry_policy.h
@@ -23,8 +23,8 @@
   bool has_attempts_left(const Request& request) const;
   /// Whether the client may safely retry the request.
   bool may_reject(const Request& request) const;
-  /// The retry time for a rejection, in ms: a fraction of the mean running time. 0: no retry time
-  /// is given.
+  /// The retry time for a rejection, in ms: a fraction of the mean running time, which is about
+  /// when one of an endpoint's slots is free. 0: no retry time is given.
   double retry_after() const;
 
  private:
--- a/scheduler/service_statistics.cpp
+++ b/scheduler/service_statistics.cpp
@@ -9,7 +9,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kEndpointEmaStep = 0.2;  // EMA step of the ratio of one endpoint
+constexpr double kEndpointEmaStep = 0.2;  // EMA step of an endpoint's service time ratio
 constexpr double kMinServiceTimeRatio = 0.25;
 constexpr double kMaxServiceTimeRatio = 4;
 // The start timeout is the sum of these multiples of the zone's average start delay and of the
--- a/scheduler/service_statistics.h
+++ b/scheduler/service_statistics.h
@@ -41,12 +41,12 @@
 
   const std::vector<LearnedState::KindSpeed>& kinds() const { return kinds_; }
   const std::vector<double>& start_delays() const { return start_delays_; }
-  /// Throws std::out_of_range if `learned` has fewer kinds.
+  /// Throws std::out_of_range if `learned` has fewer kinds than the settings given to resize().
   void restore(const LearnedState& learned);
   void restore(EndpointSlot slot, double ratio) { ratios_[slot] = ratio; }
 
  private:
-  std::vector<double> ratios_;  // by endpoint slot
+  std::vector<double> ratios_;  // service time ratios, by EndpointSlot
   std::vector<LearnedState::KindSpeed> kinds_;
   std::vector<double> start_delays_;  // by zone
   double mean_run_ = 0;
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -12,7 +12,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the sent and granted work of each endpoint, by slot. Work is in ms on a standard core.
+/// Owns the sent and granted work of each endpoint, by EndpointSlot. Work is in ms on a standard
+/// core.
 class SlowStart {
  public:
   SlowStart(const Environment& environment, const EndpointTable& endpoints,
@@ -62,7 +63,7 @@
   const Environment& environment_;
   const EndpointTable& endpoints_;
   const ServiceStatistics& statistics_;
-  std::vector<State> states_;  // by slot
+  std::vector<State> states_;  // by EndpointSlot
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -35,7 +35,7 @@
     SubsetEntry warm{0, true, {}};
     SubsetEntry warming_up{0, true, {}};
   };
-  std::vector<Entries> entries_;  // by slot
+  std::vector<Entries> entries_;  // by EndpointSlot
   double fraction_ = 1;
   bool shares_load_ = false;
 };
--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -125,7 +125,7 @@
         continue;
       }
       if (!is_addressed)
-        throw_error("event before any 'about'");
+        throw_error("event before any address record");
       records.push_back({instance, read_record()});
     }
     return records;
@@ -136,13 +136,14 @@
     throw WireError("batch record " + std::to_string(record_number_) + ": " + what);
   }
 
-  // Returns the part of the tail given by the offset and the count at `field_offset` of the record.
+  // Returns the part of the tail (the variable-length data behind all records) given by the offset
+  // and the count at `field_offset` of the record.
   std::string_view tail(std::size_t field_offset, std::size_t unit) const {
     std::uint64_t offset = get<std::uint32_t>(record_, field_offset);
     std::uint64_t bytes =
         static_cast<std::uint64_t>(get<std::uint32_t>(record_, field_offset + 4)) * unit;
     if (offset > tail_.size() || bytes > tail_.size() - offset)
-      throw_error("tail field out of bounds");
+      throw_error("tail (variable-length part of the record) out of bounds");
     return tail_.substr(offset, bytes);
   }
 
--- a/simulator_adapter/key_values.h
+++ b/simulator_adapter/key_values.h
@@ -62,7 +62,7 @@
   }
   static int to_int(const std::string& key, double value) {
     if (value != std::floor(value) || std::abs(value) > 1e9)
-      throw SettingsError("settings: '" + key + "' is not a whole number");
+      throw SettingsError("settings: '" + key + "' is not a whole number from -1e9 to 1e9");
     return static_cast<int>(value);
   }
   int integer(const std::string& key) const { return to_int(key, number(key)); }
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -305,6 +305,7 @@
       "{\"say\":\"ready\"}\n{\"host\":\"box-2\",\"out\":true,\"say\":\"by-hand\"}\n{\"note\":"
       "\"00ff\",\"say\":\"note\"}\n{\"body\":\"x\",\"say\":\"news\"}\n");
   wait_received(4);
+  // "by-hand box-2 1" is the administrative override that takes host box-2 out of service.
   EXPECT_EQ(received_,
             (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
 }
--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -15,7 +15,8 @@
   std::size_t initially_sent = harness.sends.size();
   EXPECT_LT(initially_sent, 6u);  // the others are queued
   EXPECT_EQ(harness.dispatcher.queued_requests(), 6 - initially_sent);
-  // Repeated timely service raises the limit, so more requests are in flight at once.
+  // Attempts that start in time raise the concurrency limit, so more requests are in flight at
+  // once.
   RequestId next = 100;
   std::set<RequestId> started;
   std::size_t in_flight = 0;
--- a/tests/scheduler/dispatcher_rules_test.cpp
+++ b/tests/scheduler/dispatcher_rules_test.cpp
@@ -1,4 +1,5 @@
-/// Tests of rules 1 to 3: answers by the deadline, retry safety and use of the endpoint list.
+/// Tests that every request is answered by its deadline, that requests are retried only where that
+/// is safe, and that the endpoint list is respected.
 #include "dispatcher_harness.h"
 
 namespace keelflow::scheduler {
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -1,4 +1,4 @@
-/// Tests of rule 4: all dispatchers and all processes of a node together stay within the slow start
+/// Tests that all dispatchers and all processes of a node together stay within the slow start
 /// budget of an endpoint.
 #include <cstdint>
 #include <utility>
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
-/// Tests of rule 4 (the slow start budget) with 100 dispatchers that notify peers or whose messages
-/// are lost.
+/// Tests that 100 dispatchers together stay within the slow start budget of an endpoint, both when
+/// they notify their peers and when their messages are lost.
 #include <algorithm>
 #include <array>
 #include <functional>
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -61,6 +61,9 @@
 }
 
 TEST(Codec, DecodesEventsWithTheirInstances) {
+  // Address (instance 3); request arrival (request, class, tenant, key, client timeout, hint,
+  // slots, memory, attributes: 1 = has a hint); timer (id 77); address (instance 5); client
+  // disconnect (request).
   std::string body =
       padded_record("3c 00000003") +
       padded_record(
