--- a/scheduler/actions.h
+++ b/scheduler/actions.h
@@ -31,7 +31,7 @@
 /// Cancels an attempt. Its AttemptFinished event still follows.
 struct CancelAttempt {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  ///< number of the attempt, see SendAttempt
 };
 
 /// Sets the dispatcher's timer; replaces the previous one.
--- a/scheduler/attempt_tracker.h
+++ b/scheduler/attempt_tracker.h
@@ -41,7 +41,7 @@
   void on_started(const AttemptStarted& event);
   void on_finished(const AttemptFinished& event);
   /// Handles an attempt that has not started within its start timeout: cancels it if another
-  /// endpoint has capacity.
+  /// endpoint has capacity. `attempt`: number of the attempt.
   void on_late_start(RequestId id, int attempt);
 
  private:
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -208,7 +208,7 @@
   return std::ceil(needed) + waited;
 }
 
-// A request with a key goes to the endpoints nearest to the key's hash on the ring, which are the
+// A request with a key goes to the endpoints closest to the key's hash on the ring, which are the
 // same at every dispatcher. Any other endpoint would have to fetch the key's data from a shared
 // store while slots are idle.
 std::optional<EndpointSlot> EndpointSelector::select_by_key(const Request& request,
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -69,8 +69,9 @@
     EndpointId endpoint;
     EndpointSlot slot;
   };
+  /// The ring points closest to the hashes of the request's key, by increasing distance.
   std::vector<RingPoint> nearest(const Request& request, bool avoids_reserved_kinds) const;
-  /// The number of nearest endpoints on the ring that a request with a key may use.
+  /// The number of endpoints, closest on the ring first, that a request with a key may use.
   double key_spread(const Request& request, double endpoints) const;
   double ready_endpoints(const Request& request, bool avoids_reserved_kinds) const;
 
--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -59,7 +59,7 @@
 /// An endpoint has started to run an attempt.
 struct AttemptStarted {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  ///< number of the attempt, see SendAttempt
 };
 
 /// The client of a request has disconnected, so the request needs no answer.
@@ -110,7 +110,7 @@
 /// An attempt has ended. Occurs exactly once for each attempt sent.
 struct AttemptFinished {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  ///< number of the attempt, see SendAttempt
   AttemptResult result = AttemptResult::ok;
   double elapsed_ms = 0;
   bool request_finished = false;  ///< the request ended with this attempt or earlier
--- a/scheduler/key_frequency.h
+++ b/scheduler/key_frequency.h
@@ -34,7 +34,7 @@
     std::erase_if(counts_, [](const auto& entry) { return entry.second < kMinRetainedCount; });
   }
 
-  std::map<std::uint64_t, double> counts_;
+  std::map<std::uint64_t, double> counts_;  // not integers, since halving leaves fractions
   double total_ = 0;
 };
 
--- a/scheduler/request.h
+++ b/scheduler/request.h
@@ -31,8 +31,10 @@
   Time deadline = 0;
   Time queued_since = 0;
   std::uint64_t sequence = 0;  ///< order of arrival
-  double load = 1;             ///< larger of requested slots and memory, >= 1, limited
-  double queue_cost = 0;       ///< queue order within the class, before calibration
+  /// What the request occupies of an endpoint, in capacity slots; one unit of memory counts as one
+  /// slot.
+  double load = 1;        ///< the larger of the requested slots and memory, at least 1
+  double queue_cost = 0;  ///< queue order within the class, before calibration
   bool is_overdue = false;
   bool is_queued = false;
   bool is_finished = false;
--- a/scheduler/request_lifecycle.h
+++ b/scheduler/request_lifecycle.h
@@ -42,6 +42,7 @@
   /// Marks the request as finished and cancels its attempts in flight. The caller must then call
   /// RequestTable::forget_if_done.
   void finish(Request& request);
+  /// `attempt`: number of the attempt.
   void cancel_attempt(Request& request, int attempt);
 
  private:
--- a/scheduler/request_table.h
+++ b/scheduler/request_table.h
@@ -15,7 +15,7 @@
   Request& at(RequestId id) { return requests_.at(id); }
   Request& add(const RequestArrived& arrival);
 
-  /// Returns null if the attempt does not exist or is not in flight.
+  /// Returns null if there is no attempt with the number `attempt` or it is not in flight.
   Attempt* find_in_flight(RequestId id, int attempt);
 
   /// Forgets the request if it is finished and none of its attempts is in flight.
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kUsableWindowFraction = 0.9;  // part of a deduplication window used for retries
-constexpr double kRetryAfterMeanRuns = 0.25;   // retry time, in mean running times
+constexpr double kRetryAfterMeanRuns = 0.25;   // retry time of a rejection, in mean running times
 constexpr double kMinRetryAfterTicks = 4;
 
 }  // namespace
--- a/scheduler/settings.h
+++ b/scheduler/settings.h
@@ -39,8 +39,9 @@
   /// long.
   DeduplicationScope deduplication_scope = DeduplicationScope::all;
   double deduplication_window_ms = 0;
-  /// A response is in time if it arrives within the objective plus the factor times the request's
-  /// own running time.
+  /// A response is in time if it arrives within `latency_objective_ms` plus
+  /// `objective_runtime_factor` times the request's own running time, for which the scheduler takes
+  /// the request's hint.
   double latency_objective_ms = 0;
   double objective_runtime_factor = 0;
   double priority_weight = 1;
--- a/scheduler/timer_queue.h
+++ b/scheduler/timer_queue.h
@@ -29,7 +29,7 @@
     std::uint64_t order;
     TimerPurpose purpose;
     std::uint32_t subject;
-    int attempt;
+    int attempt;  ///< number of the attempt
     bool operator>(const Entry& other) const {
       return when != other.when ? when > other.when : order > other.order;
     }
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -28,7 +28,7 @@
 constexpr int kZones = 3;
 constexpr int kKinds = 2;
 constexpr double kMeanWorkMs = 80;
-constexpr double kStart = 50000;  // clock at the beginning of the scenario
+constexpr double kStart = 50000;  // time at the beginning of the scenario
 
 /// A simulated endpoint; the probabilities are per attempt.
 struct EndpointModel {
--- a/tests/scheduler/dispatcher_queue_test.cpp
+++ b/tests/scheduler/dispatcher_queue_test.cpp
@@ -72,8 +72,8 @@
   harness.endpoints(8);
   ASSERT_EQ(harness.sends.size(), 4u);
   EXPECT_EQ(harness.sends[0].request, 2u);
-  EXPECT_EQ(harness.sends[1].request,
-            4u);  // requests with equal hints are sent in order of arrival
+  // Requests with equal hints are sent in order of arrival.
+  EXPECT_EQ(harness.sends[1].request, 4u);
   EXPECT_EQ(harness.sends[2].request, 3u);
   EXPECT_EQ(harness.sends[3].request, 1u);
 }
