--- a/scheduler/attempt_tracker.cpp
+++ b/scheduler/attempt_tracker.cpp
@@ -75,7 +75,7 @@
     return;
   int running = endpoints_.record_start(*slot);
   if (!slow_start_.is_warming_up(*slot))
-    statistics_.record_running(endpoints_.at(*slot).entry.kind, running);
+    statistics_.record_concurrent_attempts(endpoints_.at(*slot).entry.kind, running);
   feedback_.clear_outlier_signs(*slot);
   double delay = environment_.now - attempt->sent;
   if (delay > statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms))
@@ -140,7 +140,8 @@
     return false;
   if (settings.concurrent_attempts)
     return true;
-  return !congestion_.is_high() && waited > kMinUnstartedMeanRuns * statistics_.mean_run();
+  return !congestion_.is_high() &&
+         waited > kMinUnstartedMeanRuns * statistics_.mean_running_time_ms();
 }
 
 // Temporarily marks the attempt as one that may have run, as it will count once cancelled, to check
@@ -160,11 +161,11 @@
   double waited = environment_.now - attempt->sent;
   if (auto slot = endpoints_.find(attempt->endpoint)) {
     congestion_.record_congested();
-    feedback_.on_late_start(*slot, waited > kFaultMeanRuns * statistics_.mean_run());
+    feedback_.on_late_start(*slot, waited > kFaultMeanRuns * statistics_.mean_running_time_ms());
   }
   double timeout = statistics_.start_timeout(attempt->zone, environment_.settings.tick_ms);
-  double recheck =
-      std::max(kRecheckStartTimeouts * timeout, kRecheckMeanRuns * statistics_.mean_run());
+  double recheck = std::max(kRecheckStartTimeouts * timeout,
+                            kRecheckMeanRuns * statistics_.mean_running_time_ms());
   environment_.timers.add(environment_.now + recheck, TimerPurpose::late_start, id, number);
   if (may_cancel_unstarted(request, waited) && has_alternative(request, *attempt))
     lifecycle_.cancel_attempt(request, number);
--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -16,9 +16,9 @@
 
 void EndpointFeedback::eject(EndpointSlot slot, bool is_fault) {
   if (is_fault) {
-    health_.eject_as_outlier(slot, statistics_.mean_run());
+    health_.eject_as_outlier(slot, statistics_.mean_running_time_ms());
   } else {
-    health_.eject_as_overloaded(slot, statistics_.mean_run());
+    health_.eject_as_overloaded(slot, statistics_.mean_running_time_ms());
   }
   environment_.timers.add(health_.ejected_until(slot), TimerPurpose::reindex,
                           endpoints_.at(slot).entry.endpoint);
--- a/scheduler/endpoint_health.cpp
+++ b/scheduler/endpoint_health.cpp
@@ -39,22 +39,23 @@
   failures = std::min(failures + 1, kMaxConsecutiveFailures);
 }
 
-double EndpointHealth::base_ejection(double mean_run) const {
-  return std::max(kMinEjectionTicks * environment_.settings.tick_ms, kEjectionMeanRuns * mean_run);
+double EndpointHealth::base_ejection(double mean_running_time_ms) const {
+  return std::max(kMinEjectionTicks * environment_.settings.tick_ms,
+                  kEjectionMeanRuns * mean_running_time_ms);
 }
 
-void EndpointHealth::eject_as_overloaded(EndpointSlot slot, double mean_run) {
+void EndpointHealth::eject_as_overloaded(EndpointSlot slot, double mean_running_time_ms) {
   double& limit = health_[slot].concurrency_limit;
   limit = std::max(1.0, limit * kLimitDecrease);
-  eject(slot, base_ejection(mean_run));
+  eject(slot, base_ejection(mean_running_time_ms));
 }
 
-void EndpointHealth::eject_as_outlier(EndpointSlot slot, double mean_run) {
+void EndpointHealth::eject_as_outlier(EndpointSlot slot, double mean_running_time_ms) {
   LearnedState::Health& health = health_[slot];
   health.concurrency_limit = 1;
   health.outlier_signs = std::min(health.outlier_signs + 1, kMaxOutlierSigns);
   int doublings = std::max(health.outlier_signs, health.consecutive_failures);
-  eject(slot, base_ejection(mean_run) * std::exp2(doublings));
+  eject(slot, base_ejection(mean_running_time_ms) * std::exp2(doublings));
 }
 
 void EndpointHealth::eject(EndpointSlot slot, double duration) {
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -38,11 +38,11 @@
   void record_failure(EndpointSlot slot);
 
   /// Ejects an endpoint that was full or slow to start an attempt, leaving its capacity to other
-  /// dispatchers for a while. `mean_run`: mean running time of an attempt, in ms.
-  void eject_as_overloaded(EndpointSlot slot, double mean_run);
+  /// dispatchers for a while. `mean_running_time_ms`: mean running time of an attempt, in ms.
+  void eject_as_overloaded(EndpointSlot slot, double mean_running_time_ms);
   /// Ejects an endpoint that appears faulty. The ejection time doubles until a success, and the
   /// concurrency limit of 1 lets one attempt at a time test the endpoint again.
-  void eject_as_outlier(EndpointSlot slot, double mean_run);
+  void eject_as_outlier(EndpointSlot slot, double mean_running_time_ms);
   /// Sends nothing to the endpoint before `until`.
   void eject_until(EndpointSlot slot, Time until);
 
@@ -51,7 +51,7 @@
 
  private:
   void eject(EndpointSlot slot, double duration);
-  double base_ejection(double mean_run) const;
+  double base_ejection(double mean_running_time_ms) const;
 
   Environment& environment_;
   // By slot. ServiceStatistics owns the service time ratio; the field is not used here.
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -52,9 +52,9 @@
 
 void EndpointListTracker::apply(const EndpointEntry& entry) {
   const Settings& settings = environment_.settings;
-  bool is_known_place = entry.zone >= 0 && entry.zone < settings.zones && entry.kind >= 0 &&
-                        entry.kind < settings.kinds;
-  if (entry.state == EndpointState::gone || !is_known_place)
+  bool has_known_zone_and_kind = entry.zone >= 0 && entry.zone < settings.zones &&
+                                 entry.kind >= 0 && entry.kind < settings.kinds;
+  if (entry.state == EndpointState::gone || !has_known_zone_and_kind)
     return endpoints_.remove(entry.endpoint);
   EndpointSlot slot = is_same_incarnation(entry) ? *endpoints_.find(entry.endpoint) : add(entry);
   endpoints_.set_state(slot, entry.state);
@@ -96,7 +96,7 @@
     if (!slot || endpoints_.at(*slot).entry.started_at != share.started_at)
       continue;
     subset_.set_warming_up(*slot, share.subset);
-    slow_start_.set_fraction(*slot, share.fraction);
+    slow_start_.set_budget_fraction(*slot, share.fraction);
     availability_.refresh(*slot);
   }
 }
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -19,7 +19,7 @@
 // A queued request with a key may use one more endpoint each time it has waited about as long as an
 // endpoint takes to fetch the key's data from the shared store: this multiple of the mean running
 // time, plus one tick.
-constexpr double kFetchMeanRuns = 1.5;
+constexpr double kKeyDataFetchMeanRuns = 1.5;
 
 }  // namespace
 
@@ -133,7 +133,7 @@
                                                                  bool avoids_reserved_kinds) {
   if (auto selected = sample(&EndpointTable::available_in_subset, request, avoids_reserved_kinds))
     return selected;
-  double wait = kSubsetWaitMeanRuns * statistics_.mean_run() *
+  double wait = kSubsetWaitMeanRuns * statistics_.mean_running_time_ms() *
                 (1 + kCongestionWaitFactor * congestion_.level() * (1 - subset_.fraction()));
   if (request.is_queued && environment_.now - request.queued_since < wait)
     return std::nullopt;
@@ -167,7 +167,7 @@
   return best;
 }
 
-std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest(
+std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest_ring_points(
     const Request& request, bool avoids_reserved_kinds) const {
   std::vector<RingPoint> points;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind) {
@@ -202,7 +202,8 @@
 // waited in the queue for about as long as an endpoint takes to fetch the key's data.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
-  double fetch = kFetchMeanRuns * statistics_.mean_run() + environment_.settings.tick_ms;
+  double fetch =
+      kKeyDataFetchMeanRuns * statistics_.mean_running_time_ms() + environment_.settings.tick_ms;
   double waited = request.is_queued ? wait / fetch : 0;
   double needed = key_frequency_.fraction(request.arrival.key) * endpoints * kKeySpreadFactor;
   return std::ceil(needed) + waited;
@@ -216,7 +217,7 @@
   double spread = key_spread(request, ready_endpoints(request, avoids_reserved_kinds));
   EndpointId last = 0;
   Selected best;
-  for (const RingPoint& point : nearest(request, avoids_reserved_kinds)) {
+  for (const RingPoint& point : nearest_ring_points(request, avoids_reserved_kinds)) {
     bool is_next = point.endpoint != last;
     if (is_next)
       spread -= 1;
--- a/scheduler/endpoint_selector.h
+++ b/scheduler/endpoint_selector.h
@@ -70,7 +70,8 @@
     EndpointSlot slot;
   };
   /// The ring points closest to the hashes of the request's key, by increasing distance.
-  std::vector<RingPoint> nearest(const Request& request, bool avoids_reserved_kinds) const;
+  std::vector<RingPoint> nearest_ring_points(const Request& request,
+                                             bool avoids_reserved_kinds) const;
   /// The number of endpoints, closest on the ring first, that a request with a key may use.
   double key_spread(const Request& request, double endpoints) const;
   double ready_endpoints(const Request& request, bool avoids_reserved_kinds) const;
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -91,7 +91,7 @@
   if (!settings.retry_after)
     return 0;
   double least = kMinRetryAfterTicks * settings.tick_ms;
-  return std::clamp(kRetryAfterMeanRuns * statistics_.mean_run(), least,
+  return std::clamp(kRetryAfterMeanRuns * statistics_.mean_running_time_ms(), least,
                     std::max(least, settings.max_retry_after_ms));
 }
 
--- a/scheduler/service_statistics.h
+++ b/scheduler/service_statistics.h
@@ -29,10 +29,10 @@
   /// The most attempts of this dispatcher seen running at once on a warmed-up endpoint of this
   /// kind.
   double observed_cores(int kind) const;
-  void record_running(int kind, int attempts);
+  void record_concurrent_attempts(int kind, int attempts);
 
   /// EMA of the running times of this dispatcher's attempts, in ms.
-  double mean_run() const { return mean_run_; }
+  double mean_running_time_ms() const { return mean_running_time_ms_; }
   void record_run(double run_ms);
 
   /// The time after which an attempt that has not started is late, in ms.
@@ -40,7 +40,7 @@
   void record_start_delay(int zone, double delay_ms);
 
   const std::vector<LearnedState::KindSpeed>& kinds() const { return kinds_; }
-  const std::vector<double>& start_delays() const { return start_delays_; }
+  const std::vector<double>& mean_start_delays() const { return mean_start_delays_; }
   /// Throws std::out_of_range if `learned` has fewer kinds than the settings given to resize().
   void restore(const LearnedState& learned);
   void restore(EndpointSlot slot, double ratio) { ratios_[slot] = ratio; }
@@ -48,8 +48,8 @@
  private:
   std::vector<double> ratios_;  // service time ratios, by EndpointSlot
   std::vector<LearnedState::KindSpeed> kinds_;
-  std::vector<double> start_delays_;  // by zone
-  double mean_run_ = 0;
+  std::vector<double> mean_start_delays_;  // by zone
+  double mean_running_time_ms_ = 0;
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -54,7 +54,7 @@
                  settings.overload_window_ms;
   double own =
       total * state.fraction - state.sent.sum(environment_.now - settings.overload_window_ms);
-  return {own, granted(state), statistics_.mean_run()};
+  return {own, granted(state), statistics_.mean_running_time_ms()};
 }
 
 void SlowStart::spend(EndpointSlot slot, double work_ms) {
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -43,7 +43,9 @@
   /// sibling process, or under a grant from this dispatcher's share.
   void record_sent(EndpointSlot slot, Time when, double work_ms);
 
-  void set_fraction(EndpointSlot slot, double fraction) { states_[slot].fraction = fraction; }
+  void set_budget_fraction(EndpointSlot slot, double fraction) {
+    states_[slot].fraction = fraction;
+  }
   void on_grant(EndpointSlot slot, const SlowStartGrant& grant);
 
   /// The work sent within the window that ends at `now`.
--- a/scheduler/state_transfer.cpp
+++ b/scheduler/state_transfer.cpp
@@ -7,7 +7,8 @@
   LearnedState state;
   state.classes = calibration_.learned();
   state.kinds = statistics_.kinds();
-  state.fleet = {statistics_.start_delays(), statistics_.mean_run(), congestion_.level()};
+  state.fleet = {statistics_.mean_start_delays(), statistics_.mean_running_time_ms(),
+                 congestion_.level()};
   for (EndpointId id : endpoints_.listed()) {
     EndpointSlot slot = *endpoints_.find(id);
     LearnedState::Health health = health_.learned(slot);
--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -151,9 +151,9 @@
     auto subject = get<std::uint32_t>(record_, 1);
     switch (std::uint8_t code = get_u8(record_, 0)) {
       case kSpawn:
-        return Spawn{get<std::uint64_t>(record_, 1), std::string(tail(9, 1))};
+        return SpawnInstance{get<std::uint64_t>(record_, 1), std::string(tail(9, 1))};
       case kStop:
-        return Stop{};
+        return StopInstance{};
       case kEndpointList:
         return Event(read_list());
       case kRequestArrived:
--- a/simulator_adapter/codec.h
+++ b/simulator_adapter/codec.h
@@ -28,19 +28,19 @@
 constexpr std::size_t kEntrySize = 21;
 
 /// Starts a new instance of the scheduler.
-struct Spawn {
+struct SpawnInstance {
   std::uint64_t seed = 0;
   std::string settings;  ///< in text form, see settings_decoder.h
 };
 /// Ends an instance.
-struct Stop {};
+struct StopInstance {};
 /// A record with a code that this release does not know.
 struct Unknown {
   int code = 0;
 };
 /// A record with a known code that the scheduler does not use.
 struct Ignored {};
-using Record = std::variant<Spawn, Stop, Unknown, Ignored, Event>;
+using Record = std::variant<SpawnInstance, StopInstance, Unknown, Ignored, Event>;
 
 /// A record and the instance that it addresses.
 struct AddressedRecord {
@@ -66,7 +66,7 @@
   void instance(std::uint32_t id);
   void action(const Action& action);
   /// Writes a record that the instance has failed.
-  void fail_instance(std::string_view reason);
+  void write_instance_failure(std::string_view reason);
   /// Returns the complete frame and clears the writer.
   std::string finish();
 
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -35,7 +35,7 @@
   }
   void write_failure(std::uint32_t instance, std::string_view reason) {
     address(instance);
-    writer_.fail_instance(reason);
+    writer_.write_instance_failure(reason);
   }
   std::string finish() { return writer_.finish(); }
 
@@ -50,7 +50,7 @@
   std::optional<std::uint32_t> addressed_;
 };
 
-void InstanceTable::spawn(std::uint32_t id, const Spawn& spawn, double now) {
+void InstanceTable::spawn(std::uint32_t id, const SpawnInstance& spawn, double now) {
   scheduler::Settings settings = read_settings(spawn.settings);
   try {
     instances_[id] = std::make_unique<Instance>(settings, spawn.seed, now);
@@ -84,9 +84,9 @@
   AddressedReply reply;
   for (const AddressedRecord& addressed : read_body(header, body)) {
     std::uint32_t id = addressed.instance;
-    if (const auto* start = std::get_if<Spawn>(&addressed.record)) {
+    if (const auto* start = std::get_if<SpawnInstance>(&addressed.record)) {
       spawn(id, *start, header.now);
-    } else if (std::holds_alternative<Stop>(addressed.record)) {
+    } else if (std::holds_alternative<StopInstance>(addressed.record)) {
       instances_.erase(id);
       unknown_codes_.erase(id);
     } else if (const auto* unknown = std::get_if<Unknown>(&addressed.record)) {
--- a/simulator_adapter/instance_table.h
+++ b/simulator_adapter/instance_table.h
@@ -35,7 +35,7 @@
   /// Writes the actions of several instances, with an address record whenever the instance changes.
   class AddressedReply;
 
-  void spawn(std::uint32_t id, const Spawn& spawn, double now);
+  void spawn(std::uint32_t id, const SpawnInstance& spawn, double now);
   void log_unknown(std::uint32_t id, int code, std::string& log);
   void handle(std::uint32_t id, double now, const Event& event, AddressedReply& reply);
 
--- a/simulator_adapter/reply_writer.cpp
+++ b/simulator_adapter/reply_writer.cpp
@@ -81,7 +81,7 @@
   tail_ += text;
 }
 
-void ReplyWriter::fail_instance(std::string_view reason) {
+void ReplyWriter::write_instance_failure(std::string_view reason) {
   append_tail(append_record(kInstanceFailed) + 1, reason);
 }
 
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -28,7 +28,7 @@
 constexpr int kZones = 3;
 constexpr int kKinds = 2;
 constexpr double kMeanWorkMs = 80;
-constexpr double kStart = 50000;  // time at the beginning of the scenario
+constexpr double kStartMs = 50000;  // time at the beginning of the scenario
 
 /// A simulated endpoint; the probabilities are per attempt.
 struct EndpointModel {
@@ -90,7 +90,7 @@
       schedule_arrival(rank);
     schedule(now_ + 500, 0, ScheduledEvent::Kind::endpoint_change);
     schedule(now_ + 700, 0, ScheduledEvent::Kind::node_change);
-    while (!queue_.empty() && queue_.top().when <= kStart + options_.length_ms) {
+    while (!queue_.empty() && queue_.top().when <= kStartMs + options_.length_ms) {
       ScheduledEvent next = queue_.top();
       queue_.pop();
       now_ = std::max(now_, next.when);
@@ -461,7 +461,7 @@
   std::vector<EndpointModel> endpoints_;
   std::vector<Node> nodes_;
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
-  double now_ = kStart;
+  double now_ = kStartMs;
   std::uint64_t order_ = 0;
   RequestId last_request_ = 0;
 };
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -37,7 +37,7 @@
   }
 
   void run_to_end() {
-    for (now_ = kStart; now_ < kStart + 12000; now_ += 5) {
+    for (now_ = kStartMs; now_ < kStartMs + 12000; now_ += 5) {
       deliver();
       for (std::size_t i = 0; i < nodes_.size(); ++i)
         run(i);
@@ -49,7 +49,7 @@
   }
 
  private:
-  static constexpr double kStart = 1000000;
+  static constexpr double kStartMs = 1000000;
   struct Node {
     std::unique_ptr<fleet::Membership> membership;  // null while the member is not running
     double stalled_until = 0;
@@ -140,7 +140,7 @@
 
   Rng rng_;
   Recording& recording_;
-  double now_ = kStart;
+  double now_ = kStartMs;
   std::vector<Node> nodes_;
   std::multimap<double, Datagram> in_transit_;
 };
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -198,7 +198,7 @@
     std::filesystem::remove_all(folder_);
   }
 
-  std::unique_ptr<Handover> make() {
+  std::unique_ptr<Handover> make_handover() {
     return std::make_unique<Handover>(
         loop_, folder_, "node-1",
         Handover::Callbacks{
@@ -288,7 +288,7 @@
 };
 
 TEST_F(RecordedHandover, TheServingProcessKeepsItsMessages) {
-  auto handover = make();
+  auto handover = make_handover();
   handover->listen();
   expect_message("handover-socket", socket_name());
   connect();
@@ -318,7 +318,7 @@
   sockaddr_un at = address(folder_ + "/" + name);
   ASSERT_EQ(::bind(listening, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
   ASSERT_EQ(::listen(listening, 1), 0);
-  auto handover = make();
+  auto handover = make_handover();
   ASSERT_TRUE(handover->ask());
   peer_ = ::accept(listening, nullptr, nullptr);
   ASSERT_GE(peer_, 0);
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -9,8 +9,8 @@
 constexpr EndpointSlot kSlot = 0;
 constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of the mean run
 constexpr double kBaseEjectionMs = 100;
-constexpr double kMinJitterFactor = 0.75;  // ejection durations have random jitter
-constexpr double kMaxJitterFactor = 1.25;
+constexpr double kMinEjectionJitter = 0.75;  // ejection durations have random jitter
+constexpr double kMaxEjectionJitter = 1.25;
 
 /// The health of one endpoint, with a clock that the test sets.
 struct EndpointHealthTest : ::testing::Test {
@@ -20,8 +20,8 @@
   }
   double ejected_for() const { return health.ejected_until(kSlot) - environment.now; }
   void expect_ejected_for_about(double duration) const {
-    EXPECT_GE(ejected_for(), kMinJitterFactor * duration);
-    EXPECT_LE(ejected_for(), kMaxJitterFactor * duration);
+    EXPECT_GE(ejected_for(), kMinEjectionJitter * duration);
+    EXPECT_LE(ejected_for(), kMaxEjectionJitter * duration);
   }
   void advance_past_ejection() { environment.now = health.ejected_until(kSlot); }
 
--- a/tests/scheduler/key_frequency_test.cpp
+++ b/tests/scheduler/key_frequency_test.cpp
@@ -6,7 +6,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr int kKeysPerHalving = 4096;  // counts are halved after this number of keys
+constexpr int kHalvingInterval = 4096;  // counts are halved after this number of keys
 
 TEST(KeyFrequency, AnUnseenKeyHasAFractionOfZero) {
   KeyFrequency frequency;
@@ -25,12 +25,12 @@
 
 TEST(KeyFrequency, OlderTrafficCountsLessThanNewTraffic) {
   KeyFrequency frequency;
-  for (int i = 0; i < kKeysPerHalving; ++i)
+  for (int i = 0; i < kHalvingInterval; ++i)
     frequency.count(7);
-  for (int i = 0; i < kKeysPerHalving / 2; ++i)
+  for (int i = 0; i < kHalvingInterval / 2; ++i)
     frequency.count(8);
   EXPECT_NEAR(frequency.fraction(8), 0.5, 0.01);
-  for (int i = 0; i < 4 * kKeysPerHalving; ++i)
+  for (int i = 0; i < 4 * kHalvingInterval; ++i)
     frequency.count(8);
   EXPECT_LT(frequency.fraction(7), 0.01);
 }
@@ -38,7 +38,7 @@
 TEST(KeyFrequency, AKeyThatIsNoLongerSeenIsForgotten) {
   KeyFrequency frequency;
   frequency.count(7);
-  for (int i = 0; i < 2 * kKeysPerHalving; ++i)
+  for (int i = 0; i < 2 * kHalvingInterval; ++i)
     frequency.count(8);
   EXPECT_DOUBLE_EQ(frequency.fraction(7), 0);
 }
--- a/tests/scheduler/service_statistics_test.cpp
+++ b/tests/scheduler/service_statistics_test.cpp
@@ -54,11 +54,11 @@
 
 TEST(ServiceStatistics, TheMeanRunStartsAtTheFirstRunAndMovesByATenthOfTheDifference) {
   ServiceStatistics statistics(two_kinds_and_zones());
-  EXPECT_DOUBLE_EQ(statistics.mean_run(), 0);
+  EXPECT_DOUBLE_EQ(statistics.mean_running_time_ms(), 0);
   statistics.record_run(100);
-  EXPECT_DOUBLE_EQ(statistics.mean_run(), 100);
+  EXPECT_DOUBLE_EQ(statistics.mean_running_time_ms(), 100);
   statistics.record_run(200);
-  EXPECT_DOUBLE_EQ(statistics.mean_run(), 110);
+  EXPECT_DOUBLE_EQ(statistics.mean_running_time_ms(), 110);
 }
 
 TEST(ServiceStatistics, TheStartTimeoutIsThreeMeanDelaysOfTheZoneFourTicksAndTenMs) {
@@ -72,8 +72,8 @@
 TEST(ServiceStatistics, TheObservedCoresOfAKindAreTheMaximumOfConcurrentRuns) {
   ServiceStatistics statistics(two_kinds_and_zones());
   EXPECT_DOUBLE_EQ(statistics.observed_cores(0), 1);
-  statistics.record_running(0, 4);
-  statistics.record_running(0, 2);
+  statistics.record_concurrent_attempts(0, 4);
+  statistics.record_concurrent_attempts(0, 2);
   EXPECT_DOUBLE_EQ(statistics.observed_cores(0), 4);
   EXPECT_DOUBLE_EQ(statistics.observed_cores(1), 1);
 }
@@ -87,7 +87,7 @@
   statistics.restore(learned);
   EXPECT_DOUBLE_EQ(statistics.kind_service_time_ratio(1), 0.5);
   EXPECT_DOUBLE_EQ(statistics.observed_cores(0), 4);
-  EXPECT_DOUBLE_EQ(statistics.mean_run(), 300);
+  EXPECT_DOUBLE_EQ(statistics.mean_running_time_ms(), 300);
   EXPECT_DOUBLE_EQ(statistics.start_timeout(1, 0), 70);
   EXPECT_THROW(statistics.restore(LearnedState{}), std::out_of_range);
 }
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -68,7 +68,7 @@
 
 TEST_F(SlowStartTest, TheBudgetIsSplitEvenlyUntilAFractionIsSet) {
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 4, 1e-9);
-  slow_start.set_fraction(warming_up_slot, 0.5);
+  slow_start.set_budget_fraction(warming_up_slot, 0.5);
   EXPECT_NEAR(slow_start.budget(warming_up_slot).own, kFleetBudgetMs / 2, 1e-9);
 }
 
@@ -105,7 +105,7 @@
 TEST_F(SlowStartTest, ListedCapacityIsLimitedToTwiceTheObservedCores) {
   EndpointSlot large = add({.endpoint = 8, .nominal_capacity = 16, .started_at = kStartedAt});
   EXPECT_NEAR(slow_start.budget(large).own, 2 * kFleetBudgetMs / 4, 1e-9);
-  statistics.record_running(0, 4);
+  statistics.record_concurrent_attempts(0, 4);
   EXPECT_NEAR(slow_start.budget(large).own, 8 * kFleetBudgetMs / 4, 1e-9);
 }
 
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -115,7 +115,7 @@
   writer.action(SetTimer{77, 12508.25});
   writer.action(SendPeerMessage{7, "hi q"});
   writer.instance(5);
-  writer.fail_instance("two servers left");
+  writer.write_instance_failure("two servers left");
   std::string expected = bytes_from_hex("000000a4 00000006") + padded_record("82 00000003", 24) +
                          padded_record("0a 5d3a91c4 03124a07 4054000000000000", 24);
   std::string timer = padded_record("32 000000000000004d", 24);
