--- a/scheduler/availability.h
+++ b/scheduler/availability.h
@@ -25,7 +25,7 @@
         subset_(subset),
         slow_start_(slow_start) {}
 
-  /// Slots in flight at the endpoint: this dispatcher's and those that peers reported.
+  /// Capacity slots in flight at the endpoint: this dispatcher's and those that peers reported.
   double occupied(EndpointSlot slot) const {
     return endpoints_.at(slot).in_flight + peer_load_.sum(slot, environment_.now);
   }
--- a/scheduler/cost_calibration.h
+++ b/scheduler/cost_calibration.h
@@ -36,7 +36,7 @@
   void record_run(const Request& request, double run_ms);
 
   const std::vector<LearnedState::Calibration>& learned() const { return classes_; }
-  /// Throws std::out_of_range if `learned` has fewer classes.
+  /// Throws std::out_of_range if `learned` has fewer classes than this object.
   void restore(const std::vector<LearnedState::Calibration>& learned);
 
  private:
--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -4,7 +4,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Longest random delay before this dispatcher uses a slot that a peer has released.
+// Longest random delay before this dispatcher uses a capacity slot that a peer has released.
 constexpr double kMaxYieldMs = 40;
 
 }  // namespace
--- a/scheduler/endpoint_feedback.h
+++ b/scheduler/endpoint_feedback.h
@@ -35,7 +35,7 @@
   /// To be called when an attempt starts in time.
   void on_timely_start(EndpointSlot slot);
   /// Handles an attempt that has not started in time. `is_fault`: the delay is too long to be
-  /// explained by a busy endpoint, so it counts as a fault.
+  /// explained by a busy endpoint, so the endpoint is ejected as an outlier, not as overloaded.
   void on_late_start(EndpointSlot slot, bool is_fault);
 
   /// Notifies the sibling process and the dispatchers that share the endpoint; the arguments are
--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -31,7 +31,7 @@
   bool fails_repeatedly(EndpointSlot slot) const { return health_[slot].consecutive_failures > 1; }
 
   /// Records an attempt that started in time or succeeded; raises the limit if the endpoint is
-  /// close to it. `occupied`: slots in flight at the endpoint.
+  /// close to it. `occupied`: capacity slots in flight at the endpoint.
   void record_success(EndpointSlot slot, double occupied);
   void clear_outlier_signs(EndpointSlot slot) { health_[slot].outlier_signs = 0; }
   void clear_failures(EndpointSlot slot) { health_[slot].consecutive_failures = 0; }
@@ -54,7 +54,7 @@
   double base_ejection(double mean_running_time_ms) const;
 
   Environment& environment_;
-  // By slot. ServiceStatistics owns the service time ratio; the field is not used here.
+  // By EndpointSlot. ServiceStatistics owns the service time ratio; the field is not used here.
   std::vector<LearnedState::Health> health_;
 };
 
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -11,11 +11,13 @@
 constexpr int kMaxCandidates = 4;  // sampled usable endpoints that are compared
 constexpr int kMaxDraws = 16;      // random draws to find the candidates
 
-constexpr double kSubsetWaitMeanRuns = 0.1;  // wait for the subset, in mean running times
+// How long a request waits for an endpoint of the subset, in mean running times.
+constexpr double kSubsetWaitMeanRuns = 0.1;
 constexpr double kCongestionWaitFactor = 4;  // full congestion adds up to this multiple of the wait
 
-constexpr int kRingProbes = 16;           // ring lookups that order the endpoints for a key
-constexpr double kKeySpreadFactor = 2.5;  // endpoints per key, per endpoint that its traffic fills
+constexpr int kRingProbes = 16;  // ring lookups that order the endpoints for a key
+// A key may use this multiple of the number of endpoints that its traffic fills.
+constexpr double kKeySpreadFactor = 2.5;
 // A queued request with a key may use one more endpoint each time it has waited about as long as an
 // endpoint takes to fetch the key's data from the shared store: this multiple of the mean running
 // time, plus one tick.
@@ -97,10 +99,10 @@
   return endpoints_.is_available(slot);
 }
 
-// The cost of an endpoint that is slower than calibrated is its slots, including one for this
-// request, times its relative slowness. The slowness is ignored for requests with keys, whose
-// running times include fetches, and for the first request to an endpoint that is warming up, so
-// that the endpoint is tried at all.
+// The cost of an endpoint that is slower than calibrated is its capacity slots in use, including
+// one for this request, times its relative slowness. The slowness is ignored for requests with
+// keys, whose running times include fetches, and for the first request to an endpoint that is
+// warming up, so that the endpoint is tried at all.
 double EndpointSelector::cost_of(const Request& request, EndpointSlot slot) const {
   double occupied = availability_.occupied(slot);
   if (request.arrival.key != 0)
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -1,4 +1,4 @@
-/// Slot allocation and maintenance of the list and its indexes.
+/// Allocation of EndpointSlots and maintenance of the list and its indexes.
 #include "scheduler/endpoint_table.h"
 
 #include "scheduler/hashing.h"
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -21,14 +21,14 @@
 /// One endpoint and this dispatcher's load on it.
 struct EndpointRecord {
   EndpointEntry entry;
-  double in_flight = 0;         ///< slots of this dispatcher's attempts
+  double in_flight = 0;         ///< capacity slots of this dispatcher's attempts
   int unfinished_attempts = 0;  ///< this dispatcher's attempts in flight
   int running_attempts = 0;     ///< attempts in flight that were reported as started
   bool was_used = false;        ///< an attempt was sent to the current incarnation
 };
 
-/// Owns the records and the indexes. Allocates the slots by which other components index their
-/// state.
+/// Owns the records and the indexes. Allocates the EndpointSlots by which other components
+/// index their state.
 class EndpointTable {
  public:
   /// Ready endpoints of one kind, ordered by hash, for consistent hashing.
--- a/scheduler/peer_load.h
+++ b/scheduler/peer_load.h
@@ -23,10 +23,10 @@
   failed
 };
 
-/// A message of 8 bytes, big-endian: endpoint (4), incarnation tag (1), the sender's slots in
-/// flight there (1, at most 255), signal (1), and a detail (1). The detail is the work sent, in
-/// units of 64 ms, rounded up, for `sent`, and the service time ratio of the completed attempt x 32
-/// for `served`. The message is kept small because messages are priced by size.
+/// A message of 8 bytes, big-endian: endpoint (4), incarnation tag (1), the sender's capacity
+/// slots in flight there (1, at most 255), signal (1), and a detail (1). The detail is the work
+/// sent, in units of 64 ms, rounded up, for `sent`, and the service time ratio of the completed
+/// attempt x 32 for `served`. The message is kept small because messages are priced by size.
 struct LoadUpdate {
   EndpointId endpoint = 0;
   /// Identifies the incarnation: updates on a previous one do not apply to the current one.
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -9,8 +9,8 @@
 
 namespace keelflow::scheduler {
 
-/// With many dispatchers, the slots of one dispatcher are a poor estimate of the load of an
-/// endpoint that all of them use. Each dispatcher therefore prefers a few endpoints, and
+/// With many dispatchers, the capacity slots in use by one dispatcher are a poor estimate of the
+/// load of an endpoint that all of them use. Each dispatcher therefore prefers a few endpoints, and
 /// dispatchers that prefer the same endpoint notify each other of its load.
 class Subset {
  public:
--- a/simulator_adapter/batch_reader.cpp
+++ b/simulator_adapter/batch_reader.cpp
@@ -203,7 +203,7 @@
       case 2:
         return EndpointState::draining;
       default:
-        throw_error("unknown worker phase " + std::to_string(phase));
+        throw_error("unknown endpoint state " + std::to_string(phase));
     }
   }
 
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -100,7 +100,8 @@
   add_attempt(DeliveryState::may_have_run, kNow);
   environment.now = kNow + 0.9 * kWindowMs;
   EXPECT_TRUE(policy.may_send(request, same_zone));
-  EXPECT_FALSE(policy.may_retry(request));  // a later attempt would miss the window
+  // Any later attempt would be outside the usable part of the deduplication window.
+  EXPECT_FALSE(policy.may_retry(request));
   environment.now += 1;
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
--- a/tests/scheduler/subset_test.cpp
+++ b/tests/scheduler/subset_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_FALSE(subset.entry(kSlot + 1, false).is_own);
 }
 
-TEST(Subset, TheLastExtentReplacesTheFormerOne) {
+TEST(Subset, TheLastFractionAndSharingReplaceTheFormerOnes) {
   Subset subset;
   subset.set_fraction_and_sharing(0.25, true);
   EXPECT_DOUBLE_EQ(subset.fraction(), 0.25);
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -86,6 +86,10 @@
 }
 
 TEST(Codec, DecodesTheEndpointListAndOutcomes) {
+  // Address (instance 3); endpoint list (scope, 8 bytes that are not read, tail offset, number of
+  // entries); attempt finished (request, attempt number, 4 bytes that are not read, result, elapsed
+  // time, whether the request is finished). The tail holds the entries (endpoint, zone, kind, cell,
+  // state, capacity, start time).
   std::string body = padded_record("3c 00000003") +
                      padded_record("32 00 0000000000000029 00000000 00000002") +
                      padded_record("78 5d3a91c4 02 03124a07 000a 4032800000000000 01") +
@@ -116,6 +120,9 @@
   writer.action(SendPeerMessage{7, "hi q"});
   writer.instance(5);
   writer.write_instance_failure("two servers left");
+  // Frame header (body bytes, number of records); address (instance 3); attempt to send (request,
+  // endpoint, timeout); timer (id; its time follows below); peer message (rank, tail offset,
+  // bytes); address (instance 5); instance failure (tail offset, bytes); tail.
   std::string expected = bytes_from_hex("000000a4 00000006") + padded_record("82 00000003", 24) +
                          padded_record("0a 5d3a91c4 03124a07 4054000000000000", 24);
   std::string timer = padded_record("32 000000000000004d", 24);
@@ -143,6 +150,8 @@
   EXPECT_NE(error_of(padded_record("6e 000000000000004d"), 1).find("before any"),
             std::string::npos);
   std::string instance_record = padded_record("3c 00000003");
+  // An endpoint list with one entry, a peer message (rank, tail offset, bytes), an endpoint list of
+  // an unknown scope.
   EXPECT_NE(error_of(instance_record + padded_record("32 03 0000000000000029 00000000 00000001"), 2)
                 .find("record 1: tail"),
             std::string::npos);
@@ -207,6 +216,7 @@
 TEST(InstanceTable, SkipsEventsForUnknownInstancesAndLogsUnknownCodesOnce) {
   InstanceTable table;
   std::string log;
+  // Address (instance 3); client disconnect (request); two records of an unknown code.
   std::string body = padded_record("3c 00000003") + padded_record("50 0e6f2b19") +
                      padded_record("ff") + padded_record("ff");
   EXPECT_EQ(table.process_batch(header_for(body, 4), body, log),
