--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -15,7 +15,8 @@
   /// Health of one endpoint.
   struct Health {
     double service_time_ratio = 1;  ///< running time over calibrated cost, corrected for slow start
-    /// This dispatcher's limit of slots in flight; the default applies until there is data.
+    /// This dispatcher's limit of capacity slots in flight; the default applies until there is
+    /// data.
     double concurrency_limit = 2;
     int outlier_signs = 0;         ///< signs of a fault since the last success
     int consecutive_failures = 0;  ///< failed attempts since the last successful one
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(users_while_warming_up, 5);
 }
 
-TEST(EndpointSelection, PrefersTheEndpointWithTheFewestOwnSlotsInUse) {
+TEST(EndpointSelection, PrefersTheEndpointWithTheFewestOwnCapacitySlotsInUse) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(4);
   for (RequestId id = 1; id <= 4; ++id)
--- a/tests/scheduler/endpoint_table_test.cpp
+++ b/tests/scheduler/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-/// Tests of the endpoint table: slots, attempts in flight and indexes.
+/// Tests of the endpoint table: EndpointSlots, attempts in flight and indexes.
 #include "scheduler/endpoint_table.h"
 
 #include <gtest/gtest.h>
