--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -10,7 +10,7 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by slot.
+/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by EndpointSlot.
 class EndpointHealth {
  public:
   explicit EndpointHealth(Environment& environment) : environment_(environment) {}
@@ -31,18 +31,18 @@
   bool fails_repeatedly(EndpointSlot slot) const { return health_[slot].consecutive_failures > 1; }
 
   /// Records an attempt that started in time or succeeded; raises the limit if the endpoint is
-  /// close to it. `occupied`: slots in flight at the endpoint.
+  /// close to it. `occupied`: capacity slots in flight at the endpoint.
   void record_success(EndpointSlot slot, double occupied);
   void clear_outlier_signs(EndpointSlot slot) { health_[slot].outlier_signs = 0; }
   void clear_failures(EndpointSlot slot) { health_[slot].consecutive_failures = 0; }
   void record_failure(EndpointSlot slot);
 
   /// Ejects an endpoint that was full or slow to start an attempt, leaving its capacity to other
-  /// dispatchers for a while. `mean_run`: mean running time of an attempt, in ms.
-  void eject_as_overloaded(EndpointSlot slot, double mean_run);
+  /// dispatchers for a while. `mean_running_time_ms`: mean running time of an attempt, in ms.
+  void eject_as_overloaded(EndpointSlot slot, double mean_running_time_ms);
   /// Ejects an endpoint that appears faulty. The ejection time doubles until a success, and the
   /// concurrency limit of 1 lets one attempt at a time test the endpoint again.
-  void eject_as_outlier(EndpointSlot slot, double mean_run);
+  void eject_as_outlier(EndpointSlot slot, double mean_running_time_ms);
   /// Sends nothing to the endpoint before `until`.
   void eject_until(EndpointSlot slot, Time until);
 
@@ -51,10 +51,10 @@
 
  private:
   void eject(EndpointSlot slot, double duration);
-  double base_ejection(double mean_run) const;
+  double base_ejection(double mean_running_time_ms) const;
 
   Environment& environment_;
-  // By slot. ServiceStatistics owns the service time ratio; the field is not used here.
+  // By EndpointSlot. ServiceStatistics owns the service time ratio; the field is not used here.
   std::vector<LearnedState::Health> health_;
 };
 
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -11,12 +11,17 @@
 constexpr int kMaxCandidates = 4;  // sampled usable endpoints that are compared
 constexpr int kMaxDraws = 16;      // random draws to find the candidates
 
-constexpr double kSubsetWaitMeanRuns = 0.1;  // wait for the subset, in mean running times
+// How long a request waits for an endpoint of the subset, in mean running times.
+constexpr double kSubsetWaitMeanRuns = 0.1;
 constexpr double kCongestionWaitFactor = 4;  // full congestion adds up to this multiple of the wait
 
-constexpr int kRingProbes = 16;           // ring lookups that order the endpoints for a key
-constexpr double kKeySpreadFactor = 2.5;  // endpoints per key, per endpoint that its traffic fills
-constexpr double kFetchMeanRuns = 1.5;    // wait per additional endpoint, in mean running times
+constexpr int kRingProbes = 16;  // ring lookups that order the endpoints for a key
+// A key may use this multiple of the number of endpoints that its traffic fills.
+constexpr double kKeySpreadFactor = 2.5;
+// A queued request with a key may use one more endpoint each time it has waited about as long as an
+// endpoint takes to fetch the key's data from the shared store: this multiple of the mean running
+// time, plus one tick.
+constexpr double kKeyDataFetchMeanRuns = 1.5;
 
 }  // namespace
 
@@ -94,10 +99,10 @@
   return endpoints_.is_available(slot);
 }
 
-// The cost of an endpoint that is slower than calibrated is its slots, including one for this
-// request, times its relative slowness. The slowness is ignored for requests with keys, whose
-// running times include fetches, and for the first request to an endpoint that is warming up, so
-// that the endpoint is tried at all.
+// The cost of an endpoint that is slower than calibrated is its capacity slots in use, including
+// one for this request, times its relative slowness. The slowness is ignored for requests with
+// keys, whose running times include fetches, and for the first request to an endpoint that is
+// warming up, so that the endpoint is tried at all.
 double EndpointSelector::cost_of(const Request& request, EndpointSlot slot) const {
   double occupied = availability_.occupied(slot);
   if (request.arrival.key != 0)
@@ -130,7 +135,7 @@
                                                                  bool avoids_reserved_kinds) {
   if (auto selected = sample(&EndpointTable::available_in_subset, request, avoids_reserved_kinds))
     return selected;
-  double wait = kSubsetWaitMeanRuns * statistics_.mean_run() *
+  double wait = kSubsetWaitMeanRuns * statistics_.mean_running_time_ms() *
                 (1 + kCongestionWaitFactor * congestion_.level() * (1 - subset_.fraction()));
   if (request.is_queued && environment_.now - request.queued_since < wait)
     return std::nullopt;
@@ -164,7 +169,7 @@
   return best;
 }
 
-std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest(
+std::vector<EndpointSelector::RingPoint> EndpointSelector::nearest_ring_points(
     const Request& request, bool avoids_reserved_kinds) const {
   std::vector<RingPoint> points;
   for (int kind = 0; kind < environment_.settings.kinds; ++kind) {
@@ -195,17 +200,18 @@
   return ready;
 }
 
-// As many endpoints as the key's fraction of the traffic needs, plus one for each period of about a
-// fetch that the request has waited.
+// As many endpoints as the key's fraction of the traffic needs, plus one each time the request has
+// waited in the queue for about as long as an endpoint takes to fetch the key's data.
 double EndpointSelector::key_spread(const Request& request, double endpoints) const {
   double wait = environment_.now - request.queued_since;
-  double fetch = kFetchMeanRuns * statistics_.mean_run() + environment_.settings.tick_ms;
+  double fetch =
+      kKeyDataFetchMeanRuns * statistics_.mean_running_time_ms() + environment_.settings.tick_ms;
   double waited = request.is_queued ? wait / fetch : 0;
   double needed = key_frequency_.fraction(request.arrival.key) * endpoints * kKeySpreadFactor;
   return std::ceil(needed) + waited;
 }
 
-// A request with a key goes to the endpoints nearest to the key's hash on the ring, which are the
+// A request with a key goes to the endpoints closest to the key's hash on the ring, which are the
 // same at every dispatcher. Any other endpoint would have to fetch the key's data from a shared
 // store while slots are idle.
 std::optional<EndpointSlot> EndpointSelector::select_by_key(const Request& request,
@@ -213,7 +219,7 @@
   double spread = key_spread(request, ready_endpoints(request, avoids_reserved_kinds));
   EndpointId last = 0;
   Selected best;
-  for (const RingPoint& point : nearest(request, avoids_reserved_kinds)) {
+  for (const RingPoint& point : nearest_ring_points(request, avoids_reserved_kinds)) {
     bool is_next = point.endpoint != last;
     if (is_next)
       spread -= 1;
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -21,14 +21,14 @@
 /// One endpoint and this dispatcher's load on it.
 struct EndpointRecord {
   EndpointEntry entry;
-  double in_flight = 0;         ///< slots of this dispatcher's attempts
+  double in_flight = 0;         ///< capacity slots of this dispatcher's attempts
   int unfinished_attempts = 0;  ///< this dispatcher's attempts in flight
   int running_attempts = 0;     ///< attempts in flight that were reported as started
   bool was_used = false;        ///< an attempt was sent to the current incarnation
 };
 
-/// Owns the records and the indexes. Allocates the slots by which other components index their
-/// state.
+/// Owns the records and the indexes. Allocates the EndpointSlots by which other components
+/// index their state.
 class EndpointTable {
  public:
   /// Ready endpoints of one kind, ordered by hash, for consistent hashing.
@@ -85,7 +85,7 @@
   static std::size_t kind_index(int kind) { return static_cast<std::size_t>(kind); }
   EndpointSlot allocate_slot(EndpointId id);
 
-  std::vector<EndpointRecord> records_;  // by slot
+  std::vector<EndpointRecord> records_;  // by EndpointSlot
   std::vector<EndpointSlot> free_slots_;
   std::unordered_map<EndpointId, EndpointSlot> slots_;  // never iterated: unordered
   std::set<EndpointId> listed_;
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kUsableWindowFraction = 0.9;  // part of a deduplication window used for retries
-constexpr double kRetryAfterMeanRuns = 0.25;   // retry time, in mean running times
+constexpr double kRetryAfterMeanRuns = 0.25;   // retry time of a rejection, in mean running times
 constexpr double kMinRetryAfterTicks = 4;
 
 }  // namespace
@@ -91,7 +91,7 @@
   if (!settings.retry_after)
     return 0;
   double least = kMinRetryAfterTicks * settings.tick_ms;
-  return std::clamp(kRetryAfterMeanRuns * statistics_.mean_run(), least,
+  return std::clamp(kRetryAfterMeanRuns * statistics_.mean_running_time_ms(), least,
                     std::max(least, settings.max_retry_after_ms));
 }
 
--- a/scheduler/slow_start.h
+++ b/scheduler/slow_start.h
@@ -12,7 +12,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the sent and granted work of each endpoint, by slot. Work is in ms on a standard core.
+/// Owns the sent and granted work of each endpoint, by EndpointSlot. Work is in ms on a standard
+/// core.
 class SlowStart {
  public:
   SlowStart(const Environment& environment, const EndpointTable& endpoints,
@@ -42,7 +43,9 @@
   /// sibling process, or under a grant from this dispatcher's share.
   void record_sent(EndpointSlot slot, Time when, double work_ms);
 
-  void set_fraction(EndpointSlot slot, double fraction) { states_[slot].fraction = fraction; }
+  void set_budget_fraction(EndpointSlot slot, double fraction) {
+    states_[slot].fraction = fraction;
+  }
   void on_grant(EndpointSlot slot, const SlowStartGrant& grant);
 
   /// The work sent within the window that ends at `now`.
@@ -62,7 +65,7 @@
   const Environment& environment_;
   const EndpointTable& endpoints_;
   const ServiceStatistics& statistics_;
-  std::vector<State> states_;  // by slot
+  std::vector<State> states_;  // by EndpointSlot
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -9,8 +9,8 @@
 
 namespace keelflow::scheduler {
 
-/// With many dispatchers, the slots of one dispatcher are a poor estimate of the load of an
-/// endpoint that all of them use. Each dispatcher therefore prefers a few endpoints, and
+/// With many dispatchers, the capacity slots in use by one dispatcher are a poor estimate of the
+/// load of an endpoint that all of them use. Each dispatcher therefore prefers a few endpoints, and
 /// dispatchers that prefer the same endpoint notify each other of its load.
 class Subset {
  public:
@@ -35,7 +35,7 @@
     SubsetEntry warm{0, true, {}};
     SubsetEntry warming_up{0, true, {}};
   };
-  std::vector<Entries> entries_;  // by slot
+  std::vector<Entries> entries_;  // by EndpointSlot
   double fraction_ = 1;
   bool shares_load_ = false;
 };
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -198,7 +198,7 @@
     std::filesystem::remove_all(folder_);
   }
 
-  std::unique_ptr<Handover> make() {
+  std::unique_ptr<Handover> make_handover() {
     return std::make_unique<Handover>(
         loop_, folder_, "node-1",
         Handover::Callbacks{
@@ -288,7 +288,7 @@
 };
 
 TEST_F(RecordedHandover, TheServingProcessKeepsItsMessages) {
-  auto handover = make();
+  auto handover = make_handover();
   handover->listen();
   expect_message("handover-socket", socket_name());
   connect();
@@ -305,6 +305,7 @@
       "{\"say\":\"ready\"}\n{\"host\":\"box-2\",\"out\":true,\"say\":\"by-hand\"}\n{\"note\":"
       "\"00ff\",\"say\":\"note\"}\n{\"body\":\"x\",\"say\":\"news\"}\n");
   wait_received(4);
+  // "by-hand box-2 1" is the administrative override that takes host box-2 out of service.
   EXPECT_EQ(received_,
             (std::vector<std::string>{"ready", "by-hand box-2 1", "note 00ff", "news x"}));
 }
@@ -317,7 +318,7 @@
   sockaddr_un at = address(folder_ + "/" + name);
   ASSERT_EQ(::bind(listening, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
   ASSERT_EQ(::listen(listening, 1), 0);
-  auto handover = make();
+  auto handover = make_handover();
   ASSERT_TRUE(handover->ask());
   peer_ = ::accept(listening, nullptr, nullptr);
   ASSERT_GE(peer_, 0);
