--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -121,8 +121,7 @@
     const Member& member = members_.at(m);
     if (members_.is_other(m) && !member.has_left && member.since >= last_received_at_ &&
         members_.is_accused(m))
-      change_state(m, MemberState::alive, member.incarnation, "this node had received no datagrams",
-                   out);
+      change_state(m, MemberState::alive, member.incarnation, "this node had heard nobody", out);
   }
   probing_.stop_all();
 }
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -47,9 +47,9 @@
     case Wait::none:
       return "";
     case Wait::slow_start:
-      return "the new pool is in slow start";
+      return "the new pool is cold";
     case Wait::surge:
-      return "traffic has surged";
+      return "traffic has jumped";
     case Wait::answers:
       return "not enough answers yet";
   }
