--- a/logic/discovery/call_schedule.h
+++ b/logic/discovery/call_schedule.h
@@ -2,11 +2,11 @@
 /// Decides when a process calls discovery to open its watch.
 ///
 /// The interval to the next call is counted from the start of the previous call, so that neither a
-/// hanging nor a rejected call delays the next one. Several calls may be open at once, and the
-/// first that returns a list becomes the watch. While a call is open, the next one starts only
-/// after discovery's own limit for waiting callers: a service that handles its callers in sequence
-/// drops a process's first call from its queue when a second one arrives. If all processes called
-/// again too early, none would be served.
+/// hanging nor a rejected call delays the next one. Several calls may be open simultaneously, and
+/// the first that returns a list becomes the watch. While a call is open, the next one starts only
+/// after discovery's own limit for waiting callers, because a service that handles its callers in
+/// sequence drops a process's first call from its queue when a second one arrives. If all processes
+/// called again too early, none would be served.
 ///
 /// The schedule only determines how soon a process has the list again. The lease (list_lease.h)
 /// ensures that no request is sent according to an outdated list, for any size of the fleet.
@@ -30,7 +30,8 @@
 
 /// The settings that choose the intervals between calls.
 struct CallPolicy {
-  bool pushed = false;  ///< lists are pushed to an agent on this machine, so a call is cheap
+  bool pushed = false;  ///< the platform pushes lists to an agent on this machine, so a call
+                        ///< is cheap
   int processes = 1;    ///< the number of processes that call the same discovery
 };
 
--- a/logic/discovery/list_lease.h
+++ b/logic/discovery/list_lease.h
@@ -15,11 +15,13 @@
 
 /// The settings that decide how long a lease runs.
 struct LeaseTerms {
-  bool pushed = false;     ///< lists are pushed to an agent: without a watch a change counts as
-                           ///< received at once
-  Duration drain_grace{};  ///< how long a send is still permitted after a change counts
-  /// Lists are polled: without a watch a change counts as received this long after it was made, if
-  /// that is sooner than `kListDeadline`.
+  /// Whether the platform pushes lists to an agent on this machine. If so, and this process has no
+  /// watch, the platform regards a change as received as soon as the agent has it.
+  bool pushed = false;
+  /// How long a send is still permitted after the platform regards a change as received.
+  Duration drain_grace{};
+  /// If lists are polled and this process has no watch, the platform regards a change as received
+  /// this long after it was made, or after `kListDeadline` if that is sooner.
   Duration poll_deadline{};
 };
 
--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -9,7 +9,7 @@
 
 // Each update is piggybacked on kTransmissionFactor * log2(members + 1) messages, rounded up.
 constexpr double kTransmissionFactor = 3;
-// Number of members that receive an urgent update at once.
+// Number of members to which an urgent update is sent immediately, in gossip messages.
 constexpr int kUrgentFanout = 4;
 // Token bucket for urgent gossip messages: its capacity, and its refill rate in messages per ms.
 constexpr double kMaxGossipBudget = 24;
--- a/logic/fleet/dissemination.h
+++ b/logic/fleet/dissemination.h
@@ -38,8 +38,9 @@
   /// Piggybacks the member's updates on the next messages, about as many times as it takes to reach
   /// every member.
   void enqueue(int member);
-  /// Also sends gossip messages to a few members at once. A budget limits their rate, so that they
-  /// cannot saturate the network.
+  /// Enqueues the member's updates like enqueue(), and immediately sends them in gossip messages to
+  /// a few members. A budget limits the rate of gossip messages, so that they cannot saturate the
+  /// network.
   void enqueue_urgent(int member, Time now, MembershipOutput& out);
   bool has_queued() const { return !transmissions_left_.empty(); }
 
@@ -63,7 +64,7 @@
 
   const MemberTable& members_;
   MemberSampler& sampler_;
-  std::map<int, int> transmissions_left_;  ///< by member whose updates are queued
+  std::map<int, int> transmissions_left_;  ///< indexed by the member whose updates are queued
   int last_piggybacked_ = -1;              ///< member
   int table_cursor_ = 0;                   ///< member
   double budget_;                          ///< gossip messages
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -10,8 +10,8 @@
 // Number of accusers in addition to the first one that reduces the suspicion timeout to its
 // minimum. It equals the number of indirect probers.
 constexpr int kMaxConfirmations = Probing::kIndirectProbers;
-// Expected number of members that probe a member at once when another member suspects it. Each
-// member decides at random.
+// Expected number of members that immediately probe a member when another member suspects it. Each
+// member decides at random whether it probes.
 constexpr int kExpectedVerifiers = 5;
 // A node that has received no datagram for more than this number of periods is isolated.
 constexpr Time kIsolatedAfterPeriods = 3;
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -2,8 +2,9 @@
 /// datagrams that may be lost, delayed, duplicated or reordered. Pure: the caller passes in
 /// datagrams and the time, and receives state changes and messages to send.
 ///
-/// - In each period every member is probed by one other member, scheduled by the shared clock. Most
-///   probes of a member are skipped while its datagrams arrive and no updates are queued. A member
+/// - The shared clock schedules one probe of every member by one other member in each period. Most
+///   of these probes are skipped while datagrams of the probed member arrive and no updates are
+///   queued. A member
 ///   that does not answer is probed through three others, then suspected.
 /// - A suspect is notified and refutes with a new incarnation. No node adopts a death verdict of
 ///   another node: each waits for its own suspicion timeout, which decreases with the number of
@@ -12,8 +13,8 @@
 /// - A member from which nothing was ever received counts as alive, since nothing is known about
 /// it.
 ///
-/// All times are milliseconds on the caller's clock, which only moves forward and is the same at
-/// all nodes (a difference only makes the probes less evenly spread).
+/// All times are milliseconds on the caller's clock, which only moves forward. The clocks of the
+/// nodes should agree; a difference only makes the probes less evenly spread.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +38,7 @@
   struct Settings {
     int members = 1;    ///< number of members; they are numbered from 0 as in the configuration
     int self = 0;       ///< this node's number
-    Time period = 250;  ///< every member is probed once per period
+    Time period = 250;  ///< each member is scheduled to be probed once per period
     Time least_suspicion = 500;  ///< suspicion timeout with three further accusers
     Time most_suspicion = 1200;  ///< suspicion timeout with a single accuser
   };
--- a/logic/fleet/probing.cpp
+++ b/logic/fleet/probing.cpp
@@ -19,8 +19,10 @@
 constexpr std::int64_t kUnconditionalRounds = 4;
 // Milliseconds between probes of dead members.
 constexpr Time kDeadProbeMs = 1000;
-// Dead members probed at once after one has returned, since several usually return together.
+// Number of probes of dead members that are sent immediately after a dead member has returned,
+// since several usually return together.
 constexpr int kDeadProbesAfterReturn = 8;
+// Maximum number of concurrent probes by this node on behalf of other members.
 constexpr std::size_t kMaxIndirectProbes = 16;
 // Fractional part of the golden ratio: its multiples modulo 1 are evenly spread.
 constexpr double kGoldenFraction = 0.6180339887;
@@ -36,7 +38,7 @@
       on_failed_(std::move(on_failed)),
       period_(period),
       dead_due_(now + kDeadProbeMs) {
-  // Spreads the nodes' rounds over the period, so that they do not all probe at once.
+  // Spreads the nodes' rounds over the period, so that they do not all probe at the same time.
   double phase = std::fmod(members.self() * kGoldenFraction, 1.0) * period;
   round_due_ = (std::floor(now / period) + 1) * period + phase;
 }
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -42,7 +42,7 @@
   void stop_indirect();  ///< stops probes on behalf of other members
   /// A datagram from the member arrived, which answers a probe of it.
   void on_datagram(int from);
-  /// A dead member has returned: schedules probes of other dead members at once.
+  /// A dead member has returned: the next tick() sends probes of dead members.
   void on_returned(Time now);
   void on_indirect_probe(int requester, int subject, std::uint16_t number, Time now);
   void on_ack(int subject, std::uint16_t number);
@@ -91,7 +91,7 @@
   int dead_cursor_ = 0;        ///< member
   bool has_returned_ = false;  ///< since the last probe of dead members
   std::uint16_t last_number_ = 0;
-  std::map<int, Probe> probes_;                 ///< by member
+  std::map<int, Probe> probes_;                 ///< indexed by member
   std::vector<IndirectProbe> indirect_probes_;  ///< kMaxIndirectProbes at most
 };
 
--- a/logic/fleet/slow_start_borrower.h
+++ b/logic/fleet/slow_start_borrower.h
@@ -44,7 +44,7 @@
   int dispatchers_;
   std::uint32_t incarnation_;
   std::uint32_t last_number_ = 0;
-  /// By dispatcher: an owner that did not reply is chosen last until this time.
+  /// Indexed by dispatcher. An owner that did not reply is chosen last until this time.
   std::vector<scheduler::Time> unresponsive_until_;
   SlowStartStatistics statistics_;
 };
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -41,12 +41,14 @@
 /// The state of all leases at one endpoint.
 struct EndpointLease {
   scheduler::EndpointEntry entry;
-  std::vector<int> order;               ///< all dispatchers, as returned by order_at()
-  int place = 0;                        ///< index of this dispatcher in `order`
-  bool in_subset = false;               ///< this dispatcher may send there
-  double last_notified_fraction = -1;   ///< last fraction sent to the Dispatcher; -1: none
-  BorrowedLease borrowed;               ///< changed only by SlowStartBorrower
-  std::map<int, GrantedLease> granted;  ///< by dispatcher; changed only by SlowStartOwner
+  std::vector<int> order;  ///< all dispatchers, as returned by order_at()
+  int place = 0;           ///< index of this dispatcher in `order`
+  bool in_subset = false;  ///< this dispatcher may send to the endpoint
+  /// This dispatcher's fraction of the slow-start budget, as last sent to the Dispatcher; -1: none.
+  double last_notified_fraction = -1;
+  BorrowedLease borrowed;  ///< changed only by SlowStartBorrower
+  /// Indexed by borrowing dispatcher; changed only by SlowStartOwner.
+  std::map<int, GrantedLease> granted;
 };
 
 /// Counters of both sides since the start.
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -80,9 +80,10 @@
   double window_ms_;
   double lease_length_ms_;
   std::map<scheduler::EndpointId, scheduler::EndpointEntry>
-      endpoints_;                                          ///< the current endpoint list
-  std::map<scheduler::EndpointId, EndpointLease> leases_;  ///< by endpoint that is warming up
-  std::vector<bool> is_alive_;                             ///< by dispatcher
+      endpoints_;  ///< the current endpoint list
+  /// Indexed by endpoint that is warming up.
+  std::map<scheduler::EndpointId, EndpointLease> leases_;
+  std::vector<bool> is_alive_;  ///< indexed by dispatcher
   SlowStartOwner owner_;
   SlowStartBorrower borrower_;
 };
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -21,8 +21,8 @@
 constexpr int kFirstPassPicks = 2;
 // Allowed deviation of an endpoint's number of dispatchers below and above the mean. Narrower
 // bounds move more pairs at each change. The mean is often a whole or half number; offsets that are
-// whole or half numbers would make many endpoints change at once when one dispatcher is added or
-// removed.
+// whole or half numbers would make many endpoints change at the same time when one dispatcher is
+// added or removed.
 constexpr double kUnderMean = 1.25;
 constexpr double kOverMean = 1.75;
 // For a mean below this the bounds are narrower by one, because a difference of one dispatcher
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -56,7 +56,7 @@
   int dispatchers_;
   int self_;
   bool peers_;                  ///< dispatchers may send one another messages
-  std::vector<bool> is_alive_;  ///< by dispatcher
+  std::vector<bool> is_alive_;  ///< indexed by dispatcher
   std::set<scheduler::EndpointId> endpoints_;
   scheduler::SubsetChanged last_notification_;
 };
--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -7,8 +7,10 @@
 namespace keelflow::moves {
 namespace {
 
-constexpr std::uint64_t kMinBlocks = 8;       // fewer cannot show correlation between answers
-constexpr std::uint64_t kMinTrialBlocks = 5;  // with trial answers, before any conclusion
+constexpr std::uint64_t kMinBlocks = 8;  // fewer cannot show correlation between answers
+// Minimum number of closed blocks of time that contain answers of the trial pool (the pool to which
+// traffic moves) before any conclusion.
+constexpr std::uint64_t kMinTrialBlocks = 5;
 
 double normal_cdf(double z) {
   return 0.5 * std::erfc(-z / std::sqrt(2.0));
@@ -27,8 +29,9 @@
                             double in_time_by_asked, double asked_squared, std::uint64_t answers) {
   double mean = asked / static_cast<double>(answers);
   double total = asked + 2 * mean, ratio = (in_time + mean) / total;
-  double squares = in_time_squared - 2 * ratio * in_time_by_asked +
-                   ratio * ratio * asked_squared;  // sum of (x - ratio n)^2
+  double squares =
+      in_time_squared - 2 * ratio * in_time_by_asked +
+      ratio * ratio * asked_squared;  // sum over answers of (in_time - ratio * asked)^2
   squares +=
       mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the two artificial answers
   return squares / (total * total);
--- a/logic/moves/comparison.h
+++ b/logic/moves/comparison.h
@@ -64,7 +64,7 @@
     std::uint64_t answers = 0;
     void operator+=(const Sums& o);
   };
-  using Block = std::array<Sums, 2>;  // by arm
+  using Block = std::array<Sums, 2>;  // indexed by arm
   /// Sums over blocks of time.
   struct Totals {
     Block arms{};
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -1,6 +1,6 @@
-/// Shifts the traffic of a route from one pool to another in steps, and returns it at once when the
-/// new pool serves it worse. Performs no I/O and reads no clock: callers report events with their
-/// time (Unix milliseconds) and read the result from `share()` and `events()`.
+/// Shifts the traffic of a route from one pool to another in steps, and returns it immediately when
+/// the new pool serves it worse. Performs no I/O and reads no clock: callers report events with
+/// their time (Unix milliseconds) and read the result from `share()` and `events()`.
 #pragma once
 
 #include <cstdint>
--- a/logic/plugins/holds.h
+++ b/logic/plugins/holds.h
@@ -1,6 +1,6 @@
 /// Requests that plug-ins hold back, limited in number and bytes. A request that does not fit
-/// releases the oldest ones at once; a request that exceeds the byte limit alone is released
-/// itself. Performs no I/O and reads no clock: the time is an argument.
+/// releases the oldest ones immediately. A request that alone exceeds the byte limit is itself
+/// released. Performs no I/O and reads no clock: the time is an argument.
 #pragma once
 
 #include <cstddef>
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -32,7 +32,7 @@
   std::string_view path;
   std::uint64_t object = 0;  // zero: none
   std::string_view idempotency_key, id;
-  double patience_ms = 0;
+  double patience_ms = 0;  // remaining time until the client gives up
 };
 
 /// The pool and the route chosen for a request.
@@ -82,14 +82,15 @@
     classes_ = std::move(classes);
   }
 
-  // Splits an endpoint list from discovery by pool. `host` returns the host name of an endpoint, or
-  // an empty string if it is unknown; the endpoint then keeps the host name known before.
+  // Splits an endpoint list received from discovery into one list for each pool. `host` returns the
+  // host name of an endpoint, or an empty string if it is unknown; the endpoint then keeps the host
+  // name known before.
   Lists split(const scheduler::EndpointList& list,
               const std::function<std::string_view(scheduler::EndpointId)>& host, double now_ms);
-  // Returns the lists of pools that endpoints join now; must be called at `next_due`. An endpoint
-  // in slow start that changes pools joins the new one after pool_change_delay_ms, because the new
-  // Dispatcher does not know what the old one sent to it, and the endpoint must not get both
-  // shares.
+  // Returns the new list of each pool that an endpoint joins at `now_ms`; must be called at
+  // `next_due`. An endpoint in slow start that changes pools joins its new pool after
+  // pool_change_delay_ms, because the new pool's Dispatcher does not know what the old pool's
+  // Dispatcher sent to the endpoint, and the endpoint must not get the slow-start shares of both.
   Lists due(double now_ms);
   std::optional<double> next_due() const;
 
@@ -153,7 +154,7 @@
   std::vector<Route> routes_;
   // Ordered, so that the same events produce the same lists.
   std::map<scheduler::EndpointId, Endpoint> endpoints_;
-  // By pool; recounted after changes and when an endpoint's slow start ends.
+  // Indexed by pool; recounted after changes and when an endpoint's slow start ends.
   std::vector<Health> health_;
   double next_warm_ms_ = 0;  // when the next slow start ends
   int unassigned_ = 0;
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -229,7 +229,7 @@
   ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that it is gone";
   EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
   EXPECT_FALSE(find(pool_lists, 0, 1)) << "the window of rule 4 is not over";
-  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins at once";
+  EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins immediately";
   ASSERT_TRUE(router.next_due());
   EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
   EXPECT_TRUE(router.due(3000 + kPoolChangeDelay - 1).empty());
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -17,8 +17,10 @@
 
 constexpr int kNodes = 10;
 constexpr Time kUnitMs = 50;  // one time unit of the model
-// Steps of 100 ms; leases of 500 ms at the borrower and 550 ms at the owner, returned from 125 ms
-// before their end; windows of 2 s.
+// Parameters of the model. Times are in units of kUnitMs: STEP is 100 ms, LENGTH (a lease at the
+// borrower) 500 ms, OWNER_LENGTH (the same lease at the owner) 550 ms, RETURN_BEFORE_END 100 ms and
+// WINDOW 2 s. The code returns a lease from 125 ms before its end; time advances in steps of 100 ms
+// here, so the model's 100 ms stand for it.
 const std::string kRatios =
     " -DSTEP=2 -DLENGTH=10 -DOWNER_LENGTH=11 -DRETURN_BEFORE_END=2 -DWINDOW=40 -DPART=400 "
     "-DJOB_WORK=100 -DREQUESTED_WORK=200 -DEND=400 -DMAX_RESTARTS=3 -DMAX_IN_FLIGHT=6 "
@@ -204,7 +206,7 @@
     restarts += replay.restarts;
   }
   RecordProperty("seen", std::to_string(grants) + " grants " + std::to_string(returns) +
-                             " returned " + std::to_string(late_grants) + " late " +
+                             " returns " + std::to_string(late_grants) + " late grants " +
                              std::to_string(restarts) + " restarts");
   // The runs must include enough of each kind of event to be meaningful.
   EXPECT_GT(grants, 100);
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -32,7 +32,7 @@
 };
 
 /// A simulated fleet. Messages may be late, duplicated, reordered or lost. Nodes may stall for 3 s
-/// and then read all messages at once, or restart without state.
+/// and then read all messages together, or restart without state.
 struct SimulatedFleet {
   SimulatedFleet(int count, unsigned seed, const Faults& faults_of_run)
       : settings(fleet_settings(count)), random(seed), faults(faults_of_run) {
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -47,7 +47,7 @@
     bench.play(list);
   }
 
-  // Plays a job that ends at once. Returns whether it was sent to the endpoint.
+  // Plays a job that ends immediately. Returns whether it was sent to the endpoint.
   bool play_job() {
     scheduler::RequestId id = ++last;
     bench.arrive(id, kJobMs);
