--- a/bench/moves_table.cpp
+++ b/bench/moves_table.cpp
@@ -38,7 +38,7 @@
     Move move(spec);
     PoolView fine{.ready = 6, .warm = 6, .draining = 0, .capacity = 6};
     double now = 1e12;
-    move.pools(fine, fine, now);
+    move.update_pools(fine, fine, now);
     for (double until = now + 60'000; now < until; now += 100)
       arrivals(move, now, false);  // what is usual, learned before
     move.start(now);
--- a/cli/plugin_commands.cpp
+++ b/cli/plugin_commands.cpp
@@ -104,7 +104,7 @@
         form.text("path", r.path), form.text("object", r.object);
     form.flag("again", r.repeat);
     form.span("patience", patience, 0ms, 1h), form.span("hint", hint, 0ms, 1h);
-    r.patience_ms = to_ms(patience), r.hint_ms = to_ms(hint);
+    r.remaining_timeout_ms = to_ms(patience), r.hint_ms = to_ms(hint);
     Verdict wanted;
     if (const Node* expect = form.list("expect")) {
       Form inner(*expect, 0, file_, faults_);
@@ -184,7 +184,7 @@
 wire::Request sample(std::uint64_t number) {
   return {.call = number,
           .now = kThen,
-          .patience_ms = 2000,
+          .remaining_timeout_ms = 2000,
           .hint_ms = 40,
           .repeat = false,
           .id = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -88,7 +88,7 @@
 // while other members do not. `incarnation` 0: the datagram was not a membership message.
 void Membership::on_sign_of_life(int from, std::uint32_t incarnation, Output& out) {
   if (is_isolated())
-    revert_isolated_verdicts(out);
+    revert_verdicts_from_isolation(out);
   last_received_at_ = now_;
   Member& member = members_.at(from);
   if (member.has_left && incarnation <= member.incarnation)
@@ -116,7 +116,7 @@
 
 // Reverts suspicions and deaths concluded while this node was isolated: a node that receives
 // nothing cannot judge the other members.
-void Membership::revert_isolated_verdicts(Output& out) {
+void Membership::revert_verdicts_from_isolation(Output& out) {
   for (int m = 0; m < members_.size(); ++m) {
     const Member& member = members_.at(m);
     if (members_.is_other(m) && !member.has_left && member.since >= last_received_at_ &&
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -89,7 +89,7 @@
   void on_probe_failed(int member, Output& out);
   void suspect(int member, int accuser, Output& out);
   void declare_dead(int member, Output& out);
-  void revert_isolated_verdicts(Output& out);
+  void revert_verdicts_from_isolation(Output& out);
   void check_stall();
   void check_suspects(Output& out);
   void change_state(int member, MemberState state, std::uint32_t incarnation, std::string evidence,
--- a/logic/fleet/slow_start_borrower.cpp
+++ b/logic/fleet/slow_start_borrower.cpp
@@ -18,16 +18,16 @@
 
 }  // namespace
 
-SlowStartBorrower::SlowStartBorrower(int self, int dispatchers, std::uint32_t incarnation)
+SlowStartBorrower::SlowStartBorrower(int self, int dispatcher_count, std::uint32_t incarnation)
     : self_(self),
-      dispatchers_(dispatchers),
+      dispatcher_count_(dispatcher_count),
       incarnation_(incarnation),
-      unresponsive_until_(static_cast<std::size_t>(dispatchers), -1e18) {}
+      unresponsive_until_(static_cast<std::size_t>(dispatcher_count), -1e18) {}
 
-void SlowStartBorrower::reset(int self, int dispatchers) {
+void SlowStartBorrower::reset(int self, int dispatcher_count) {
   self_ = self;
-  dispatchers_ = dispatchers;
-  unresponsive_until_.assign(static_cast<std::size_t>(dispatchers), -1e18);
+  dispatcher_count_ = dispatcher_count;
+  unresponsive_until_.assign(static_cast<std::size_t>(dispatcher_count), -1e18);
 }
 
 bool SlowStartBorrower::has_pending_request(scheduler::Time now, const EndpointLease& lease) const {
@@ -106,7 +106,7 @@
 // Prefers owners that reply over unresponsive ones. Returns -1 if no other owner is alive.
 int SlowStartBorrower::next_owner(scheduler::Time now, const std::vector<bool>& is_alive,
                                   const EndpointLease& lease) const {
-  int owners = owner_count(dispatchers_);
+  int owners = owner_count(dispatcher_count_);
   int first = static_cast<int>(lease.borrowed.number % kNumberCycle) + self_;
   for (bool unresponsive : {false, true})
     for (int i = 0; i < owners; ++i) {
--- a/logic/fleet/slow_start_borrower.h
+++ b/logic/fleet/slow_start_borrower.h
@@ -14,10 +14,10 @@
 class SlowStartBorrower {
  public:
   /// `incarnation`: of this dispatcher; greater than in its earlier runs.
-  SlowStartBorrower(int self, int dispatchers, std::uint32_t incarnation);
+  SlowStartBorrower(int self, int dispatcher_count, std::uint32_t incarnation);
 
   /// Applies changed settings and clears the record of unresponsive owners.
-  void reset(int self, int dispatchers);
+  void reset(int self, int dispatcher_count);
 
   /// Whether the owner may still reply in time. No further request is sent until then.
   bool has_pending_request(scheduler::Time now, const EndpointLease& lease) const;
@@ -41,7 +41,7 @@
   SlowStartMessage message_of(SlowStartMessage::Kind kind, const EndpointLease& lease) const;
 
   int self_;
-  int dispatchers_;
+  int dispatcher_count_;
   std::uint32_t incarnation_;
   std::uint32_t last_number_ = 0;
   /// Indexed by dispatcher. An owner that did not reply is chosen last until this time.
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -180,7 +180,7 @@
   enter_step(step, now_ms);
 }
 
-void Move::pools(const PoolView& from, const PoolView& to, double now_ms) {
+void Move::update_pools(const PoolView& from, const PoolView& to, double now_ms) {
   from_ = from;
   to_ = to;
   pools_known_ = true;
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -63,7 +63,7 @@
   // at the highest step whose share does not exceed the current share, or else at the first step.
   void update_spec(MoveSpec spec, double now_ms);
 
-  void pools(const PoolView& from, const PoolView& to, double now_ms);
+  void update_pools(const PoolView& from, const PoolView& to, double now_ms);
   void arrived(Arm pool, bool of_route, double now_ms);
   // Must be called once for every request of the route, whatever its outcome. `in_time` is the
   // weight that was answered within the class's latency target. Requests that arrived before the
--- a/logic/plugins/breaker.cpp
+++ b/logic/plugins/breaker.cpp
@@ -64,7 +64,7 @@
   state_ = openings_ >= s_.give_up ? State::out : State::open;
   double wait = state_ == State::out
                     ? s_.out_ms
-                    : std::min(s_.max_duration_ms,
+                    : std::min(s_.max_backoff_ms,
                                s_.initial_backoff_ms * std::exp2(std::min(openings_ - 1, 30)));
   until_ = now_ms + wait * (1 + s_.jitter * std::uniform_real_distribution<double>(-1, 1)(random_));
 }
--- a/logic/plugins/breaker.h
+++ b/logic/plugins/breaker.h
@@ -16,7 +16,7 @@
   int failures = 5;  // failures within `window_ms` that open the breaker
   double window_ms = 10'000;
   // Back-off: its first value and its maximum; it doubles with every opening.
-  double initial_backoff_ms = 250, max_duration_ms = 60'000;
+  double initial_backoff_ms = 250, max_backoff_ms = 60'000;
   double jitter = 0.25;  // fraction of the back-off, added or subtracted
   int give_up =
       8;  // consecutive openings after which the state is `out`, with a trial per `out_ms`
--- a/logic/plugins/verdict.cpp
+++ b/logic/plugins/verdict.cpp
@@ -52,7 +52,7 @@
     return out;
   }
   double max_hold_ms =
-      std::max(0.0, std::min(bounds.max_hold_ms, request.patience_ms - request.need_ms));
+      std::max(0.0, std::min(bounds.max_hold_ms, request.remaining_timeout_ms - request.need_ms));
   out.hold_shortened = out.verdict.hold_ms > max_hold_ms;
   out.verdict.hold_ms = std::min(out.verdict.hold_ms, max_hold_ms);
   return out;
--- a/logic/plugins/verdict.h
+++ b/logic/plugins/verdict.h
@@ -36,8 +36,8 @@
 /// The properties of a request that limit a hold.
 struct RequestFacts {
   scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-  bool repeat = false;     // the client marks the request as a retry
-  double patience_ms = 0;  // remaining time until the client gives up
+  bool repeat = false;              // the client marks the request as a retry
+  double remaining_timeout_ms = 0;  // remaining time until the client gives up
   double need_ms = 0;  // time to leave to the scheduler: the class's target for the request's size
 };
 
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -38,11 +38,11 @@
         victim = &e;
     }
     if (victim->pool >= 0 && victim->key != key && victim->until > now_ms)
-      ++evicted_live_;
+      ++evicted_before_expiry_;
     *victim = {key, until_ms, pool};
   }
 
-  std::uint64_t evicted_live() const { return evicted_live_; }  // evicted before they expired
+  std::uint64_t evicted_before_expiry() const { return evicted_before_expiry_; }  // keys
   std::size_t capacity() const { return buckets_.size() * kWays; }
 
  private:
@@ -53,7 +53,7 @@
     int pool = -1;
   };
   std::vector<std::array<Entry, kWays>> buckets_;
-  std::uint64_t evicted_live_ = 0;
+  std::uint64_t evicted_before_expiry_ = 0;
 };
 
 }  // namespace keelflow::routes
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -175,11 +175,11 @@
 }
 
 std::vector<std::string> Router::numbered_names(const Spec& spec) const {
-  std::vector<std::string> numbers = pool_names_;
+  std::vector<std::string> names = pool_names_;
   for (const PoolSpec& pool : spec.pools)
-    if (index_of(numbers, pool.name) < 0)
-      numbers.push_back(pool.name);
-  return numbers;
+    if (index_of(names, pool.name) < 0)
+      names.push_back(pool.name);
+  return names;
 }
 
 bool Router::fits(const Spec& spec) const {
@@ -251,7 +251,7 @@
 
 Router::Lists Router::complete_list() const {
   Lists out;
-  for (int i = 0; i < numbers(); ++i)
+  for (int i = 0; i < pool_count(); ++i)
     out.emplace_back(i, complete_list(i));
   return out;
 }
@@ -260,7 +260,7 @@
                             const std::function<std::string_view(scheduler::EndpointId)>& host,
                             double now_ms) {
   Lists out;
-  for (int i = 0; i < numbers(); ++i)
+  for (int i = 0; i < pool_count(); ++i)
     out.emplace_back(i, EndpointList{list.scope, {}});
   if (list.scope == ListScope::failed)
     return out;
@@ -290,7 +290,7 @@
       out[at(endpoint.pool)].second.entries.push_back(e);
   }
   recount_health(now_ms);
-  if (list.scope == ListScope::delta && numbers() > 1)
+  if (list.scope == ListScope::delta && pool_count() > 1)
     std::erase_if(out, [](const auto& pool_list) { return pool_list.second.entries.empty(); });
   return out;
 }
@@ -390,8 +390,8 @@
     }
   }
   if (keyed)
-    keys_.put(key, out.pool, now_ms + query.patience_ms + class_settings.deduplication_window_ms,
-              now_ms);
+    keys_.put(key, out.pool,
+              now_ms + query.remaining_timeout_ms + class_settings.deduplication_window_ms, now_ms);
   return out;
 }
 
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -32,7 +32,7 @@
   std::string_view path;
   std::uint64_t object = 0;  // zero: none
   std::string_view idempotency_key, id;
-  double patience_ms = 0;  // remaining time until the client gives up
+  double remaining_timeout_ms = 0;  // remaining time until the client gives up
 };
 
 /// The pool and the route chosen for a request.
@@ -104,12 +104,13 @@
   const std::string& pool_name(int pool) const {
     return pool_names_.at(static_cast<std::size_t>(pool));
   }
-  int numbers() const { return static_cast<int>(pool_names_.size()); }  // including removed pools
+  // Includes removed pools, which keep their numbers.
+  int pool_count() const { return static_cast<int>(pool_names_.size()); }
   bool is_current(int pool) const;
   const Spec& spec() const { return spec_; }
   const Health& health(int pool, double now_ms);
   double weight(int route, int pool) const;  // the pool's share of the route's traffic, 0 to 1
-  std::uint64_t keys_forgotten() const { return keys_.evicted_live(); }
+  std::uint64_t keys_forgotten() const { return keys_.evicted_before_expiry(); }
   int unassigned() const { return unassigned_; }  // endpoints that match no pool
 
  private:
--- a/node/config/own_config.cpp
+++ b/node/config/own_config.cpp
@@ -248,7 +248,7 @@
       number("good-trials", p.breaker.required_trial_successes, 1, 1000);
       auto times = {std::pair{"window", &p.breaker.window_ms},
                     {"back-off", &p.breaker.initial_backoff_ms},
-                    {"most-back-off", &p.breaker.max_duration_ms},
+                    {"most-back-off", &p.breaker.max_backoff_ms},
                     {"out", &p.breaker.out_ms},
                     {"calm", &p.breaker.backoff_reset_ms}};
       for (auto [key, ms] : times) {
--- a/node/plugins/machine.cpp
+++ b/node/plugins/machine.cpp
@@ -239,7 +239,7 @@
     set(lua, "id", r.id), set(lua, "class", r.class_index), set(lua, "tenant", r.tenant),
         set(lua, "path", r.path);
     set(lua, "object", r.object), set(lua, "again", r.repeat);
-    set(lua, "patience", r.patience_ms / 1000), set(lua, "hint", r.hint_ms / 1000);
+    set(lua, "patience", r.remaining_timeout_ms / 1000), set(lua, "hint", r.hint_ms / 1000);
     lua_call(lua, 1, 1);
     if (lua_isnil(lua, -1))
       return 0;
--- a/node/plugins/plugins.cpp
+++ b/node/plugins/plugins.cpp
@@ -468,7 +468,7 @@
     if (s.said.empty()) {
       message = {.call = 0,
                  .now = unix_seconds(),
-                 .patience_ms = to_ms(job.client_timeout),
+                 .remaining_timeout_ms = to_ms(job.client_timeout),
                  .hint_ms = Milliseconds(job.hint).count(),
                  .repeat = job.repeat,
                  .id = cut(job.id),
@@ -494,7 +494,7 @@
       world_.classes.at(static_cast<std::size_t>(job.class_index));
   s.subject = {.idempotency = class_settings.idempotency,
                .repeat = job.repeat,
-               .patience_ms = 0,
+               .remaining_timeout_ms = 0,
                .need_ms = class_settings.latency_objective_ms +
                           class_settings.objective_runtime_factor * Milliseconds(job.hint).count()};
   s.deadline = deadline;
@@ -511,7 +511,7 @@
 // What comes of a request's verdicts. `waits`: it is held back, and goes on by `release`.
 RequestFilter::Decision Plugins::said(RequestId id, Screening& s, bool& waits) {
   TimePoint now = world_.loop.now();
-  s.subject.patience_ms = to_ms(s.deadline - now);
+  s.subject.remaining_timeout_ms = to_ms(s.deadline - now);
   plugins::Bounds bounds{.max_hold_ms = draining_ ? 0 : to_ms(settings_.most_hold)};
   plugins::Combined all = plugins::combine(s.said, s.subject, bounds);
   auto plugin = [&](int place) {
--- a/node/plugins/wire.cpp
+++ b/node/plugins/wire.cpp
@@ -100,7 +100,7 @@
   f(m.now);
 }
 void fields(auto& f, auto& m, const Request&) {
-  f(m.call), f(m.now), f(m.patience_ms), f(m.hint_ms), f(m.repeat);
+  f(m.call), f(m.now), f(m.remaining_timeout_ms), f(m.hint_ms), f(m.repeat);
   f(m.id, kMostText), f(m.class_index, kMostText), f(m.tenant, kMostText), f(m.path, 2 * kMostText),
       f(m.object, kMostText);
 }
--- a/node/plugins/wire.h
+++ b/node/plugins/wire.h
@@ -40,7 +40,7 @@
 };
 struct Request {
   std::uint64_t call = 0;
-  double now = 0, patience_ms = 0, hint_ms = 0;
+  double now = 0, remaining_timeout_ms = 0, hint_ms = 0;
   bool repeat = false;
   std::string id, class_index, tenant, path, object;
 };
--- a/node/routes/traffic.cpp
+++ b/node/routes/traffic.cpp
@@ -96,9 +96,9 @@
     known_.clear();
   }
   auto lists = router_->replace(spec.on() ? spec : one_pool(), now);
-  engine_.ensure_pools(router_->numbers());
+  engine_.ensure_pools(router_->pool_count());
   engine_.set_selector(this);
-  counts_.resize(at(router_->numbers()));
+  counts_.resize(at(router_->pool_count()));
   std::vector<std::unique_ptr<Moving>> old = std::exchange(moves_, {});
   for (const moves::MoveSpec& m : moves) {
     auto same = std::find_if(old.begin(), old.end(), [&](auto& o) {
@@ -128,7 +128,7 @@
   for (auto& moving : moves_)
     look(*moving, now);
   // What waits in a pool that is no more would wait in vain.
-  for (int pool = 0; pool < router_->numbers(); ++pool)
+  for (int pool = 0; pool < router_->pool_count(); ++pool)
     if (!router_->is_current(pool))
       engine_.reroute(pool);
   wait_for_due();
@@ -173,8 +173,8 @@
 // An operator learns of a pool's last endpoint going, and of endpoints that no pool names.
 void Traffic::tell_health() {
   double now = now_ms();
-  ready_told_.resize(at(router_->numbers()), -1);
-  for (int pool = 0; pool < router_->numbers(); ++pool) {
+  ready_told_.resize(at(router_->pool_count()), -1);
+  for (int pool = 0; pool < router_->pool_count(); ++pool) {
     int ready = router_->health(pool, now).ready,
         before = std::exchange(ready_told_[at(pool)], ready);
     if (router_->is_current(pool) && before > 0 && ready == 0)
@@ -205,7 +205,7 @@
                       .object = job.key,
                       .idempotency_key = job.idempotency_key,
                       .id = job.id,
-                      .patience_ms = to_ms(job.client_timeout)};
+                      .remaining_timeout_ms = to_ms(job.client_timeout)};
   routes::Choice choice = router_->choose(query, now);
   ++counts_[at(choice.pool)].chosen;
   counters_.requests_spilled += choice.spilled;
@@ -255,7 +255,7 @@
 }
 
 void Traffic::look(Moving& moving, double now) {
-  moving.move.pools(view(moving.from, now), view(moving.to, now), now);
+  moving.move.update_pools(view(moving.from, now), view(moving.to, now), now);
   moving.move.tick(now);
   carry_out(moving);
 }
@@ -307,7 +307,7 @@
     if (move.spec().name != name)
       continue;
     double now = now_ms();
-    move.pools(view(moving->from, now), view(moving->to, now), now);
+    move.update_pools(view(moving->from, now), view(moving->to, now), now);
     std::string why = verb == "start"    ? move.start(now)
                       : verb == "pause"  ? move.pause(now)
                       : verb == "resume" ? move.resume(now)
@@ -327,7 +327,7 @@
   if (!router_)
     return out;
   double now = now_ms();
-  for (int pool = 0; pool < router_->numbers(); ++pool) {
+  for (int pool = 0; pool < router_->pool_count(); ++pool) {
     const routes::Health& h = router_->health(pool, now);
     const PoolCount& c = counts_[at(pool)];
     out.push_back({{"pool", router_->pool_name(pool)},
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -28,7 +28,7 @@
 /// pool's probability of answering in time.
 struct World {
   explicit World(MoveSpec s, unsigned seed = 1) : move(std::move(s)), random(seed) {
-    move.pools(kFine, kFine, now);
+    move.update_pools(kFine, kFine, now);
   }
 
   void run(double seconds) {
@@ -108,7 +108,7 @@
     world.run(3);
     PoolView to = kFine;
     to.capacity = capacity_new;
-    world.move.pools(kFine, to, world.now);
+    world.move.update_pools(kFine, to, world.now);
     world.rate = 300;
     world.run(4);  // long enough to detect the surge
     world.in_time_new = 0.3;
@@ -133,7 +133,7 @@
     world.run(1);
   PoolView small = kFine;
   small.capacity = 5;
-  world.move.pools(kFine, small, world.now);
+  world.move.update_pools(kFine, small, world.now);
   world.rate = 300;
   world.run(5);
   ASSERT_EQ(world.move.wait_reason(), Wait::surge);
@@ -177,7 +177,7 @@
   world.move.start(world.now);
   while (world.move.step() < 1)
     world.run(1);
-  world.move.pools(kFine, {.ready = 2, .warm = 2, .draining = 0, .capacity = 2}, world.now);
+  world.move.update_pools(kFine, {.ready = 2, .warm = 2, .draining = 0, .capacity = 2}, world.now);
   world.in_time_new = 0.7;
   world.run(60);
   EXPECT_EQ(world.move.state(), State::undone);
@@ -186,14 +186,14 @@
 
 TEST(Move, WaitsForEndpointsInSlowStartWithoutMeasuringThem) {
   World world(spec());
-  world.move.pools(kFine, {.ready = 10, .warm = 0, .draining = 0, .capacity = 0}, world.now);
+  world.move.update_pools(kFine, {.ready = 10, .warm = 0, .draining = 0, .capacity = 0}, world.now);
   ASSERT_EQ(world.move.start(world.now), "");
   world.in_time_new = 0.1;
   world.run(30);
   EXPECT_EQ(world.move.state(), State::running);
   EXPECT_EQ(world.move.wait_reason(), Wait::slow_start);
   EXPECT_EQ(world.move.step(), 0u) << "the waiting time must not count for the step";
-  world.move.pools(kFine, kFine, world.now);
+  world.move.update_pools(kFine, kFine, world.now);
   world.in_time_new = 0.95;
   world.run(600);
   EXPECT_EQ(world.move.state(), State::done);
@@ -202,11 +202,11 @@
 TEST(Move, IsUndoneAtOnceIfThePoolDrainsAndDoesNotStartWithAnEmptyPool) {
   World world(spec());
   world.move.start(world.now);
-  world.move.pools(kFine, {.ready = 0, .warm = 0, .draining = 3, .capacity = 0}, world.now);
+  world.move.update_pools(kFine, {.ready = 0, .warm = 0, .draining = 3, .capacity = 0}, world.now);
   EXPECT_EQ(world.move.state(), State::undone);
   EXPECT_NE(world.move.reason().find("draining"), std::string::npos);
   World empty(spec());
-  empty.move.pools(kFine, {}, empty.now);
+  empty.move.update_pools(kFine, {}, empty.now);
   EXPECT_NE(empty.move.start(empty.now), "");
   EXPECT_EQ(empty.move.state(), State::idle);
 }
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -16,8 +16,10 @@
 PluginAnswer said(Verdict v) {
   return {.has_answered = true, .fallback = Fallback::allow, .verdict = std::move(v)};
 }
-const RequestFacts kSafe{
-    .idempotency = Idempotency::idempotent, .repeat = false, .patience_ms = 3000, .need_ms = 1000};
+const RequestFacts kSafe{.idempotency = Idempotency::idempotent,
+                         .repeat = false,
+                         .remaining_timeout_ms = 3000,
+                         .need_ms = 1000};
 
 TEST(Verdict, OneRefusalIsEnoughAndTheLongestRetryDelayApplies) {
   auto all = combine({said({}), said({.refuse = true, .come_back_ms = 500}),
@@ -52,7 +54,7 @@
   EXPECT_TRUE(all.hold_shortened);
   EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 50}).verdict.hold_ms, 50);
   RequestFacts late = kSafe;
-  late.patience_ms = 900;
+  late.remaining_timeout_ms = 900;
   EXPECT_EQ(combine({said({.hold_ms = 10})}, late, {}).verdict.hold_ms, 0);
 }
 
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -59,7 +59,7 @@
   Query q;
   q.class_index = class_index;
   q.object = object;
-  q.patience_ms = 1000;
+  q.remaining_timeout_ms = 1000;
   return q;
 }
 
@@ -251,7 +251,7 @@
   EXPECT_EQ(router.pool("extra"), 2);
   EXPECT_TRUE(find(*lists, 2, 2));
   EXPECT_FALSE(find(*lists, 0, 2));
-  for (int i = 0; router.numbers() < static_cast<int>(kMaxPools); ++i) {
+  for (int i = 0; router.pool_count() < static_cast<int>(kMaxPools); ++i) {
     spec.pools[0].name = "extra" + std::to_string(i);
     ASSERT_TRUE(router.replace(spec, 100));
   }
@@ -303,11 +303,11 @@
   for (int i = 0; i < 100'000; ++i)
     memory.put(random(), 1, 10'000, i * 0.001);
   EXPECT_EQ(memory.capacity(), 1024u);
-  EXPECT_GT(memory.evicted_live(), 90'000u);
+  EXPECT_GT(memory.evicted_before_expiry(), 90'000u);
   PoolByKeyCache calm(1024);
   for (int i = 0; i < 100'000; ++i)
     calm.put(random(), 1, i + 50, i);
-  EXPECT_LT(calm.evicted_live(),
+  EXPECT_LT(calm.evicted_before_expiry(),
             100u);  // expired entries do not count; rarely a bucket of four gets five live ones
 }
 
--- a/tests/replay/logic_test.cpp
+++ b/tests/replay/logic_test.cpp
@@ -264,7 +264,7 @@
     query.object = rng_.chance(0.5) ? 1 + static_cast<std::uint64_t>(rng_.below(100)) : 0;
     query.idempotency_key = key;
     query.id = id;
-    query.patience_ms = rng_.between(100, 3000);
+    query.remaining_timeout_ms = rng_.between(100, 3000);
     routes::Choice choice = router_.choose(query, now_);
     recording_.line("choice " + std::to_string(choice.pool) + " " + std::to_string(choice.route) +
                     " " + std::to_string(choice.spilled) + " " + std::to_string(choice.kept) + " " +
