--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -27,13 +27,13 @@
 // Returns the variance of the ratio under independent answers, from sums over the answers.
 double independent_variance(double in_time, double asked, double in_time_squared,
                             double in_time_by_asked, double asked_squared, std::uint64_t answers) {
-  double mean = asked / static_cast<double>(answers);
-  double total = asked + 2 * mean, ratio = (in_time + mean) / total;
+  double mean_asked = asked / static_cast<double>(answers);
+  double total = asked + 2 * mean_asked, ratio = (in_time + mean_asked) / total;
   double squares =
       in_time_squared - 2 * ratio * in_time_by_asked +
       ratio * ratio * asked_squared;  // sum over answers of (in_time - ratio * asked)^2
-  squares +=
-      mean * mean * ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the two artificial answers
+  squares += mean_asked * mean_asked *
+             ((1 - ratio) * (1 - ratio) + ratio * ratio);  // the two artificial answers
   return squares / (total * total);
 }
 
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -370,18 +370,19 @@
     out.kept = true;
   } else {
     double point = point_of(query, static_cast<std::uint64_t>(out.route));
-    std::size_t own_segment = 0;
-    while (own_segment + 1 < route->segments.size() && point >= route->segments[own_segment].end)
-      ++own_segment;
-    out.pool = route->segments[own_segment].pool;
-    // If its pool has no ready endpoint, or only endpoints in slow start, the request goes to the
-    // next pool of the route that is better off.
+    std::size_t segment_of_point = 0;
+    while (segment_of_point + 1 < route->segments.size() &&
+           point >= route->segments[segment_of_point].end)
+      ++segment_of_point;
+    out.pool = route->segments[segment_of_point].pool;
+    // If this pool has no ready endpoint, or only endpoints in slow start, the request goes to the
+    // route's best pool in these respects; the order after `segment_of_point` breaks ties.
     auto fitness = [&](int pool) {
       return health_[at(pool)].warm > 0 ? 2 : health_[at(pool)].ready > 0 ? 1 : 0;
     };
     int best = fitness(out.pool);
     for (std::size_t i = 1; best < 2 && i < route->segments.size(); ++i) {
-      int other = route->segments[(own_segment + i) % route->segments.size()].pool;
+      int other = route->segments[(segment_of_point + i) % route->segments.size()].pool;
       if (fitness(other) > best) {
         out.pool = other;
         best = fitness(other);
--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -281,7 +281,8 @@
     tier.run(3000 + seed * 23);
     tier.stall(5, 3000);
     tier.run(2500);
-    EXPECT_TRUE(tier.agree(tier.all_but({5}), tier.all_but({5}))) << "the others consider it dead";
+    EXPECT_TRUE(tier.agree(tier.all_but({5}), tier.all_but({5})))
+        << "all other members consider member 5 dead";
     tier.run(500);
     Time back = tier.time_to_agreement(tier.all_but({}), tier.all_but({}));
     EXPECT_GE(back, 0);
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -226,7 +226,7 @@
   fleet.names = {{1, "n1"}, {2, "n2"}};
   fleet.list.scope = ListScope::delta;
   pool_lists = fleet.apply_to(router, 3000);
-  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that it is gone";
+  ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that the endpoint is gone";
   EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
   EXPECT_FALSE(find(pool_lists, 0, 1)) << "the window of rule 4 is not over";
   EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins immediately";
