--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -111,7 +111,7 @@
     dissemination_.send_gossip(from, members_.updates_of(from), out);
   if (has_returned)
     change_state(from, MemberState::alive, member.incarnation,
-                 "received a datagram from it, without incarnation", out);
+                 "received a datagram without an incarnation from the member", out);
 }
 
 // Reverts suspicions and deaths concluded while this node was isolated: a node that receives
