--- a/logic/handover/succession.h
+++ b/logic/handover/succession.h
@@ -19,8 +19,8 @@
  public:
   /// `is_state_requested`: there is an old process, and its state was requested. Without an old
   /// process there is nothing to wait for.
-  TakeoverReadiness(double start_ms, bool is_state_requested)
-      : start_ms_(start_ms),
+  TakeoverReadiness(double process_start_ms, bool is_state_requested)
+      : process_start_ms_(process_start_ms),
         is_awaiting_state_(is_state_requested),
         is_awaiting_list_(is_state_requested) {}
 
@@ -34,21 +34,21 @@
   /// Why the process may not serve yet, as a text for operators. Empty if it may serve; once empty,
   /// it stays empty.
   std::string waits_for(double now_ms) const {
-    if (is_awaiting_state_ && now_ms < start_ms_ + kStateTimeoutMs)
+    if (is_awaiting_state_ && now_ms < process_start_ms_ + kStateTimeoutMs)
       return "waiting for the state of the process that it replaces";
-    if (is_awaiting_list_ && now_ms < start_ms_ + kListTimeoutMs)
+    if (is_awaiting_list_ && now_ms < process_start_ms_ + kListTimeoutMs)
       return "waiting for discovery's endpoint list";
     return "";
   }
   /// The latest time at which the process may serve.
   double latest_ready_ms() const {
     if (is_awaiting_list_)
-      return start_ms_ + kListTimeoutMs;
-    return is_awaiting_state_ ? start_ms_ + kStateTimeoutMs : start_ms_;
+      return process_start_ms_ + kListTimeoutMs;
+    return is_awaiting_state_ ? process_start_ms_ + kStateTimeoutMs : process_start_ms_;
   }
 
  private:
-  double start_ms_;
+  double process_start_ms_;
   bool is_awaiting_state_;
   bool is_awaiting_list_;
 };
