--- a/logic/fleet/dissemination.h
+++ b/logic/fleet/dissemination.h
@@ -54,9 +54,8 @@
 
   std::uint64_t messages() const { return messages_; }  ///< sent in total
   std::uint64_t bytes() const { return bytes_; }        ///< sent in total
-  std::uint64_t held_back() const {
-    return held_back_;
-  }  ///< gossip messages not sent for lack of budget
+  /// Number of gossip messages not sent for lack of budget.
+  std::uint64_t held_back() const { return held_back_; }
 
  private:
   void add_queued(std::vector<MemberUpdate>& updates);
--- a/logic/fleet/probing.cpp
+++ b/logic/fleet/probing.cpp
@@ -130,7 +130,7 @@
 }
 
 // In one round all nodes probe the member at the same distance in the numbering, so that each
-// member is probed by one other.
+// member is probed by one other member.
 int Probing::member_of_round(std::int64_t round) const {
   int count = members_.size();
   int distance = 1 + static_cast<int>(round % (count - 1));
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -13,7 +13,7 @@
 namespace keelflow::fleet {
 
 /// Maximum relative drift between the clocks of two dispatchers. The owner extends a lease by this
-/// fraction, so that it ends there later than at the borrower.
+/// fraction, so that the lease ends later at the owner than at the borrower.
 constexpr double kMaxClockDrift = 0.1;
 
 /// A lease's length in overload windows. A longer lease would block budget for longer when a
@@ -23,10 +23,10 @@
 /// The lease that this dispatcher holds on another dispatcher's part; one at a time.
 struct BorrowedLease {
   std::uint32_t number = 0;  ///< of the last request
-  int owner = -1;            ///< dispatcher that received the last request; -1: none yet
+  int owner = -1;            ///< the dispatcher that received the last request; -1: none yet
   scheduler::Time requested_at = -1e18;
   scheduler::Time until = 0;       ///< 0: no lease is held
-  bool is_awaiting_reply = false;  ///< from the owner
+  bool is_awaiting_reply = false;  ///< whether the owner has yet to reply
 };
 
 /// The last lease on its own part that this dispatcher granted to one other dispatcher.
@@ -51,7 +51,7 @@
   std::map<int, GrantedLease> granted;
 };
 
-/// Counters of both sides since the start.
+/// Counters of this dispatcher as a borrower and as an owner, since its start.
 struct SlowStartStatistics {
   std::uint64_t requested = 0;
   std::uint64_t obtained = 0;
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -6,8 +6,9 @@
 /// window. The parts add up to the whole budget regardless of membership views and lost messages.
 /// An owner may lease some of its own part to another dispatcher for a limited time.
 ///
-/// A dispatcher that starts has no part in endpoints that started before it, until everything that
-/// an earlier incarnation of it may have sent or granted is out of the window.
+/// A dispatcher that starts has no part in endpoints that started before it, until
+/// everything that an earlier incarnation of the dispatcher may have sent or granted is out of the
+/// window.
 #pragma once
 
 #include <cstdint>
--- a/logic/moves/load_watch.h
+++ b/logic/moves/load_watch.h
@@ -1,7 +1,8 @@
 /// Detects surges of traffic. Arrivals are counted per second; a fast moving average is compared
 /// with a slow one, the baseline, which hardly changes during a surge. Arrivals must be reported
-/// from the start, long before the result is needed: a baseline learned in a few seconds is off by
-/// its noise, and a surge measured against it may never appear to end.
+/// from the detector's creation, long before the result is needed. A baseline learned in a few
+/// seconds deviates by its noise, and a surge measured against such a baseline may never appear to
+/// end.
 #pragma once
 
 #include <algorithm>
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -40,8 +40,8 @@
 };
 constexpr std::size_t kReasonCount = static_cast<std::size_t>(Reason::process_ended) + 1;
 
-/// The names in the log and in /status. They are part of both formats and do not change when an
-/// enumerator is renamed.
+/// The names that the log and /status show. They are part of the formats of the log and of /status,
+/// and do not change when an enumerator is renamed.
 std::string_view to_string(Operation operation);
 std::string_view to_string(Reason reason);
 
--- a/logic/routes/key_memory.h
+++ b/logic/routes/key_memory.h
@@ -1,6 +1,7 @@
 /// Remembers for a limited time which pool a request with an idempotency key was sent to. A
 /// client's retry is sent to the same pool, because the endpoints that drop duplicates of the
-/// request are there. The size is fixed; a full bucket evicts the entry that would expire first.
+/// request are in that pool. The size is fixed; a full bucket evicts the entry that would expire
+/// first.
 #pragma once
 
 #include <array>
