--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -45,7 +45,7 @@
   using Member = fleet::Member;
   using Change = MemberChange;
   using Output = MembershipOutput;
-  /// Counters since the node's start.
+  /// Counters since the construction of the Membership.
   struct Statistics {
     std::uint64_t messages = 0;
     std::uint64_t bytes = 0;
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -89,8 +89,8 @@
   Time round_due_;
   Time dead_due_;
   int dead_cursor_ = 0;  ///< member
-  bool has_returned_ =
-      false;  ///< whether a dead member has returned since the last probe of dead members
+  /// Whether a dead member has returned since the last probe of dead members.
+  bool has_returned_ = false;
   std::uint16_t last_number_ = 0;
   std::map<int, Probe> probes_;                 ///< indexed by member
   std::vector<IndirectProbe> indirect_probes_;  ///< kMaxIndirectProbes at most
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -51,7 +51,7 @@
   std::map<int, GrantedLease> granted;
 };
 
-/// Counters of this dispatcher as a borrower and as an owner, since its start.
+/// Counters of this dispatcher as a borrower and as an owner.
 struct SlowStartStatistics {
   std::uint64_t requested = 0;
   std::uint64_t obtained = 0;
--- a/logic/fleet/slow_start_order.cpp
+++ b/logic/fleet/slow_start_order.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Number of dispatchers that own parts. With fewer owners much of the budget belongs to owners
-// that have too little traffic to use it; docs/design/fleet.md compares other values.
+// that have no traffic for it; docs/design/fleet.md compares other values.
 constexpr int kOwners = 8;
 
 // A dispatcher and its hash score, ordered by score.
