--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -10,8 +10,8 @@
 // Number of accusers in addition to the first one that reduces the suspicion timeout to its
 // minimum. It equals the number of indirect probers.
 constexpr int kMaxConfirmations = Probing::kIndirectProbers;
-// Expected number of members that probe a member at once when another member suspects it. Each
-// member decides at random.
+// Expected number of members that immediately probe a member when another member suspects it. Each
+// member decides at random whether it probes.
 constexpr int kExpectedVerifiers = 5;
 // A node that has received no datagram for more than this number of periods is isolated.
 constexpr Time kIsolatedAfterPeriods = 3;
@@ -88,7 +88,7 @@
 // while other members do not. `incarnation` 0: the datagram was not a membership message.
 void Membership::on_sign_of_life(int from, std::uint32_t incarnation, Output& out) {
   if (is_isolated())
-    revert_isolated_verdicts(out);
+    revert_verdicts_from_isolation(out);
   last_received_at_ = now_;
   Member& member = members_.at(from);
   if (member.has_left && incarnation <= member.incarnation)
@@ -111,18 +111,17 @@
     dissemination_.send_gossip(from, members_.updates_of(from), out);
   if (has_returned)
     change_state(from, MemberState::alive, member.incarnation,
-                 "received a datagram from it, without incarnation", out);
+                 "received a datagram without an incarnation from the member", out);
 }
 
 // Reverts suspicions and deaths concluded while this node was isolated: a node that receives
 // nothing cannot judge the other members.
-void Membership::revert_isolated_verdicts(Output& out) {
+void Membership::revert_verdicts_from_isolation(Output& out) {
   for (int m = 0; m < members_.size(); ++m) {
     const Member& member = members_.at(m);
     if (members_.is_other(m) && !member.has_left && member.since >= last_received_at_ &&
         members_.is_accused(m))
-      change_state(m, MemberState::alive, member.incarnation, "this node had received no datagrams",
-                   out);
+      change_state(m, MemberState::alive, member.incarnation, "this node had heard nobody", out);
   }
   probing_.stop_all();
 }
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -6,8 +6,9 @@
 /// window. The parts add up to the whole budget regardless of membership views and lost messages.
 /// An owner may lease some of its own part to another dispatcher for a limited time.
 ///
-/// A dispatcher that starts has no part in endpoints that started before it, until everything that
-/// an earlier incarnation of it may have sent or granted is out of the window.
+/// A dispatcher that starts has no part in endpoints that started before it, until
+/// everything that an earlier incarnation of the dispatcher may have sent or granted is out of the
+/// window.
 #pragma once
 
 #include <cstdint>
@@ -80,9 +81,10 @@
   double window_ms_;
   double lease_length_ms_;
   std::map<scheduler::EndpointId, scheduler::EndpointEntry>
-      endpoints_;                                          ///< the current endpoint list
-  std::map<scheduler::EndpointId, EndpointLease> leases_;  ///< by endpoint that is warming up
-  std::vector<bool> is_alive_;                             ///< by dispatcher
+      endpoints_;  ///< the current endpoint list
+  /// Indexed by endpoint that is warming up.
+  std::map<scheduler::EndpointId, EndpointLease> leases_;
+  std::vector<bool> is_alive_;  ///< indexed by dispatcher
   SlowStartOwner owner_;
   SlowStartBorrower borrower_;
 };
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -21,8 +21,8 @@
 constexpr int kFirstPassPicks = 2;
 // Allowed deviation of an endpoint's number of dispatchers below and above the mean. Narrower
 // bounds move more pairs at each change. The mean is often a whole or half number; offsets that are
-// whole or half numbers would make many endpoints change at once when one dispatcher is added or
-// removed.
+// whole or half numbers would make many endpoints change at the same time when one dispatcher is
+// added or removed.
 constexpr double kUnderMean = 1.25;
 constexpr double kOverMean = 1.75;
 // For a mean below this the bounds are narrower by one, because a difference of one dispatcher
@@ -78,8 +78,9 @@
   if (endpoints.empty() || dispatchers.empty())
     return assigned;
   subset_size = std::min(subset_size, static_cast<int>(endpoints.size()));
-  double mean = static_cast<double>(subset_size) * static_cast<double>(dispatchers.size()) /
-                static_cast<double>(endpoints.size());
+  double mean_dispatchers = static_cast<double>(subset_size) *
+                            static_cast<double>(dispatchers.size()) /
+                            static_cast<double>(endpoints.size());
   std::vector<Pair> pairs = best_pairs(endpoints, dispatchers, subset_size);
   std::vector<int> sizes(dispatchers.size());
   auto pass = [&](int most_endpoints, double most_dispatchers) {
@@ -93,11 +94,11 @@
       at.push_back(dispatchers[pair.dispatcher]);
     }
   };
-  double under = mean < kSmallMean ? kUnderMean - 1 : kUnderMean;
-  double over = mean < kSmallMean ? kOverMean - 1 : kOverMean;
-  pass(std::min(kFirstPassPicks, subset_size), mean + over);
-  pass(subset_size, std::max(1.0, mean - under));
-  pass(subset_size, mean + over);
+  double under = mean_dispatchers < kSmallMean ? kUnderMean - 1 : kUnderMean;
+  double over = mean_dispatchers < kSmallMean ? kOverMean - 1 : kOverMean;
+  pass(std::min(kFirstPassPicks, subset_size), mean_dispatchers + over);
+  pass(subset_size, std::max(1.0, mean_dispatchers - under));
+  pass(subset_size, mean_dispatchers + over);
   pass(subset_size, static_cast<double>(dispatchers.size()));
   for (std::vector<int>& at : assigned)
     std::sort(at.begin(), at.end());
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -47,9 +47,9 @@
     case Wait::none:
       return "";
     case Wait::slow_start:
-      return "the new pool is in slow start";
+      return "the new pool is cold";
     case Wait::surge:
-      return "traffic has surged";
+      return "traffic has jumped";
     case Wait::answers:
       return "not enough answers yet";
   }
@@ -180,7 +180,7 @@
   enter_step(step, now_ms);
 }
 
-void Move::pools(const PoolView& from, const PoolView& to, double now_ms) {
+void Move::update_pools(const PoolView& from, const PoolView& to, double now_ms) {
   from_ = from;
   to_ = to;
   pools_known_ = true;
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -1,6 +1,6 @@
-/// Shifts the traffic of a route from one pool to another in steps, and returns it at once when the
-/// new pool serves it worse. Performs no I/O and reads no clock: callers report events with their
-/// time (Unix milliseconds) and read the result from `share()` and `events()`.
+/// Shifts the traffic of a route from one pool to another in steps, and returns it immediately when
+/// the new pool serves it worse. Performs no I/O and reads no clock: callers report events with
+/// their time (Unix milliseconds) and read the result from `share()` and `events()`.
 #pragma once
 
 #include <cstdint>
@@ -63,7 +63,7 @@
   // at the highest step whose share does not exceed the current share, or else at the first step.
   void update_spec(MoveSpec spec, double now_ms);
 
-  void pools(const PoolView& from, const PoolView& to, double now_ms);
+  void update_pools(const PoolView& from, const PoolView& to, double now_ms);
   void arrived(Arm pool, bool of_route, double now_ms);
   // Must be called once for every request of the route, whatever its outcome. `in_time` is the
   // weight that was answered within the class's latency target. Requests that arrived before the
