--- a/node/core/attempt.h
+++ b/node/core/attempt.h
@@ -1,4 +1,4 @@
-/// One attempt of a request at an endpoint, and the states that it goes through.
+/// One attempt of a request at an endpoint, and its state machine.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,32 @@
 
 namespace keelflow {
 
-/// Where an attempt stands. An endpoint may report the start of an attempt that is being
-/// cancelled, so the two are distinguished.
+/// The state of an attempt. An endpoint may report the start of an attempt that is being
+/// cancelled, so cancelling has one state for each case.
 enum class AttemptState : std::uint8_t {
-  sent,                ///< Handed to the outbound side.
-  started,             ///< The endpoint reports that it runs.
-  cancelling,          ///< Being cancelled; no start was reported.
-  cancelling_started,  ///< Being cancelled; it had started, or started meanwhile.
-  ended,               ///< The outbound side has reported its end. Final.
+  sent,                ///< Passed to the outbound side.
+  started,             ///< The endpoint has reported that the attempt runs.
+  cancelling,          ///< Being cancelled; no start has been reported.
+  cancelling_started,  ///< Being cancelled; a start was reported before or since.
+  ended,               ///< The outbound side has reported the end. Final state.
 };
 
+/// The events that change the state of an attempt.
 enum class AttemptEvent : std::uint8_t { start_reported, cancel_requested, end_reported };
 
-/// One attempt. Its state changes in `change_state` alone.
+/// One attempt. Only `change_state` changes its state.
 struct Attempt {
   EndpointId endpoint = 0;
   TimePoint sent;
-  TimerId timer = 0;                ///< Of its time limit.
-  bool has_timed_out = false;       ///< It was cancelled because of its time limit.
-  bool may_send_callbacks = false;  ///< After its end: status callbacks of it may still come.
-  bool may_have_run = false;        ///< After its end: the endpoint may have run it.
+  TimerId timer = 0;                ///< The timer of its time limit.
+  bool has_timed_out = false;       ///< Cancelled because its time limit passed.
+  bool may_send_callbacks = false;  ///< Set at its end: status callbacks may still arrive.
+  bool may_have_run = false;        ///< Set at its end: the endpoint may have run it.
   AttemptState state = AttemptState::sent;
 
   bool is_open() const { return state != AttemptState::ended; }
-  /// Applies an event. False, and nothing changes, where the event means nothing in this state: it
-  /// is a repetition, or comes after the end.
+  /// Applies an event. Returns false and changes nothing if the event does not apply in this
+  /// state, because it is a duplicate or the attempt has ended.
   bool change_state(AttemptEvent event);
 };
 
--- a/node/core/attempt_tracker.cpp
+++ b/node/core/attempt_tracker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Whether an attempt that broke may have run depends on one thing: had its last byte been written?
+// A broken attempt may have run only if its last byte was written.
 AttemptResult result_of_outcome(const AttemptEnd& end) {
   switch (end.outcome) {
     case AttemptOutcome::served:
@@ -83,7 +83,7 @@
   if (end.withheld)
     return AttemptResult::withheld;
   AttemptResult result = result_of_outcome(end);
-  // Where one attempt at a time is allowed, none may follow one that may run yet.
+  // Without concurrent attempts, no other attempt may follow one that may still run.
   bool may_run_yet =
       end.outcome == AttemptOutcome::cancel_undelivered && !settings_.concurrent_attempts;
   if (result == AttemptResult::cancelled && (attempt.has_timed_out || may_run_yet))
@@ -122,9 +122,10 @@
   });
 }
 
-// The scheduler repeats work with an idempotency key only within its deduplication window. What it
-// sends near the end of the window may find its connection established after it, when those who
-// would recognise the repetition have forgotten the first attempt.
+// The scheduler repeats a request with an idempotency key only within its deduplication window. The
+// connection for an attempt that is sent near the end of the window may be established after the
+// window has ended. By then the first attempt is no longer remembered, and the repetition would not
+// be recognised as a duplicate.
 TimePoint AttemptTracker::write_deadline(const Request& request) const {
   const scheduler::ClassSettings& class_settings =
       settings_.classes.at(static_cast<std::size_t>(request.job.class_index));
--- a/node/core/attempt_tracker.h
+++ b/node/core/attempt_tracker.h
@@ -1,5 +1,5 @@
-/// Follows every attempt from its start to its end: its state, what its end means for the
-/// scheduler, and what the attempts of a request allow the next one.
+/// Tracks the state of every attempt, translates its end into a scheduler event, and determines
+/// whether earlier attempts of a request permit another one.
 #pragma once
 
 #include <cstddef>
@@ -12,34 +12,36 @@
 
 namespace keelflow {
 
-/// Keeps the attempts of the requests in a RequestTable and counts them by result. All references
-/// that it is given must outlive it. It calls no port but the timers.
+/// Updates the attempts stored in a RequestTable and counts them by result. The referenced objects
+/// must outlive the tracker. TimerPort is the only port that it calls.
 class AttemptTracker {
  public:
   AttemptTracker(RequestTable& requests, const scheduler::Settings& settings, TimerPort& timers,
                  Counters& counters)
       : requests_(requests), settings_(settings), timers_(timers), counters_(counters) {}
 
-  /// Adds an attempt to the request, as its last one.
+  /// Appends an attempt to the request.
   void add(Request& request, const Attempt& attempt);
-  /// The attempt, if it has not ended; otherwise null.
+  /// Returns the attempt, or null if it has ended or does not exist.
   Attempt* find_open(AttemptRef ref);
-  /// The endpoint reports that it runs. False: that was known, or it has ended.
+  /// Records that the endpoint reported the attempt's start. Returns false if the start was already
+  /// known or the attempt has ended.
   bool on_started(AttemptRef ref);
-  /// It is to be cancelled; `has_timed_out`: because its time limit has passed. False: it is being
-  /// cancelled already, or has ended.
+  /// Marks the attempt as being cancelled. `has_timed_out` is true if its time limit has passed.
+  /// Returns false if it is already being cancelled or has ended.
   bool on_cancel(AttemptRef ref, bool has_timed_out);
-  /// It has ended; it must be open. Returns the event for the scheduler, without
-  /// `request_finished`.
+  /// Records the end of an attempt, which must be open. Returns the event for the scheduler with
+  /// `request_finished` left unset.
   scheduler::AttemptFinished on_ended(AttemptRef ref, const AttemptEnd& end);
 
-  /// Attempts of all requests that have not ended.
+  /// Number of attempts, over all requests, that have not ended.
   std::size_t open_attempts() const { return open_attempts_; }
-  /// Whether status callbacks of an earlier attempt of the request at that endpoint may still come.
+  /// Whether status callbacks of an earlier attempt of the request at that endpoint may still
+  /// arrive.
   static bool may_receive_callbacks(const Request& request, EndpointId endpoint);
-  /// Until when the last byte of one more attempt may be written.
+  /// The latest time at which the last byte of another attempt may be written.
   TimePoint write_deadline(const Request& request) const;
-  /// Whether one more attempt of the request may go to that endpoint.
+  /// Whether another attempt of the request may be sent to that endpoint.
   operation_guard::Verdict may_repeat(const Request& request, EndpointId endpoint) const;
 
  private:
--- a/node/core/counters.h
+++ b/node/core/counters.h
@@ -1,4 +1,4 @@
-/// What the node takes in, sends and answers; printed on request and at exit.
+/// Counters of the node's requests, attempts and answers; printed on request and at exit.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace keelflow {
 
-// One counter a line.
+// One counter per line.
 // clang-format off
 #define KEELFLOW_COUNTERS(X) \
   X(requests_taken) \
@@ -89,15 +89,15 @@
   X(replays)
 // clang-format on
 
-/// Final answers of one class that a client was there to receive.
+/// Final answers of one class whose client was still connected.
 struct ClassFigures {
   std::uint64_t completed = 0, rejected = 0, failed = 0;
 };
 
-/// All counters of the process. Their names are scraped.
+/// All counters of the process. Metrics scrapers depend on their names.
 struct Counters {
   std::map<std::string, ClassFigures>
-      classes;  // by name, as long as the process lives: a class may vanish and come back
+      classes;  // by name; never erased, since a class may be removed and added again
 #define X(name) std::uint64_t name = 0;
   KEELFLOW_COUNTERS(X)
 #undef X
--- a/node/core/endpoint_port.h
+++ b/node/core/endpoint_port.h
@@ -1,4 +1,4 @@
-/// The endpoints' side of the core: starts and cancels attempts.
+/// The core's interface to the endpoints: starts and cancels attempts.
 #pragma once
 
 #include <cstdint>
@@ -10,45 +10,48 @@
 
 namespace keelflow {
 
-/// How far an attempt had come when it ended. Up to `partly_written` the endpoint cannot have run
-/// it.
+/// How far an attempt was delivered when it ended. Up to `partly_written`, the endpoint cannot have
+/// run it.
 enum class DeliveryState : std::uint8_t { never_written, partly_written, fully_written, accepted };
 
+/// The reason for which an attempt ended.
 enum class AttemptOutcome : std::uint8_t {
   served,
-  error,               ///< The endpoint reports that it failed.
-  rejected,            ///< The endpoint reports that it never ran.
-  broken,              ///< The connection or the process ended; `delivery` says if it may have run.
+  error,               ///< The endpoint reported a failure.
+  rejected,            ///< The endpoint reported that the attempt never ran.
+  broken,              ///< The connection or process ended; `delivery` tells if it may have run.
   cancelled,           ///< The Engine cancelled it.
-  cancel_undelivered,  ///< The same, but the endpoint has accepted it and the cancellation did not
-                       ///< reach it: it may still run.
+  cancel_undelivered,  ///< The Engine cancelled it, but the endpoint had accepted it and did not
+                       ///< receive the cancellation: it may still run.
 };
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 struct AttemptEnd {
   AttemptOutcome outcome = AttemptOutcome::broken;
   DeliveryState delivery = DeliveryState::never_written;
-  bool withheld = false;  ///< No list that may be used for sending came in time; nothing was sent.
-  bool may_send_callbacks = false;  ///< The endpoint may have accepted it, so that status callbacks
-                                    ///< of it may still come.
-  std::string result = {};          ///< Of `served`.
+  bool withheld = false;  ///< Nothing was sent, for example because no usable list came in time.
+  bool may_send_callbacks = false;  ///< The endpoint may have accepted it, so its status callbacks
+                                    ///< may still arrive.
+  std::string result = {};          ///< Set for `served`.
   scheduler::LoadReport report = {};
 };
 
-/// Carries attempts to endpoints. Every attempt started ends with one Engine::on_attempt_ended.
+/// Sends attempts to endpoints. Each started attempt ends with one Engine::on_attempt_ended call.
 class EndpointPort {
  public:
   virtual ~EndpointPort() = default;
+  /// The conditions under which an attempt is sent.
   struct Terms {
-    TimePoint until;     ///< It is given up then.
-    TimePoint write_by;  ///< After that its last byte must not be written any more.
+    TimePoint until;     ///< The attempt is abandoned at this time.
+    TimePoint write_by;  ///< The last byte must not be written after this time.
     scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-    bool again = false;  ///< Status callbacks of an earlier attempt of this request at that
-                         ///< endpoint may still come.
+    bool again = false;  ///< Status callbacks of an earlier attempt of this request at the
+                         ///< endpoint may still arrive.
   };
   virtual void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) = 0;
   virtual void cancel(AttemptRef ref) = 0;
-  /// Only if its last byte has not been written: then the endpoint has no request of it yet.
+  /// Cancels the attempt only if its last byte has not been written, so that the endpoint does not
+  /// have the complete request yet.
   virtual void cancel_unsent(AttemptRef ref) = 0;
   /// Sends a health check; Engine::on_health_check_result follows.
   virtual void send_health_check(EndpointId endpoint) = 0;
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Given with a rejection that no scheduler has decided.
+// Retry-After of rejections that the Engine makes without the scheduler.
 constexpr Duration kRetryAfterOverload = std::chrono::seconds(1);
 
 RequestOutcome outcome_of(FinalAnswer::Kind kind) {
@@ -113,12 +113,12 @@
   auto phase = last_answer_ <= timers_.now() ? operation_guard::Phase::ended
                                              : operation_guard::Phase::serving;
   auto verdict = operation_guard::may_start({.phase = phase, .has_waiting_client = true});
-  if (!verdict.allowed()) {  // nobody would be there to answer it any more
+  if (!verdict.allowed()) {  // the process would end before it could answer
     refusals_.count(operation_guard::Operation::start, verdict.reason());
     reject_at_once(job, sink);
     return id;
   }
-  if (requests_.size() >= limits_.most_held) {  // the platform's own cap; no scheduler sees these
+  if (requests_.size() >= limits_.most_held) {  // platform limit, enforced before the scheduler
     reject_at_once(job, sink);
     return id;
   }
@@ -167,8 +167,8 @@
   pools_.post(request.pool, arrival_of(id, request, timers_.now()));
 }
 
-// To the Dispatcher that queued it, a request that leaves is one whose client has disconnected:
-// nothing was sent, so nothing has to be cancelled. Its deadline stays what it was, and it counts
+// The previous Dispatcher gets an event as if the client of a rerouted request has disconnected.
+// Nothing was sent, so nothing has to be cancelled. The request keeps its deadline and counts only
 // once against its tenant's quota.
 void Engine::reroute(int pool) {
   if (!selector_)
@@ -208,8 +208,8 @@
     filter_->on_client_disconnected(id);
     return requests_.erase_if_complete(id);
   }
-  // Where the settings bar cancelling, the scheduler leaves attempts alone; one of which nothing
-  // has been written is no attempt yet, and nobody waits for it.
+  // If the settings forbid cancelling, the scheduler does not cancel attempts. Attempts that have
+  // not been fully written are cancelled here, since no client waits for them.
   std::vector<AttemptRef> unsent;
   for (std::size_t i = 0; !settings().cancel && i < request->attempts.size(); ++i) {
     if (request->attempts[i].is_open())
@@ -249,8 +249,8 @@
                          .withheld = true});
 }
 
-// The scheduler learns the attempt's outcome only when the outbound side has given it up, so that
-// no other attempt of the request goes out while the endpoint may still hold this one.
+// The scheduler gets the outcome only after the outbound side has ended the attempt, so that no
+// other attempt of the request is sent while the endpoint may still hold this one.
 void Engine::cancel(AttemptRef ref, bool has_timed_out) {
   if (attempts_.on_cancel(ref, has_timed_out))
     endpoints_->cancel(ref);
@@ -280,13 +280,13 @@
   bool served = finished.result == scheduler::AttemptResult::ok;
   int pool = request.pool;
   finished.request_finished = served || !request.has_client();
-  if (served)  // the first result completes the request; `request` may be gone after this
+  if (served)  // the first result completes the request; `request` may dangle afterwards
     finish(ref.request, {.kind = FinalAnswer::Kind::served, .result = std::move(end.result)});
   pools_.post(pool, finished);
 }
 
-// The scheduler sends no health checks yet. With pools, the result belongs to the one that asked
-// for it.
+// The scheduler does not send health checks yet. Once it does, the result should go only to the
+// pool that requested it.
 void Engine::on_health_check_result(EndpointId endpoint, bool ok, Duration elapsed,
                                     const scheduler::LoadReport& report) {
   pools_.post_to_all(scheduler::HealthCheckResult{endpoint, ok, to_ms(elapsed), report});
--- a/node/core/job.h
+++ b/node/core/job.h
@@ -1,4 +1,4 @@
-/// One request as the core sees it, and the handle of one attempt of it.
+/// A client's request in the form that the core uses, and the identifier of one of its attempts.
 #pragma once
 
 #include <chrono>
@@ -16,26 +16,26 @@
 using scheduler::EndpointId;
 using scheduler::RequestId;
 
-/// What the outbound side forwards unchanged; opaque to the core.
+/// The content that the outbound side forwards unchanged; opaque to the core.
 struct Payload;
 
-/// One request as its client stated it.
+/// One request with the parameters that its client gave.
 struct Job {
-  std::string id;  ///< The client's own name for it.
+  std::string id;  ///< Assigned by the client.
   int class_index = 0, tenant = 0;
   std::uint64_t key = 0;
-  Duration client_timeout{};         ///< From its arrival until the client gives up.
-  std::chrono::microseconds hint{};  ///< Expected running time; zero: none given.
+  Duration client_timeout{};         ///< Time from arrival until the client gives up.
+  std::chrono::microseconds hint{};  ///< Expected running time; zero if not given.
   double slots = 1, memory = 0;
-  bool repeat = false;  ///< The client says that it is a retry.
+  bool repeat = false;  ///< The client marked the request as a retry.
   bool wants_progress = false;
-  bool limits_retries = false;  ///< Its class limits what may be repeated once it may have run.
-  std::string_view path, idempotency_key;  ///< These point into the payload.
-  std::size_t bytes = 0;                   ///< Size of the payload, approximately.
+  bool limits_retries = false;  ///< Its class limits retries of attempts that may have run.
+  std::string_view path, idempotency_key;  ///< Views into the payload.
+  std::size_t bytes = 0;                   ///< Approximate size of the payload.
   std::shared_ptr<const Payload> payload;
 };
 
-/// Identifies an attempt: the request, and the place of the attempt among its attempts.
+/// Identifies an attempt by its request and its index among the attempts of that request.
 struct AttemptRef {
   RequestId request = 0;
   int attempt = 0;
--- a/node/core/peer_sender.h
+++ b/node/core/peer_sender.h
@@ -1,11 +1,12 @@
-/// The other nodes of the tier, as the core sees them.
+/// The core's interface for messages to the other nodes of the tier.
 #pragma once
 
 #include <string_view>
 
 namespace keelflow {
 
-/// Sends datagrams to the other nodes, by rank. A message may arrive late or never.
+/// Sends datagrams to the other nodes, which are addressed by rank. A message may be delayed or
+/// lost.
 class PeerSender {
  public:
   virtual ~PeerSender() = default;
--- a/node/core/pool_dispatcher.h
+++ b/node/core/pool_dispatcher.h
@@ -1,4 +1,4 @@
-/// The scheduler of one pool, with all that stands beside it.
+/// The scheduler of one pool with its subsets and slow-start leases.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,24 @@
 
 namespace keelflow {
 
-/// One scheduler::Dispatcher, which sees the endpoints and requests of its pool only, with its
-/// Subsets, its SlowStartLeases and the time of its last timer. Times in ms are Unix time.
+/// Owns one scheduler::Dispatcher, which handles only the endpoints and requests of its pool, its
+/// Subsets, its SlowStartLeases and the time when its last timer fired. Times in ms are Unix time.
 class PoolDispatcher {
  public:
   PoolDispatcher(const scheduler::Settings& settings, std::uint64_t seed,
                  std::shared_ptr<scheduler::TenantQuotas> quotas, double started_ms);
 
-  /// Gives the Dispatcher an event; appends the actions that it answers with.
+  /// Passes an event to the Dispatcher and appends the resulting actions.
   void handle(double now_ms, const scheduler::Event& event, scheduler::Actions& actions);
-  /// To be called once the actions of that event are executed. Gives the event to the subsets and
-  /// leases; appends their actions, and returns the events that the Dispatcher is to get next,
-  /// before any other.
+  /// Passes the event to the subsets and leases and appends their actions. Must be called after the
+  /// actions of `handle` for that event were executed. Returns the events that the Dispatcher must
+  /// handle next, before any other.
   std::vector<scheduler::Event> update_fleet(double now_ms, const scheduler::Event& event,
                                              scheduler::Actions& actions);
 
-  /// Timers fire no more often than once a tick, but on time where none has fired just before.
-  /// Rounding them up to a grid of ticks used up the tick that the scheduler leaves for an answer
-  /// to travel before its client gives up.
+  /// Timers fire at most once per tick, and on time if none fired within the last tick. They are
+  /// not rounded up to multiples of the tick: that used up the tick that the scheduler reserves for
+  /// an answer to reach its client before the client gives up.
   TimePoint earliest_timer(Duration tick) const { return last_timer_ + tick; }
   void on_timer(TimePoint now) { last_timer_ = now; }
 
--- a/node/core/pool_dispatchers.cpp
+++ b/node/core/pool_dispatchers.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Spreads the seeds of the pools: 2^64 over the golden ratio.
+// Increment between the seeds of the pools: 2^64 divided by the golden ratio.
 constexpr std::uint64_t kSeedStep = 0x9e3779b97f4a7c15ull;
 
 }  // namespace
@@ -52,7 +52,7 @@
     post(static_cast<int>(i), event);
 }
 
-// What the subsets and leases add comes before whatever else is queued.
+// Events from the subsets and leases are handled before all other queued events.
 void PoolDispatchers::deliver(const QueuedEvent& queued) {
   PoolDispatcher& pool = pool_at(queued.pool);
   actions_.clear();
--- a/node/core/pool_dispatchers.h
+++ b/node/core/pool_dispatchers.h
@@ -1,4 +1,4 @@
-/// The dispatchers of all pools, and the one queue through which they get their events.
+/// The dispatchers of all pools, and the event queue that they share.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,30 @@
 
 namespace keelflow {
 
-/// Delivers events to the pools one after another, each at its own time, and hands out the actions
-/// that come back. An action may cause the next event before it returns (a connection refused at
-/// once); that event waits in the queue until the present one is dealt with.
+/// Delivers events to the pools one at a time, reading the clock for each, and executes the
+/// resulting actions. Executing an action may post another event before it returns, for example
+/// when a connection is refused immediately. That event stays queued until the current one has been
+/// handled.
 class PoolDispatchers {
  public:
-  /// What happens with the results, in this order for each event.
+  /// Called for each event, in this order.
   struct Callbacks {
-    std::function<void(const scheduler::Action&)> execute;  ///< Any action but SetTimer.
+    std::function<void(const scheduler::Action&)> execute;  ///< Gets every action except SetTimer.
     std::function<void(const scheduler::Event&)> on_handled;
   };
 
-  /// `tick`: the least time between two timers of one pool. The references must outlive it.
+  /// `tick` is the minimum time between two timers of one pool. The referenced objects must outlive
+  /// this one.
   PoolDispatchers(const scheduler::Settings& settings, std::uint64_t seed, Duration tick,
                   TimerPort& timers, const UnixClock& clock, Callbacks callbacks);
 
-  /// Adds pools until there are so many. Pool 0 draws what a node without pools draws.
+  /// Adds pools until there are `count`. Pool 0 draws the same random numbers as a node without
+  /// pools.
   void grow(int count);
-  /// Queues an event for one pool and, unless called from within an action, handles all that is
-  /// queued.
+  /// Queues an event for one pool. Handles all queued events, unless called while another event is
+  /// being handled.
   void post(int pool, scheduler::Event event);
-  /// The same event for each pool, in their order.
+  /// Posts the event to each pool, in order of pool number.
   void post_to_all(const scheduler::Event& event);
 
   /// `previous_classes`: see scheduler::SettingsChanged.
@@ -42,10 +45,10 @@
                        const std::vector<int>& previous_classes);
   void set_tick(Duration tick) { tick_ = tick; }
   void allow_sends(bool allowed);
-  /// Which nodes of the tier are alive, by rank.
+  /// Reports which nodes of the tier are alive, by rank.
   void change_membership(const std::vector<bool>& alive);
   void enable_leases(bool enabled);
-  /// By pool; those without a pool are left out.
+  /// Restores learned state, indexed by pool. Entries beyond the last pool are ignored.
   void restore(const std::vector<scheduler::LearnedState>& learned);
 
   const scheduler::Settings& settings() const { return settings_; }
@@ -80,9 +83,9 @@
   Callbacks callbacks_;
   std::shared_ptr<scheduler::TenantQuotas> quotas_ = std::make_shared<scheduler::TenantQuotas>();
   std::vector<std::unique_ptr<PoolDispatcher>> pools_;
-  std::vector<bool> alive_;  // by rank, as of the last change; empty: never known
+  std::vector<bool> alive_;  // by rank, as of the last change; empty if never reported
   std::deque<QueuedEvent> queue_;
-  scheduler::Actions actions_;  // of the event that is being handled
+  scheduler::Actions actions_;  // of the event being handled
   bool is_delivering_ = false;
   bool leases_enabled_ = true;
   bool sends_allowed_ = true;
--- a/node/core/pool_selector.h
+++ b/node/core/pool_selector.h
@@ -1,4 +1,4 @@
-/// Splits requests over pools.
+/// The interface that assigns requests to pools.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 namespace keelflow {
 
-/// How a request ended, as its client saw it.
+/// The outcome of a request from its client's point of view.
 enum class RequestOutcome : std::uint8_t { served, rejected, failed, client_disconnected };
 
-/// Chooses the pool of each request. Each pool has a Dispatcher of its own; without a selector all
-/// is one pool.
+/// Chooses the pool of each request. Each pool has its own Dispatcher. Without a selector there is
+/// a single pool.
 class PoolSelector {
  public:
   virtual ~PoolSelector() = default;
-  /// The number of a pool that the Engine has.
+  /// Returns the number of one of the Engine's pools.
   virtual int choose(const Job& job) = 0;
-  /// How a request ended that had been given to that pool; `admitted`: when it was admitted there.
+  /// Reports the outcome of a request that was assigned to `pool`. `admitted` is the time when it
+  /// was admitted there.
   virtual void on_request_ended(const Job& job, int pool, TimePoint admitted,
                                 RequestOutcome outcome) = 0;
 };
--- a/node/core/request_filter.h
+++ b/node/core/request_filter.h
@@ -1,4 +1,4 @@
-/// Inspects requests before the scheduler gets them.
+/// The interface that inspects requests before they reach the scheduler.
 #pragma once
 
 #include <optional>
@@ -10,23 +10,24 @@
 
 namespace keelflow {
 
-/// It may reject a request, delay it for a while or weight it; all that it admits is the
-/// scheduler's to decide.
+/// Rejects, delays or weights requests. The scheduler decides about every request that the filter
+/// admits.
 class RequestFilter {
  public:
-  /// What is to become of one request.
+  /// The filter's decision on one request.
   struct Decision {
     bool is_rejected = false;
-    Duration retry_after{};   ///< Retry-After of a rejection.
-    double queue_weight = 1;  ///< Of a request that is admitted.
-    std::string label;        ///< Empty: none.
+    Duration retry_after{};   ///< Retry-After value sent with a rejection.
+    double queue_weight = 1;  ///< Weight of an admitted request.
+    std::string label;        ///< Empty if the request gets no label.
   };
   virtual ~RequestFilter() = default;
-  /// Empty: Engine::on_filter_decision follows, in any case before the deadline.
+  /// Returns the decision, or nothing if it is passed to Engine::on_filter_decision later, which
+  /// must happen before the deadline.
   virtual std::optional<Decision> decide(RequestId id, const Job& job, TimePoint deadline) = 0;
-  /// The client of a request without a decision has disconnected.
+  /// Reports that the client disconnected before the request was decided.
   virtual void on_client_disconnected(RequestId id) = 0;
-  /// How a request ended, `elapsed` after it was read.
+  /// Reports the outcome of a request and the time `elapsed` since it was read.
   virtual void on_request_ended(const Job& job, Duration elapsed, RequestOutcome outcome) = 0;
 };
 
--- a/node/core/request_table.h
+++ b/node/core/request_table.h
@@ -1,4 +1,4 @@
-/// The requests that are open at this node, by number and by the client's own name.
+/// The open requests of this node, indexed by number and by the id that the client assigned.
 #pragma once
 
 #include <cstddef>
@@ -12,52 +12,52 @@
 
 namespace keelflow {
 
-/// One open request: what the client asked for, and the attempts made for it so far.
+/// One open request: the client's job and the attempts made for it so far.
 struct Request {
   Job job;
-  ResponseSink* sink = nullptr;  ///< Not owned. Null once answered or once the client disconnected.
-  TimePoint taken;               ///< When it was read.
-  TimePoint admitted;            ///< When the request filter admitted it.
-  TimePoint deadline;            ///< When its client gives up.
+  ResponseSink* sink = nullptr;  ///< Not owned. Null once answered or the client disconnected.
+  TimePoint taken;               ///< Time when it was read.
+  TimePoint admitted;            ///< Time when it was admitted to its pool.
+  TimePoint deadline;            ///< Time when its client gives up.
   int pool = 0;
-  bool awaits_filter = false;     ///< No Dispatcher has seen it yet.
+  bool awaits_filter = false;     ///< No Dispatcher has received it yet.
   std::vector<Attempt> attempts;  ///< In the order in which they were sent; never shrinks.
   double queue_weight = 1;
-  bool has_timed_out = false;  ///< One of its attempts ran into its time limit.
+  bool has_timed_out = false;  ///< One of its attempts exceeded its time limit.
 
-  /// Whether its client still waits for the final answer.
+  /// Whether the client still waits for the final answer.
   bool has_client() const { return sink != nullptr; }
-  /// Whether an attempt of it has not ended yet.
+  /// Whether any attempt of the request has not ended.
   bool has_open_attempt() const;
 };
 
-/// The event by which a Dispatcher gets the request, at `now`.
+/// Returns the event that passes the request to a Dispatcher at `now`.
 scheduler::RequestArrived arrival_of(RequestId id, const Request& request, TimePoint now);
 
 /// Owns the open requests. References to a request stay valid until it is erased.
 class RequestTable {
  public:
-  /// A number that no request of this process had before.
+  /// Returns a number that no request of this process has had before.
   RequestId next_id() { return next_id_++; }
-  /// Adds a request under that number and under the name that the job has. The name must be free.
+  /// Adds a request under the number `id` and under the job's id, which must not be in use.
   Request& add(RequestId id, Job job);
-  /// Null if there is none.
+  /// Returns null if there is no such request.
   Request* find(RequestId id);
   const Request* find(RequestId id) const;
   bool contains_name(const std::string& name) const { return by_name_.contains(name); }
   std::size_t size() const { return by_name_.size(); }
   bool is_class_in_use(int class_index) const;
-  /// Requests of that pool that may be moved to another: no attempt was made for them yet and
-  /// their client waits. In the order in which they came.
+  /// Returns the requests of a pool that may be moved to another one, in order of arrival: those
+  /// without any attempt whose client still waits.
   std::vector<RequestId> unsent_in_pool(int pool) const;
-  /// Erases the request if it has neither a client nor an open attempt. Not before: while an
-  /// attempt is being cancelled, its endpoint and its status callbacks know the request by its
-  /// name.
+  /// Erases the request if it has neither a client nor an open attempt. It is kept until then
+  /// because the endpoint and the status callbacks of an attempt that is being cancelled still
+  /// refer to the request by its id.
   void erase_if_complete(RequestId id);
 
  private:
   std::unordered_map<RequestId, Request> requests_;
-  std::unordered_map<std::string, RequestId> by_name_;  // of all in requests_
+  std::unordered_map<std::string, RequestId> by_name_;  // by Job::id; same entries as requests_
   RequestId next_id_ = 1;
 };
 
--- a/node/core/response_sink.h
+++ b/node/core/response_sink.h
@@ -1,4 +1,4 @@
-/// The client's side of one request.
+/// The interface through which the core answers the client of one request.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 namespace keelflow {
 
-/// A report that an attempt runs, and how far it has come.
+/// A progress report of a running attempt.
 struct Progress {
   enum class Kind : std::uint8_t { started, running } kind = Kind::started;
-  double share = 0;  ///< Fraction done, of `running`.
+  double share = 0;  ///< Completed fraction; set for `running`.
   int attempt = 0;
 };
 
-/// How a request ended.
+/// The final answer to a request.
 struct FinalAnswer {
   enum class Kind : std::uint8_t { served, refused, failed } kind = Kind::failed;
-  std::string result = {};    ///< Of `served`.
-  Duration retry_after = {};  ///< Of `refused`; zero: no guidance.
-  bool timed_out = false;     ///< Of `failed`.
+  std::string result = {};    ///< Set for `served`.
+  Duration retry_after = {};  ///< Set for `refused`; zero if no retry time is given.
+  bool timed_out = false;     ///< Set for `failed`.
 };
 
-/// Receives what becomes of one request. `on_final` comes exactly once, unless the client has
-/// disconnected before.
+/// Receives the progress and the final answer of one request. `on_final` is called exactly once,
+/// unless the client disconnects first.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
   virtual void on_progress(const Progress&) {}
-  /// A label that a plug-in gave the request; it comes before any other call.
+  /// Passes the label that a plug-in gave the request. Called before any other function.
   virtual void on_label(const std::string&) {}
   virtual void on_final(FinalAnswer answer) = 0;
 };
--- a/node/core/time.h
+++ b/node/core/time.h
@@ -1,5 +1,5 @@
-/// Spans and points in time. The scheduler takes Unix time in milliseconds as a double; that figure
-/// exists only at its border, made by UnixClock.
+/// Durations and points in time. The scheduler takes Unix time in milliseconds as a double.
+/// UnixClock converts to that form at the scheduler's interface; it is used nowhere else.
 #pragma once
 
 #include <chrono>
@@ -18,16 +18,16 @@
   return Milliseconds(span).count();
 }
 
-/// Unix time, read from the system once and advanced by the steady clock from there, so that a step
-/// of the system's clock never moves the scheduler's time backwards. `born_ms` of discovery is on
-/// the same scale.
+/// Unix time that is read from the system clock once and then advanced by the steady clock, so that
+/// a step of the system clock never moves the scheduler's time backwards. `born_ms` of discovery is
+/// on the same scale.
 class UnixClock {
  public:
   UnixClock() : steady_(Clock::now()), unix_(std::chrono::system_clock::now().time_since_epoch()) {}
   double unix_ms(TimePoint t) const { return Milliseconds(unix_ + (t - steady_)).count(); }
-  // The first moment whose unix_ms is not under that. A double of today's size resolves 0.25 us, so
-  // that a timer set without a microsecond on top could ring just before its time and be put off by
-  // a tick.
+  /// Returns a point in time whose unix_ms is not less than the argument. A double that holds the
+  /// current Unix time in ms has a resolution of 0.25 us. Without the added microsecond, a timer
+  /// could fire just before its time and be postponed by a tick.
   TimePoint at(double unix_ms) const {
     return steady_ +
            std::chrono::duration_cast<Duration>(Milliseconds(unix_ms) - Milliseconds(unix_)) +
--- a/node/core/timer_port.h
+++ b/node/core/timer_port.h
@@ -1,4 +1,4 @@
-/// Time, as the core sees it.
+/// The core's interface to the clock and to timers.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,17 @@
 
 namespace keelflow {
 
+/// Identifies a scheduled task.
 using TimerId = std::uint64_t;
 
-/// The present time, and tasks that run later. A task runs once, not before its time.
+/// Returns the current time and schedules tasks. A task runs once, never before its scheduled time.
 class TimerPort {
  public:
   virtual ~TimerPort() = default;
   virtual TimePoint now() const = 0;
+  /// Schedules `task` to run at `when`.
   virtual TimerId at(TimePoint when, std::function<void()> task) = 0;
-  /// Nothing happens where the task has run or been cancelled already.
+  /// Does nothing if the task has already run or has been cancelled.
   virtual void cancel(TimerId id) = 0;
 };
 
--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -9,17 +9,17 @@
 
 using namespace std::chrono_literals;
 
-// The platform regards a change of the list as received this long after discovery had it.
+// The platform considers a list change received this long after it reached discovery.
 constexpr Duration kListDeadline = 6s;
-// Tolerated delays: of a process that is slow or of messages in transit, of the notice that a
-// client has disconnected, and of the time left between its computation and the write.
+// Tolerances for a slow process or messages in transit, for the notification of a client's
+// disconnection, and for the delay between computing the remaining time and writing it.
 constexpr Duration kDrainTolerance = 200ms;
 constexpr Duration kClientLeftTolerance = 100ms;
 constexpr Duration kDeadlineTolerance = 150ms;
-// What a report of a violation shows.
+// Number of events kept for the report of a violation.
 constexpr std::size_t kMaxEvents = 40;
 
-// The value of a header of a request's head; empty: it has none of that name.
+// Returns the value of a header in a request's head, or an empty view if there is none.
 std::string_view header(std::string_view bytes, std::string_view name) {
   std::string line_start = "\r\n" + std::string(name) + ": ";
   auto at = bytes.find(line_start);
@@ -74,7 +74,7 @@
   bool is_complete = list.contains("whole") && list["whole"] == true;
   std::uint64_t version = version_of(list).value_or(version_);
   if (!is_complete && version < version_)
-    return;  // a later change was received before it
+    return;  // a later change has already been received
   version_ = version;
   // Hosts that a complete list does not name are not ready.
   if (is_complete)
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -1,8 +1,8 @@
 /// \file
-/// Checks what this process really does: bytes written to endpoints, lists and rejections received
-/// from discovery, requests read, responses written, connections closed. The monitor keeps records
-/// of its own, shares no code with the operation guard, decides nothing, and counts violations. In
-/// test builds a violation ends the process and prints its last events.
+/// Checks the observable operations of this process: bytes written to endpoints, lists and
+/// rejections received from discovery, requests read, responses written, connections closed. The
+/// monitor keeps its own records, shares no code with the operation guard, makes no decisions and
+/// counts violations. In test builds a violation prints the last events and ends the process.
 #pragma once
 
 #include <array>
@@ -23,32 +23,33 @@
 
 /// The rules that are checked.
 enum class Rule : std::uint8_t {
-  drain,        ///< after the grace nothing is sent to an endpoint that the latest list does not
-                ///< name ready
-  stale_list,   ///< nothing is sent by a list that has not been confirmed for longer than a change
-                ///< may take to count as received
-  one_attempt,  ///< no attempt starts at an endpoint that has one of the same request in flight,
-                ///< nor beside any other where hedged requests are not permitted
-  repeat,       ///< a non-idempotent request is written to its last byte once
+  drain,        ///< after the grace period nothing is sent to an endpoint that is not ready in
+                ///< the latest list
+  stale_list,   ///< nothing is sent by a list that was last confirmed longer ago than the time
+                ///< after which a change counts as received
+  one_attempt,  ///< no attempt starts at an endpoint with an attempt of the same request in flight,
+                ///< nor while any other is in flight if hedging is not permitted
+  repeat,       ///< a non-idempotent request is completely written at most once
   client_gone,  ///< no attempt starts for a client that disconnected more than 100 ms ago
   deadline,     ///< an endpoint is given no more time than the client has left
   answer,       ///< a request that was read gets one response before its connection is closed
 };
 constexpr std::size_t kRules = static_cast<std::size_t>(Rule::answer) + 1;
-/// The name in the log and in /status.
+/// Returns the rule's name in the log and in /status.
 std::string_view to_string(Rule rule);
 
 /// The settings that the rules depend on.
 struct Terms {
-  Duration drain_grace{};          ///< after a change of the list, in which a send is permitted
+  Duration drain_grace{};          ///< sends are still permitted this long after a list change
   bool parallel_attempts = false;  ///< hedged requests are permitted
 };
 
-/// Receives an event for each thing the process does, and calls the listener for each violation.
-/// Events must come in the order of `now`. Reports no errors; not thread-safe.
+/// Receives an event for each operation of the process and calls the listener for each violation.
+/// Events must be passed in the order of `now`. Reports no errors; not thread-safe.
 class Monitor {
  public:
-  /// Called for each violation, from within the event's call. `what`: the request and the host.
+  /// Called for each violation, during the call that reports the event. `what` describes the
+  /// violation, usually by request and host.
   using Listener = std::function<void(Rule rule, const std::string& what)>;
   Monitor(const Terms& terms, Listener on_violation)
       : terms_(terms), on_violation_(std::move(on_violation)) {}
@@ -56,9 +57,9 @@
   /// Takes effect with the next event.
   void change(const Terms& terms) { terms_ = terms; }
 
-  /// A complete JSON object of discovery, as it came.
+  /// A complete JSON object was received from discovery.
   void list_received(std::string_view object, TimePoint now);
-  /// Any further bytes on a call to discovery that has brought an object.
+  /// More bytes were received on a discovery call that had already delivered an object.
   void heartbeat_received(TimePoint now);
   /// A call to discovery was rejected, or its connection was not established.
   void discovery_unavailable(TimePoint now);
@@ -72,8 +73,8 @@
   /// read and has no response; `client_left`: the client had closed its side before.
   void connection_closed(bool request_unanswered, bool client_left, TimePoint now);
 
-  /// An attempt's first bytes are written to an endpoint. `bytes`: the head, and the body as far as
-  /// it is written; `is_complete`: they contain the last byte.
+  /// The first bytes of an attempt were written to an endpoint. `bytes` holds the head and the part
+  /// of the body written so far. `is_complete` is true if they contain the last byte.
   void attempt_written(const std::string& host, std::string_view bytes, bool is_complete,
                        scheduler::Idempotency idempotency, TimePoint now);
   void last_byte_written(const std::string& id, scheduler::Idempotency idempotency, TimePoint now);
@@ -82,8 +83,10 @@
 
   std::uint64_t violations() const { return violations_; }
   std::uint64_t violations(Rule rule) const { return by_rule_[static_cast<std::size_t>(rule)]; }
-  std::size_t records() const { return requests_.size(); }  ///< of requests; for tests
-  /// The latest events, oldest first, a line each.
+  std::size_t records() const {
+    return requests_.size();
+  }  ///< number of request records; for tests
+  /// Returns the latest events, oldest first, one per line.
   std::string last_events() const;
 
  private:
@@ -91,7 +94,7 @@
     std::optional<TimePoint> client_left;
     TimePoint deadline;
     bool has_ended = false;
-    int complete_writes = 0;  // attempts that were written to their last byte and may have run
+    int complete_writes = 0;  // attempts that were completely written and may have run
     std::multimap<std::string, bool> in_flight;  // by host: whether the last byte was written
   };
 
@@ -108,10 +111,10 @@
 
   Terms terms_;
   Listener on_violation_;
-  // By host: since when it is not ready; empty: it is ready.
+  // By host: the time since which it is not ready, or nothing if it is ready.
   std::unordered_map<std::string, std::optional<TimePoint>> not_ready_since_;
   std::uint64_t version_ = 0;
-  std::optional<TimePoint> confirmed_;  // when discovery last proved the list or was unavailable
+  std::optional<TimePoint> confirmed_;  // when discovery last confirmed the list or was unavailable
   std::unordered_map<std::string, Request> requests_;
   std::uint64_t violations_ = 0;
   std::array<std::uint64_t, kRules> by_rule_{};
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -34,7 +34,7 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// A process without an endpoint list leaves clients to others for so long.
+// How long a process without a usable endpoint list reports that it is not ready.
 constexpr Duration kListBeforeReady = 4s;
 
 class Node {
@@ -124,8 +124,8 @@
     signals_.open();
     if (config_.admin)
       listeners_.open_operators();
-    // A process that may send nothing yet leaves clients to those that may, for a while: discovery
-    // may be away.
+    // A process without a usable list leaves clients to other processes at first. The wait is
+    // limited because discovery may be unavailable.
     front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
       return was_list_usable_ || loop_.now() >= latest;
     };
@@ -198,7 +198,7 @@
     return why;
   }
 
-  // Empty: done; else why not.
+  // Returns an empty string on success, otherwise the error.
   std::string override_endpoint(const std::string& host, bool out) {
     if (!override_control_.is_known(host))
       return "no executor '" + host + "' was ever listed";
@@ -250,7 +250,7 @@
                                  [this] {
                                    return upgrade_.is_enabled();
                                  }}};
-  // Where the platform lends the listening socket.
+  // Used when the platform provides the listening socket.
   ProcessUpgrade upgrade_{
       {.loop = loop_,
        .clock = clock_,
@@ -306,7 +306,7 @@
                                     return upgrade_.is_done();
                                   }}};
   bool serving_ = false;
-  bool was_list_usable_ = false;  // it had a list that could be sent by
+  bool was_list_usable_ = false;  // an endpoint list has been usable for sending
   SignalReader signals_{loop_,
                         {.on_terminate = [this] { shutdown_.begin(); },
                          .on_reload = [this] { reload_.run(); },
@@ -341,7 +341,7 @@
     throw;
   }
   if (!log::close())
-    _exit(code);  // its thread is stuck in a write that nobody reads, and cannot be joined
+    _exit(code);  // the log thread is blocked in a write that is not read, and cannot be joined
   return code;
 }
 
--- a/node/node.h
+++ b/node/node.h
@@ -1,4 +1,5 @@
-/// The node: joins the parts, serves until SIGTERM and until what it had taken is done.
+/// The node process: connects its components and serves until SIGTERM. It exits after the requests
+/// that it had accepted are finished.
 #pragma once
 
 #include <memory>
@@ -8,20 +9,20 @@
 
 namespace keelflow {
 
-// The signals that the node reads from a descriptor. They are blocked before anything else is done,
-// and before any thread is started: by default each of them ends the program, and one that comes
-// early must not.
+/// Blocks the signals that the node reads from a descriptor. Must be called first, before any
+/// thread is started: by default each of these signals ends the program, and a signal that arrives
+/// early must not do so.
 void block_signals();
 
 /// The files that the node reads.
 struct NodeFiles {
-  std::string platform;                      // EDGE_CONFIG
-  std::string own = "deploy/keelflow.sexp";  // keelflow's own settings
-  bool own_given = false;                    // it was named, so that it must be there
+  std::string platform;                      ///< Value of EDGE_CONFIG.
+  std::string own = "deploy/keelflow.sexp";  ///< keelflow's own settings.
+  bool own_given = false;                    ///< Named explicitly, so it must exist.
 };
 
-/// Serves; returns the program's exit code. Throws ConfigError and std::system_error while it
-/// starts.
+/// Runs the node and returns the program's exit code. Throws ConfigError and std::system_error
+/// during startup.
 int run_node(const NodeFiles& files);
 
 }  // namespace keelflow
