--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -294,7 +294,7 @@
   auto serve = [&] {
     return run_node({.platform = platform_file(options),
                      .own = options.file,
-                     .own_given = given && given->count() > 0});
+                     .is_own_path_given = given && given->count() > 0});
   };
   CLI::App* sub =
       command(app, "run", "serve until SIGTERM", "keelflow run --file deploy/keelflow.sexp", serve);
--- a/node/admin/status_report.cpp
+++ b/node/admin/status_report.cpp
@@ -65,7 +65,7 @@
 
 json StatusReport::violations() const {
   json all = json::object();
-  for (std::size_t i = 0; i < invariants::kRules; ++i) {
+  for (std::size_t i = 0; i < invariants::kRuleCount; ++i) {
     auto rule = static_cast<invariants::Rule>(i);
     auto count = from_.monitor.violations(rule);
     if (count > 0)
--- a/node/core/attempt_tracker.cpp
+++ b/node/core/attempt_tracker.cpp
@@ -39,10 +39,10 @@
   Request* request = requests_.find(ref.request);
   if (!request || ref.attempt < 0)
     return nullptr;
-  auto place = static_cast<std::size_t>(ref.attempt);
-  if (place >= request->attempts.size() || !request->attempts[place].is_open())
+  auto index = static_cast<std::size_t>(ref.attempt);
+  if (index >= request->attempts.size() || !request->attempts[index].is_open())
     return nullptr;
-  return &request->attempts[place];
+  return &request->attempts[index];
 }
 
 bool AttemptTracker::on_started(AttemptRef ref) {
--- a/node/core/counters.h
+++ b/node/core/counters.h
@@ -90,13 +90,13 @@
 // clang-format on
 
 /// Final answers of one class whose client was still connected.
-struct ClassFigures {
+struct ClassAnswerCounts {
   std::uint64_t completed = 0, rejected = 0, failed = 0;
 };
 
 /// All counters of the process. Metrics scrapers depend on their names.
 struct Counters {
-  std::map<std::string, ClassFigures>
+  std::map<std::string, ClassAnswerCounts>
       classes;  // by name; never erased, since a class may be removed and added again
 #define X(name) std::uint64_t name = 0;
   KEELFLOW_COUNTERS(X)
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -43,9 +43,9 @@
 }
 
 void Engine::name_classes(const std::vector<std::string>& names) {
-  figures_.clear();
+  answer_counts_.clear();
   for (const std::string& name : names)
-    figures_.push_back(&counters_.classes[name]);
+    answer_counts_.push_back(&counters_.classes[name]);
 }
 
 void Engine::change_settings(const scheduler::Settings& settings,
@@ -96,13 +96,13 @@
     if (send_to_sibling_)
       send_to_sibling_(message.bytes);
   } else if (peers_) {
-    peers_->tell(message.peer, message.bytes);
+    peers_->send_datagram(message.peer, message.bytes);
   }
 }
 
 void Engine::reject_at_once(const Job& job, ResponseSink& sink) {
   ++counters_.answers_refused;
-  ++figures_of(job).rejected;
+  ++answer_counts_of(job).rejected;
   sink.on_final({.kind = FinalAnswer::Kind::refused, .retry_after = kRetryAfterOverload});
 }
 
@@ -110,15 +110,16 @@
   if (requests_.contains_name(job.id))
     return std::nullopt;
   RequestId id = requests_.next_id();
-  auto phase = last_answer_ <= timers_.now() ? operation_guard::Phase::ended
-                                             : operation_guard::Phase::serving;
+  auto phase = shutdown_deadline_ <= timers_.now() ? operation_guard::Phase::ended
+                                                   : operation_guard::Phase::serving;
   auto verdict = operation_guard::may_start({.phase = phase, .has_waiting_client = true});
   if (!verdict.allowed()) {  // the process would end before it could answer
     refusals_.count(operation_guard::Operation::start, verdict.reason());
     reject_at_once(job, sink);
     return id;
   }
-  if (requests_.size() >= limits_.most_held) {  // platform limit, enforced before the scheduler
+  // The platform's limit is enforced before the scheduler gets the request.
+  if (requests_.size() >= limits_.max_open_requests) {
     reject_at_once(job, sink);
     return id;
   }
@@ -127,13 +128,13 @@
   TimePoint now = timers_.now();
   if (monitor_)
     monitor_->request_read(job.id, job.client_timeout, now);
-  if (job.client_timeout > last_answer_ - now)
-    job.client_timeout = std::max(Duration::zero(), last_answer_ - now);
-  job.limits_retries =
+  if (job.client_timeout > shutdown_deadline_ - now)
+    job.client_timeout = std::max(Duration::zero(), shutdown_deadline_ - now);
+  job.has_limited_retries =
       settings().classes.at(static_cast<std::size_t>(job.class_index)).idempotency !=
       scheduler::Idempotency::idempotent;
   Request& request = requests_.add(id, std::move(job));
-  request.taken = now;
+  request.read_time = now;
   request.deadline = now + request.job.client_timeout;
   request.sink = &sink;
   request.awaits_filter = filter_ != nullptr;
@@ -149,9 +150,9 @@
   if (!request || !request->awaits_filter)
     return;
   if (decision.is_rejected) {
-    Duration most = from_ms(settings().max_retry_after_ms);
+    Duration max_retry_after = from_ms(settings().max_retry_after_ms);
     Duration retry_after =
-        settings().retry_after ? std::min(decision.retry_after, most) : Duration::zero();
+        settings().retry_after ? std::min(decision.retry_after, max_retry_after) : Duration::zero();
     return finish(id, {.kind = FinalAnswer::Kind::refused, .retry_after = retry_after});
   }
   request->awaits_filter = false;
@@ -173,7 +174,7 @@
 void Engine::reroute(int pool) {
   if (!selector_)
     return;
-  for (RequestId id : requests_.unsent_in_pool(pool)) {
+  for (RequestId id : requests_.reroutable_requests(pool)) {
     Request& request = *requests_.find(id);
     int new_pool = selector_->choose(request.job);
     if (new_pool == pool)
@@ -185,11 +186,11 @@
   }
 }
 
-void Engine::report_end(const Request& request, RequestOutcome outcome) {
+void Engine::report_outcome(const Request& request, RequestOutcome outcome) {
   if (selector_ && !request.awaits_filter)
     selector_->on_request_ended(request.job, request.pool, request.admitted, outcome);
   if (filter_)
-    filter_->on_request_ended(request.job, timers_.now() - request.taken, outcome);
+    filter_->on_request_ended(request.job, timers_.now() - request.read_time, outcome);
 }
 
 void Engine::on_client_disconnected(RequestId id) {
@@ -199,10 +200,10 @@
   ++counters_.clients_gone;
   --pending_;
   request->sink = nullptr;
-  report_end(*request, RequestOutcome::client_disconnected);
+  report_outcome(*request, RequestOutcome::client_disconnected);
   if (monitor_) {
     monitor_->client_left(request->job.id, timers_.now());
-    monitor_->request_over(request->job.id);
+    monitor_->request_completed(request->job.id);
   }
   if (request->awaits_filter) {
     filter_->on_client_disconnected(id);
@@ -309,19 +310,19 @@
 
 void Engine::count_answer(const Job& job, FinalAnswer::Kind kind) {
   --pending_;
-  ClassFigures& figures = figures_of(job);
+  ClassAnswerCounts& answer_counts = answer_counts_of(job);
   switch (kind) {
     case FinalAnswer::Kind::served:
       ++counters_.answers_served;
-      ++figures.completed;
+      ++answer_counts.completed;
       break;
     case FinalAnswer::Kind::refused:
       ++counters_.answers_refused;
-      ++figures.rejected;
+      ++answer_counts.rejected;
       break;
     case FinalAnswer::Kind::failed:
       ++counters_.answers_failed;
-      ++figures.failed;
+      ++answer_counts.failed;
       break;
   }
 }
@@ -333,9 +334,9 @@
   count_answer(request->job, answer.kind);
   ResponseSink* sink = request->sink;
   request->sink = nullptr;
-  report_end(*request, outcome_of(answer.kind));
+  report_outcome(*request, outcome_of(answer.kind));
   if (monitor_)
-    monitor_->request_over(request->job.id);
+    monitor_->request_completed(request->job.id);
   sink->on_final(std::move(answer));
   requests_.erase_if_complete(id);
 }
--- a/node/core/engine.h
+++ b/node/core/engine.h
@@ -30,8 +30,8 @@
  public:
   /// Limits that the Engine enforces itself.
   struct Limits {
-    std::size_t most_held = 20000;  ///< Maximum of open requests; further ones are rejected.
-    Duration tick{};                ///< Minimum time between two timers of one pool.
+    std::size_t max_open_requests = 20000;  ///< Further requests are rejected.
+    Duration tick{};                        ///< Minimum time between two timers of one pool.
   };
 
   Engine(const scheduler::Settings& settings, std::uint64_t seed, Limits limits, TimerPort& timers,
@@ -79,7 +79,7 @@
   void on_client_disconnected(RequestId id);
   /// Sets the time after which the process ends. It is the latest deadline of requests that are
   /// submitted from now on.
-  void set_last_answer(TimePoint last) { last_answer_ = last; }
+  void set_shutdown_deadline(TimePoint deadline) { shutdown_deadline_ = deadline; }
 
   /// Called by the outbound side. Reports of an attempt that has ended are ignored.
   void on_attempt_started(AttemptRef ref);
@@ -122,8 +122,8 @@
 
  private:
   const scheduler::Settings& settings() const { return pools_.settings(); }
-  ClassFigures& figures_of(const Job& job) {
-    return *figures_.at(static_cast<std::size_t>(job.class_index));
+  ClassAnswerCounts& answer_counts_of(const Job& job) {
+    return *answer_counts_.at(static_cast<std::size_t>(job.class_index));
   }
   void execute(const scheduler::Action& action);
   void on_handled(const scheduler::Event& event);
@@ -135,7 +135,7 @@
   void fail(RequestId id);
   void finish(RequestId id, FinalAnswer answer);
   void count_answer(const Job& job, FinalAnswer::Kind kind);
-  void report_end(const Request& request, RequestOutcome outcome);
+  void report_outcome(const Request& request, RequestOutcome outcome);
 
   Limits limits_;
   TimerPort& timers_;
@@ -143,7 +143,7 @@
   PoolDispatchers pools_;
   RequestTable requests_;
   AttemptTracker attempts_;
-  std::vector<ClassFigures*> figures_;  // by class number
+  std::vector<ClassAnswerCounts*> answer_counts_;  // by class number
   PoolSelector* selector_ = nullptr;
   RequestFilter* filter_ = nullptr;
   EndpointPort* endpoints_ = nullptr;
@@ -151,7 +151,7 @@
   PeerSender* peers_ = nullptr;
   std::function<void(const std::string&)> send_to_sibling_;
   operation_guard::RefusalCounts refusals_;
-  TimePoint last_answer_ = TimePoint::max();
+  TimePoint shutdown_deadline_ = TimePoint::max();
   std::size_t pending_ = 0;
 };
 
--- a/node/core/job.h
+++ b/node/core/job.h
@@ -29,7 +29,7 @@
   double slots = 1, memory = 0;
   bool repeat = false;  ///< The client marked the request as a retry.
   bool wants_progress = false;
-  bool limits_retries = false;  ///< Its class limits retries of attempts that may have run.
+  bool has_limited_retries = false;  ///< Its class limits retries of attempts that may have run.
   std::string_view path, idempotency_key;  ///< Views into the payload.
   std::size_t bytes = 0;                   ///< Approximate size of the payload.
   std::shared_ptr<const Payload> payload;
--- a/node/core/peer_sender.h
+++ b/node/core/peer_sender.h
@@ -10,7 +10,7 @@
 class PeerSender {
  public:
   virtual ~PeerSender() = default;
-  virtual void tell(int peer, std::string_view bytes) = 0;
+  virtual void send_datagram(int peer, std::string_view bytes) = 0;
 };
 
 }  // namespace keelflow
--- a/node/core/request_table.cpp
+++ b/node/core/request_table.cpp
@@ -48,7 +48,7 @@
                      [&](const auto& r) { return r.second.job.class_index == class_index; });
 }
 
-std::vector<RequestId> RequestTable::unsent_in_pool(int pool) const {
+std::vector<RequestId> RequestTable::reroutable_requests(int pool) const {
   std::vector<RequestId> unsent;
   for (const auto& [id, request] : requests_) {
     if (request.pool == pool && request.attempts.empty() && request.has_client() &&
--- a/node/core/request_table.h
+++ b/node/core/request_table.h
@@ -16,7 +16,7 @@
 struct Request {
   Job job;
   ResponseSink* sink = nullptr;  ///< Not owned. Null once answered or the client disconnected.
-  TimePoint taken;               ///< Time when it was read.
+  TimePoint read_time;           ///< When the request was read.
   TimePoint admitted;            ///< Time when it was admitted to its pool.
   TimePoint deadline;            ///< Time when its client gives up.
   int pool = 0;
@@ -49,7 +49,7 @@
   bool is_class_in_use(int class_index) const;
   /// Returns the requests of a pool that may be moved to another one, in order of arrival: those
   /// without any attempt whose client still waits.
-  std::vector<RequestId> unsent_in_pool(int pool) const;
+  std::vector<RequestId> reroutable_requests(int pool) const;
   /// Erases the request if it has neither a client nor an open attempt. It is kept until then
   /// because the endpoint and the status callbacks of an attempt that is being cancelled still
   /// refer to the request by its id.
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -52,7 +52,7 @@
 
 void WatchSurvey::send(int peer, Kind kind) {
   if (peers_)
-    peers_->tell(peer, discovery::encode({kind}));
+    peers_->send_datagram(peer, discovery::encode({kind}));
 }
 
 bool WatchSurvey::hear(int peer, std::string_view bytes) {
--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -99,7 +99,7 @@
   for (const fleet::OutgoingMessage& message : out.messages) {
     ++counters_.fleet_words_sent;
     counters_.fleet_bytes_sent += message.bytes.size();
-    peers_.tell(message.to, message.bytes);
+    peers_.send_datagram(message.to, message.bytes);
   }
   bool is_engine_affected = false;
   for (const fleet::MemberChange& change : out.changes) {
--- a/node/inbound/platform_front.cpp
+++ b/node/inbound/platform_front.cpp
@@ -212,7 +212,7 @@
 
 std::unique_ptr<Exchange> PlatformFront::take_plain(InboundConnection& connection, Job job) {
   auto figures = [this,
-                  class_index = static_cast<std::size_t>(job.class_index)]() -> ClassFigures& {
+                  class_index = static_cast<std::size_t>(job.class_index)]() -> ClassAnswerCounts& {
     return counters_.classes[config_.names.classes.at(class_index)];
   };
   if (left_early(connection))
--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -42,7 +42,7 @@
 }  // namespace
 
 std::string_view to_string(Rule rule) {
-  constexpr std::array<std::string_view, kRules> names = {
+  constexpr std::array<std::string_view, kRuleCount> names = {
       "drain", "stale-list", "one-attempt", "repeat", "client-gone", "deadline", "answer"};
   return names[static_cast<std::size_t>(rule)];
 }
@@ -119,7 +119,7 @@
   record("client left " + id);
 }
 
-void Monitor::request_over(const std::string& id) {
+void Monitor::request_completed(const std::string& id) {
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
@@ -157,9 +157,9 @@
                             TimePoint now) {
   if (request.client_left && now > *request.client_left + kClientLeftTolerance)
     violate(Rule::client_gone, id + " to " + host);
-  bool same_host = request.in_flight.contains(host);
-  bool forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
-  if (same_host || forbidden_hedge)
+  bool is_same_host = request.in_flight.contains(host);
+  bool is_forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
+  if (is_same_host || is_forbidden_hedge)
     violate(Rule::one_attempt, id + " to " + host);
 }
 
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -34,7 +34,7 @@
   deadline,     ///< an endpoint is given no more time than the client has left
   answer,       ///< a request that was read gets one response before its connection is closed
 };
-constexpr std::size_t kRules = static_cast<std::size_t>(Rule::answer) + 1;
+constexpr std::size_t kRuleCount = static_cast<std::size_t>(Rule::answer) + 1;
 /// Returns the rule's name in the log and in /status.
 std::string_view to_string(Rule rule);
 
@@ -68,7 +68,7 @@
   void request_read(const std::string& id, Duration timeout, TimePoint now);
   void client_left(const std::string& id, TimePoint now);
   /// Its final response was written, or its client has disconnected.
-  void request_over(const std::string& id);
+  void request_completed(const std::string& id);
   /// This process closed a client's connection. `request_unanswered`: it had a request that was
   /// read and has no response; `client_left`: the client had closed its side before.
   void connection_closed(bool request_unanswered, bool client_left, TimePoint now);
@@ -117,7 +117,7 @@
   std::optional<TimePoint> confirmed_;  // when discovery last confirmed the list or was unavailable
   std::unordered_map<std::string, Request> requests_;
   std::uint64_t violations_ = 0;
-  std::array<std::uint64_t, kRules> by_rule_{};
+  std::array<std::uint64_t, kRuleCount> by_rule_{};
   std::deque<std::string> events_;  // the latest
 };
 
--- a/node/lifecycle/config_reload.cpp
+++ b/node/lifecycle/config_reload.cpp
@@ -35,7 +35,7 @@
     return parts_.engine.is_class_in_use(class_index);
   });
   const Names& names = next.config.names;
-  config::Own own = config::read_own(files.own, !files.own_given);
+  config::Own own = config::read_own(files.own, !files.is_own_path_given);
   Traffic::check(own.routes, names);
   parts_.traffic.check_numbers(own.routes);
   auto packages = plugins::load_all(own.plugins, files.own, names);
--- a/node/lifecycle/graceful_shutdown.cpp
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -35,7 +35,7 @@
   TimePoint begun = parts_.loop.now();
   parts_.loop.at(begun + kLimitDeadlinesAfter, [this, begun] {
     advance(Stage::deadlines_limited);
-    parts_.engine.set_last_answer(begun + last_answer());
+    parts_.engine.set_shutdown_deadline(begun + last_answer());
   });
   parts_.loop.at(begun + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
   if (handover::should_stop_accepting(true, callbacks_.has_successor()))
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -35,7 +35,7 @@
 using log::Subsystem;
 
 // How long a process without a usable endpoint list reports that it is not ready.
-constexpr Duration kListBeforeReady = 4s;
+constexpr Duration kMaxWaitForFirstList = 4s;
 
 class Node {
  public:
@@ -126,7 +126,7 @@
       listeners_.open_operators();
     // A process without a usable list leaves clients to other processes at first. The wait is
     // limited because discovery may be unavailable.
-    front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
+    front_.ready = [this, latest = loop_.now() + kMaxWaitForFirstList] {
       return was_list_usable_ || loop_.now() >= latest;
     };
     front_.forward_status_callback = [this](const std::string& body) {
@@ -328,7 +328,7 @@
   block_signals();
   if (files.platform.empty())
     throw ConfigError("EDGE_CONFIG is not set");
-  config::Own own = config::read_own(files.own, !files.own_given);
+  config::Own own = config::read_own(files.own, !files.is_own_path_given);
   Config config = read_config(files.platform);
   read_environment(config);
   log::open(own.log);
--- a/node/node.h
+++ b/node/node.h
@@ -18,7 +18,7 @@
 struct NodeFiles {
   std::string platform;                      ///< Value of EDGE_CONFIG.
   std::string own = "deploy/keelflow.sexp";  ///< keelflow's own settings.
-  bool own_given = false;                    ///< Named explicitly, so it must exist.
+  bool is_own_path_given = false;            ///< Named explicitly, so it must exist.
 };
 
 /// Runs the node and returns the program's exit code. Throws ConfigError and std::system_error
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -34,7 +34,7 @@
       dial_(to.dial),
       payload_(job.payload),
       wants_progress_(job.wants_progress),
-      once_(job.limits_retries),
+      once_(job.has_limited_retries),
       terms_(terms) {}
 
 OutboundCall::~OutboundCall() {
--- a/node/peers/peers.cpp
+++ b/node/peers/peers.cpp
@@ -61,7 +61,7 @@
   return own;
 }
 
-void Peers::tell(int peer, std::string_view bytes) {
+void Peers::send_datagram(int peer, std::string_view bytes) {
   bool is_peer = peer >= 0 && static_cast<std::size_t>(peer) < peers_.size() && peer != rank_;
   if (fd_ < 0 || !is_peer || bytes.size() > kMaxMessageBytes) {
     ++counters_.peer_messages_dropped;
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -34,7 +34,7 @@
   bool open(const net::Address& listen);
   /// Never blocks: where the kernel has no buffer, or there is no such peer, the message is dropped
   /// and counted.
-  void tell(int peer, std::string_view bytes) override;
+  void send_datagram(int peer, std::string_view bytes) override;
   /// The one it has; port 0 while it is closed.
   net::Address address() const;
 
--- a/tests/node/invariants_test.cpp
+++ b/tests/node/invariants_test.cpp
@@ -38,7 +38,7 @@
 TEST_F(InvariantMonitor, AnOrdinaryAttemptViolatesNothing) {
   write("box", kStart + 1s);
   monitor_.attempt_ended("A", "box", false);
-  monitor_.request_over("A");
+  monitor_.request_completed("A");
   EXPECT_EQ(violations_, Rules{});
   EXPECT_EQ(monitor_.records(), 0u);
 }
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -76,21 +76,21 @@
 }
 
 TEST_F(PeersTest, WhatCannotBeSentIsDroppedAndCounted) {
-  peers.tell(1, "not open yet");
+  peers.send_datagram(1, "not open yet");
   ASSERT_TRUE(peers.open(*net::parse_address("127.0.0.1:0")));
-  peers.tell(1, std::string(257, 'x'));
-  peers.tell(0, "to myself");
-  peers.tell(2, "nobody");
-  peers.tell(-1, "nobody");
+  peers.send_datagram(1, std::string(257, 'x'));
+  peers.send_datagram(0, "to myself");
+  peers.send_datagram(2, "nobody");
+  peers.send_datagram(-1, "nobody");
   EXPECT_EQ(counters.peer_messages_dropped, 5u);
-  peers.tell(1, "hello");
+  peers.send_datagram(1, "hello");
   EXPECT_EQ(friendly.receive(), "hello");
   EXPECT_EQ(counters.peer_messages_sent, 1u);
 }
 
 TEST_F(PeersTest, AnAddressThatIsTakenIsReportedAndTheNodeGoesOn) {
   EXPECT_FALSE(peers.open(stranger.address));
-  peers.tell(1, "dropped");
+  peers.send_datagram(1, "dropped");
   EXPECT_EQ(counters.peer_messages_dropped, 1u);
 }
 
