--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -133,8 +133,8 @@
     requests_.erase(it);
 }
 
-void Monitor::connection_closed(bool request_unanswered, bool client_left, TimePoint) {
-  if (request_unanswered && !client_left)
+void Monitor::connection_closed(bool has_unanswered_request, bool client_left, TimePoint) {
+  if (has_unanswered_request && !client_left)
     violate(Rule::answer, "a connection was closed with a request that was read and not answered");
 }
 
@@ -168,8 +168,8 @@
   std::string_view text = header(bytes, "X-Expires-In-Ms");
   std::int64_t expires_in_ms = 0;
   std::from_chars(text.data(), text.data() + text.size(), expires_in_ms);
-  Duration left = request.deadline - now;
-  if (std::chrono::milliseconds(expires_in_ms) > left + kDeadlineTolerance)
+  Duration time_left = request.deadline - now;
+  if (std::chrono::milliseconds(expires_in_ms) > time_left + kDeadlineTolerance)
     violate(Rule::deadline, id + " to " + host);
 }
 
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -69,9 +69,9 @@
   void client_left(const std::string& id, TimePoint now);
   /// Its final response was written, or its client has disconnected.
   void request_completed(const std::string& id);
-  /// This process closed a client's connection. `request_unanswered`: it had a request that was
+  /// This process closed a client's connection. `has_unanswered_request`: it had a request that was
   /// read and has no response; `client_left`: the client had closed its side before.
-  void connection_closed(bool request_unanswered, bool client_left, TimePoint now);
+  void connection_closed(bool has_unanswered_request, bool client_left, TimePoint now);
 
   /// The first bytes of an attempt were written to an endpoint. `bytes` holds the head and the part
   /// of the body written so far. `is_complete` is true if they contain the last byte.
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -146,7 +146,7 @@
   }
 
   void serve() {
-    serving_ = true;
+    is_serving_ = true;
     if (config_.listen_fd >= 0)
       server_.inherit(config_.listen_fd);
     else
@@ -157,13 +157,13 @@
   }
 
   void serve_if_ready() {
-    if (!serving_ && upgrade_.has_begun() && not_ready().empty())
+    if (!is_serving_ && upgrade_.has_begun() && not_ready().empty())
       serve();
   }
 
   void on_endpoint_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
-    if (!serving_)
+    if (!is_serving_)
       upgrade_.on_list_before_serving();
   }
 
@@ -187,12 +187,12 @@
   }
 
   void on_watch_established() {
-    if (upgrade_.has_begun() && !serving_)
+    if (upgrade_.has_begun() && !is_serving_)
       upgrade_.on_watch_established();
   }
 
   std::string not_ready() const {
-    std::string why = serving_ ? "" : upgrade_.waits_for();
+    std::string why = is_serving_ ? "" : upgrade_.waits_for();
     if (why.empty() && shutdown_.has_begun())
       return "it was told to end";
     return why;
@@ -305,7 +305,7 @@
                                   [this] {
                                     return upgrade_.is_done();
                                   }}};
-  bool serving_ = false;
+  bool is_serving_ = false;
   bool was_list_usable_ = false;  // an endpoint list has been usable for sending
   SignalReader signals_{loop_,
                         {.on_terminate = [this] { shutdown_.begin(); },
