--- a/node/node.cpp
+++ b/node/node.cpp
@@ -194,7 +194,7 @@
   std::string not_ready() const {
     std::string why = is_serving_ ? "" : upgrade_.waits_for();
     if (why.empty() && shutdown_.has_begun())
-      return "it was told to end";
+      return "the process is shutting down";
     return why;
   }
 
