--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -168,7 +168,7 @@
   pools_.post(request.pool, arrival_of(id, request, timers_.now()));
 }
 
-// The previous Dispatcher gets an event as if the client of a rerouted request has disconnected.
+// The previous Dispatcher gets an event as if the client of a rerouted request had disconnected.
 // Nothing was sent, so nothing has to be cancelled. The request keeps its deadline and counts only
 // once against its tenant's quota.
 void Engine::reroute(int pool) {
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -34,7 +34,7 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// How long a process without a usable endpoint list reports that it is not ready.
+// How long a process without a usable endpoint list leaves clients to other processes.
 constexpr Duration kMaxWaitForFirstList = 4s;
 
 class Node {
