--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -9,17 +9,17 @@
 
 using namespace std::chrono_literals;
 
-// The platform regards a change of the list as received this long after discovery had it.
+// The platform considers a list change received this long after it reached discovery.
 constexpr Duration kListDeadline = 6s;
-// Tolerated delays: of a process that is slow or of messages in transit, of the notice that a
-// client has disconnected, and of the time left between its computation and the write.
+// Tolerances for a slow process or messages in transit, for the notification of a client's
+// disconnection, and for the delay between computing the remaining time and writing it.
 constexpr Duration kDrainTolerance = 200ms;
 constexpr Duration kClientLeftTolerance = 100ms;
 constexpr Duration kDeadlineTolerance = 150ms;
-// What a report of a violation shows.
+// Number of events kept for the report of a violation.
 constexpr std::size_t kMaxEvents = 40;
 
-// The value of a header of a request's head; empty: it has none of that name.
+// Returns the value of a header in a request's head, or an empty view if there is none.
 std::string_view header(std::string_view bytes, std::string_view name) {
   std::string line_start = "\r\n" + std::string(name) + ": ";
   auto at = bytes.find(line_start);
@@ -42,7 +42,7 @@
 }  // namespace
 
 std::string_view to_string(Rule rule) {
-  constexpr std::array<std::string_view, kRules> names = {
+  constexpr std::array<std::string_view, kRuleCount> names = {
       "drain", "stale-list", "one-attempt", "repeat", "client-gone", "deadline", "answer"};
   return names[static_cast<std::size_t>(rule)];
 }
@@ -74,7 +74,7 @@
   bool is_complete = list.contains("whole") && list["whole"] == true;
   std::uint64_t version = version_of(list).value_or(version_);
   if (!is_complete && version < version_)
-    return;  // a later change was received before it
+    return;  // a later change has already been received
   version_ = version;
   // Hosts that a complete list does not name are not ready.
   if (is_complete)
@@ -119,7 +119,7 @@
   record("client left " + id);
 }
 
-void Monitor::request_over(const std::string& id) {
+void Monitor::request_completed(const std::string& id) {
   auto it = requests_.find(id);
   if (it == requests_.end())
     return;
@@ -133,8 +133,8 @@
     requests_.erase(it);
 }
 
-void Monitor::connection_closed(bool request_unanswered, bool client_left, TimePoint) {
-  if (request_unanswered && !client_left)
+void Monitor::connection_closed(bool has_unanswered_request, bool client_left, TimePoint) {
+  if (has_unanswered_request && !client_left)
     violate(Rule::answer, "a connection was closed with a request that was read and not answered");
 }
 
@@ -157,9 +157,9 @@
                             TimePoint now) {
   if (request.client_left && now > *request.client_left + kClientLeftTolerance)
     violate(Rule::client_gone, id + " to " + host);
-  bool same_host = request.in_flight.contains(host);
-  bool forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
-  if (same_host || forbidden_hedge)
+  bool is_same_host = request.in_flight.contains(host);
+  bool is_forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
+  if (is_same_host || is_forbidden_hedge)
     violate(Rule::one_attempt, id + " to " + host);
 }
 
@@ -168,8 +168,8 @@
   std::string_view text = header(bytes, "X-Expires-In-Ms");
   std::int64_t expires_in_ms = 0;
   std::from_chars(text.data(), text.data() + text.size(), expires_in_ms);
-  Duration left = request.deadline - now;
-  if (std::chrono::milliseconds(expires_in_ms) > left + kDeadlineTolerance)
+  Duration time_left = request.deadline - now;
+  if (std::chrono::milliseconds(expires_in_ms) > time_left + kDeadlineTolerance)
     violate(Rule::deadline, id + " to " + host);
 }
 
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -34,8 +34,8 @@
 using namespace std::chrono_literals;
 using log::Subsystem;
 
-// A process without an endpoint list leaves clients to others for so long.
-constexpr Duration kListBeforeReady = 4s;
+// How long a process without a usable endpoint list leaves clients to other processes.
+constexpr Duration kMaxWaitForFirstList = 4s;
 
 class Node {
  public:
@@ -124,9 +124,9 @@
     signals_.open();
     if (config_.admin)
       listeners_.open_operators();
-    // A process that may send nothing yet leaves clients to those that may, for a while: discovery
-    // may be away.
-    front_.ready = [this, latest = loop_.now() + kListBeforeReady] {
+    // A process without a usable list leaves clients to other processes at first. The wait is
+    // limited because discovery may be unavailable.
+    front_.ready = [this, latest = loop_.now() + kMaxWaitForFirstList] {
       return was_list_usable_ || loop_.now() >= latest;
     };
     front_.forward_status_callback = [this](const std::string& body) {
@@ -146,7 +146,7 @@
   }
 
   void serve() {
-    serving_ = true;
+    is_serving_ = true;
     if (config_.listen_fd >= 0)
       server_.inherit(config_.listen_fd);
     else
@@ -157,13 +157,13 @@
   }
 
   void serve_if_ready() {
-    if (!serving_ && upgrade_.has_begun() && not_ready().empty())
+    if (!is_serving_ && upgrade_.has_begun() && not_ready().empty())
       serve();
   }
 
   void on_endpoint_list(scheduler::EndpointList list) {
     traffic_.list(admin_overrides_.apply(std::move(list)));
-    if (!serving_)
+    if (!is_serving_)
       upgrade_.on_list_before_serving();
   }
 
@@ -187,18 +187,18 @@
   }
 
   void on_watch_established() {
-    if (upgrade_.has_begun() && !serving_)
+    if (upgrade_.has_begun() && !is_serving_)
       upgrade_.on_watch_established();
   }
 
   std::string not_ready() const {
-    std::string why = serving_ ? "" : upgrade_.waits_for();
+    std::string why = is_serving_ ? "" : upgrade_.waits_for();
     if (why.empty() && shutdown_.has_begun())
-      return "it was told to end";
+      return "the process is shutting down";
     return why;
   }
 
-  // Empty: done; else why not.
+  // Returns an empty string on success, otherwise the error.
   std::string override_endpoint(const std::string& host, bool out) {
     if (!override_control_.is_known(host))
       return "no executor '" + host + "' was ever listed";
@@ -250,7 +250,7 @@
                                  [this] {
                                    return upgrade_.is_enabled();
                                  }}};
-  // Where the platform lends the listening socket.
+  // Used when the platform provides the listening socket.
   ProcessUpgrade upgrade_{
       {.loop = loop_,
        .clock = clock_,
@@ -305,8 +305,8 @@
                                   [this] {
                                     return upgrade_.is_done();
                                   }}};
-  bool serving_ = false;
-  bool was_list_usable_ = false;  // it had a list that could be sent by
+  bool is_serving_ = false;
+  bool was_list_usable_ = false;  // an endpoint list has been usable for sending
   SignalReader signals_{loop_,
                         {.on_terminate = [this] { shutdown_.begin(); },
                          .on_reload = [this] { reload_.run(); },
@@ -328,7 +328,7 @@
   block_signals();
   if (files.platform.empty())
     throw ConfigError("EDGE_CONFIG is not set");
-  config::Own own = config::read_own(files.own, !files.own_given);
+  config::Own own = config::read_own(files.own, !files.is_own_path_given);
   Config config = read_config(files.platform);
   read_environment(config);
   log::open(own.log);
@@ -341,7 +341,7 @@
     throw;
   }
   if (!log::close())
-    _exit(code);  // its thread is stuck in a write that nobody reads, and cannot be joined
+    _exit(code);  // the log thread is blocked in a write that is not read, and cannot be joined
   return code;
 }
 
