--- a/node/fleet/membership_agent.h
+++ b/node/fleet/membership_agent.h
@@ -1,5 +1,7 @@
-/// Runs logic/fleet/membership in a node: its messages are datagrams between nodes, its timer is
-/// the event loop's, and who is alive goes to the engine, the log and the operators.
+/// \file
+/// Runs logic/fleet/membership in a node: sends its messages as datagrams between nodes, runs its
+/// timer on the event loop, and reports which nodes are alive to the engine, the log and the
+/// operators.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -14,7 +16,7 @@
 
 namespace keelflow {
 
-/// Owns this node's Membership and its timer. Off until start(), and where settings say so.
+/// Owns this node's Membership and its timer. Off until start(), and if the settings disable it.
 class MembershipAgent {
  public:
   struct Settings {
@@ -29,11 +31,12 @@
       : timers_(timers), clock_(clock), peers_(peers), engine_(engine), counters_(counters) {}
   ~MembershipAgent();
 
-  /// From here on it takes part. `members` and `self` as in the platform's settings.
+  /// Joins the membership protocol. `members` and `self` as in the platform's settings.
   void start(const Settings& settings, int members, int self);
-  /// This node ends, and no other process goes on in its place.
+  /// Announces that this node ends and that no other process replaces it.
   void leave();
-  /// A datagram of another node. True: it was a membership message, and nobody else's.
+  /// A datagram of another node. True: it was a membership message, which no other
+  /// module handles.
   bool hear(int from, const std::string& bytes);
   /// For operators; null while it is off.
   nlohmann::json status() const;
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -1,9 +1,10 @@
+/// \file
 /// An upgrade of a node: the old process and the new one that takes over from it exchange messages
 /// over a Unix socket in $TMPDIR while both run. docs/design/handover.md has the protocol.
 ///
-/// The socket's name comes from the node's. Whoever serves listens there; a new process connects,
-/// and once it is ready puts a socket of its own under that name. A name where nobody answers is
-/// that of a process that has ended.
+/// The socket's path is derived from the node's name. The serving process listens there; a new
+/// process connects, and once it is ready replaces the socket at that path by its own. If no
+/// process accepts at the path, the process that created the socket has ended.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +22,18 @@
 
 namespace keelflow {
 
-/// One process's side. Owns the listening socket and the links to the other processes; what follows
-/// from a message is the callbacks'.
+/// One process's side of the protocol. Owns the listening socket and the links to the other
+/// processes; the callbacks act on the messages.
 class Handover final : net::EventLoop::Handler, HandoverLink::Events {
  public:
-  static constexpr int kVersion = 1;  ///< of the protocol: another one is refused
+  static constexpr int kVersion =
+      1;  ///< of the protocol; a process with another version is refused
 
   struct Callbacks {
-    /// The state that the new process is to know.
+    /// Returns the state to send to the new process.
     std::function<nlohmann::json()> welcome;
-    /// The old process's state arrived, with the message's own keys beside it. May throw what
-    /// nlohmann-json throws, which ends the connection.
+    /// The old process's state arrived, together with the keys of the message itself. May throw the
+    /// exceptions of nlohmann-json, which close the connection.
     std::function<void(const nlohmann::json&)> welcomed;
     /// True: the first link to a sibling process was made; false: the last one closed.
     std::function<void(bool here)> on_sibling_process;
@@ -41,7 +43,8 @@
     std::function<void(const std::string& host, bool out)> on_admin_override;
     /// A load update of the other process's scheduler.
     std::function<void(const std::string& bytes)> on_load_update;
-    /// A status callback that reached the other process. True: it is of this process's attempts.
+    /// A status callback that reached the other process. True: it belongs to one of this process's
+    /// attempts.
     std::function<bool(const std::string& body)> on_status_callback;
   };
   Handover(net::EventLoop& loop, std::string folder, const std::string& node, Callbacks callbacks,
@@ -50,20 +53,20 @@
 
   /// Connects to the old process. False: there is none.
   bool ask();
-  /// Takes the name over, and notifies the old process that this one serves. A failure is logged:
-  /// the node serves, and cannot be upgraded without a restart.
+  /// Takes over the socket's path, and notifies the old process that this one serves. A failure is
+  /// logged: the node serves, but cannot be upgraded without a restart.
   void listen();
 
   void send_admin_override(const std::string& host, bool out);
   void send_load_update(std::string_view bytes);
-  /// A status callback that is not of this process's attempts. False: it did not go to all other
-  /// processes, so the endpoint must send it again.
+  /// Sends the others a status callback that belongs to none of this process's attempts. False: it
+  /// was not sent to all other processes, so the endpoint must send it again.
   bool forward_status_callback(std::string_view body);
   /// There is a sibling process.
   bool has_sibling_process() const { return !links_.empty(); }
-  /// Nothing waits to be sent.
+  /// No link has bytes waiting to be sent.
   bool flushed() const;
-  /// There is an old process, which others reach through this one alone.
+  /// There is an old process, which other processes reach only through this one.
   bool has_old_process() const;
 
  private:
--- a/node/handover/handover_link.h
+++ b/node/handover/handover_link.h
@@ -1,4 +1,5 @@
-/// The connection to one other process of the node, over which lines of JSON go both ways.
+/// \file
+/// The connection to one other process of the node, which carries lines of JSON in both directions.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +12,17 @@
 
 namespace keelflow {
 
-/// Owns the connection, and the part of a line that has not come to its end.
+/// Owns the connection and the buffer of an incomplete line.
 class HandoverLink final : net::Connection::Events {
  public:
   /// Which of the two processes is at the other end.
   enum class Peer { old_process, new_process };
 
+  /// Receives the messages and the end of a link.
   class Events {
    public:
     virtual ~Events() = default;
-    /// What it throws ends the connection.
+    /// An exception thrown here closes the connection.
     virtual void on_message(HandoverLink& link, const HandoverMessage& message) = 0;
     /// Last call: the connection is closed.
     virtual void on_link_closed(HandoverLink& link) = 0;
@@ -32,7 +34,7 @@
 
   /// Takes the connected socket. False (errno): refused, and the descriptor is closed.
   bool adopt(int fd) { return connection_.adopt(fd); }
-  /// False: too much is queued already, so the message is dropped and counted.
+  /// False: the queue is full, so the message is dropped and counted.
   bool send(const HandoverMessage& message);
 
   std::uint64_t id() const { return id_; }
@@ -50,7 +52,7 @@
   std::uint64_t id_;
   Peer peer_;
   net::Connection connection_;
-  std::string received_;  ///< not yet a whole line
+  std::string received_;  ///< an incomplete line
 };
 
 }  // namespace keelflow
--- a/node/handover/handover_message.h
+++ b/node/handover/handover_message.h
@@ -1,6 +1,7 @@
-/// The messages between two processes of one node during an upgrade, and their codec: a line of
-/// JSON each. docs/design/handover.md has every key; they stay as they are, as a release and the
-/// one before it exchange them.
+/// \file
+/// The messages between two processes of one node during an upgrade, and their codec: each message
+/// is one line of JSON. docs/design/handover.md lists every key; the keys must not change, because
+/// each release exchanges them with the previous one.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -21,8 +22,8 @@
 struct WelcomeMessage {
   int version = 0;
   std::string node;
-  nlohmann::json
-      state;  ///< what the new process is to know: an object, whose keys are its writer's
+  /// The state for the new process: an object whose keys the sender defines.
+  nlohmann::json state;
 };
 
 /// The new process accepts clients.
@@ -34,7 +35,7 @@
   bool is_out = false;
 };
 
-/// The load of shared endpoints as the other process sees it: bytes of the scheduler.
+/// The load of shared endpoints as the other process sees it, encoded by the scheduler.
 struct LoadUpdateMessage {
   std::string bytes;
 };
@@ -44,15 +45,17 @@
   std::string body;
 };
 
+/// Any message between the two processes.
 using HandoverMessage =
     std::variant<HelloMessage, WelcomeMessage, ReadyMessage, AdminOverrideMessage,
                  LoadUpdateMessage, StatusCallbackMessage>;
 
-/// The line, with its end. Bytes that are no UTF-8 are replaced in text.
+/// The message as a line, with its line end. Bytes in text that are not valid UTF-8 are replaced.
 std::string encode(const HandoverMessage& message);
 
-/// Of a line without its end. Empty: a kind that this release does not know, to be ignored. Throws
-/// std::exception (nlohmann-json's, or std::invalid_argument) on what is malformed.
+/// Decodes a line without its line end. Empty: this release does not know the kind of message,
+/// which is to be ignored. Throws std::exception (nlohmann-json's, or std::invalid_argument) on
+/// malformed input.
 std::optional<HandoverMessage> decode_handover_message(std::string_view line);
 
 }  // namespace keelflow
--- a/node/handover/learned_state_codec.h
+++ b/node/handover/learned_state_codec.h
@@ -1,5 +1,7 @@
-/// The form in which the old process hands its scheduler's learned state to the new one: JSON, by
-/// name, as the other process may number things differently. docs/design/handover.md has the keys.
+/// \file
+/// The JSON encoding in which the old process sends its scheduler's learned state to the new one.
+/// Entries are keyed by name, as the other process may number them differently.
+/// docs/design/handover.md lists the keys.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,11 +11,11 @@
 
 namespace keelflow {
 
-/// Classes that a former configuration had under the same name are left out.
+/// Omits classes of a former configuration that share a name with a present one.
 nlohmann::json to_json(const scheduler::LearnedState& learned, const Names& names);
 
-/// What has no value there, or a name that this process lacks, keeps the defaults of a fresh
-/// scheduler. Throws what nlohmann-json throws on what is malformed.
+/// Missing values keep the defaults of a fresh scheduler, as do values under a name that this
+/// process does not have. Throws the exceptions of nlohmann-json on malformed input.
 scheduler::LearnedState from_json(const nlohmann::json& form, const Names& names);
 
 }  // namespace keelflow
--- a/node/lifecycle/config_reload.h
+++ b/node/lifecycle/config_reload.h
@@ -1,4 +1,5 @@
-/// What SIGHUP does: both configuration files are read again and taken over.
+/// \file
+/// Reloads both configuration files on SIGHUP.
 #pragma once
 
 #include "config/config.h"
@@ -15,13 +16,14 @@
 
 namespace keelflow {
 
-/// Of the platform's file the settings and the discovery are taken over; the addresses to listen
-/// on, the limits of the process and the peers hold until a restart. Of our own file pools, routes,
-/// moves, plug-ins and the log are taken over, and what listens holds until a restart. All is read
-/// before anything changes: a bad file changes nothing, and is logged and counted.
+/// Applies changed configuration files to the running node. From the platform's file a reload
+/// applies the settings and the address of discovery; the listen addresses, the limits of the
+/// process and the peers change only at a restart. From the node's own file a reload applies pools,
+/// routes, moves, plug-ins and the log; the listeners change only at a restart. Both files are read
+/// before anything changes: an invalid file changes nothing, and is logged and counted.
 class ConfigReload {
  public:
-  /// All must outlive it.
+  /// The parts that a reload changes. All must outlive the ConfigReload.
   struct Parts {
     const NodeFiles& files;
     Config& config;    ///< Replaced by a reload.
@@ -40,7 +42,8 @@
   void run();
 
  private:
-  void read_and_apply();  // throws what the readers throw, before anything has changed
+  // Passes on the exceptions of the file readers; nothing has changed when it throws.
+  void read_and_apply();
   void apply(Retuned next);
 
   Parts parts_;
--- a/node/lifecycle/derived_settings.h
+++ b/node/lifecycle/derived_settings.h
@@ -1,4 +1,6 @@
-/// What the parts of the node take from the platform's settings, at the start and on a reload.
+/// \file
+/// Derives the settings of the node's parts from the platform's settings, at the start and on a
+/// reload.
 #pragma once
 
 #include "discovery/destination_set.h"
@@ -7,7 +9,8 @@
 
 namespace keelflow {
 
-/// The endpoint list is DestinationSet's to refresh: the scheduler receives it and never polls.
+/// The scheduler's settings with polling off: DestinationSet refreshes the endpoint list and passes
+/// it to the scheduler.
 scheduler::Settings scheduler_settings(scheduler::Settings settings);
 discovery::CallPolicy call_policy(const scheduler::Settings& settings);
 discovery::LeaseTerms lease_terms(const scheduler::Settings& settings);
--- a/node/lifecycle/extra_listeners.h
+++ b/node/lifecycle/extra_listeners.h
@@ -1,5 +1,6 @@
-/// What the node listens on beside the platform's address: progress, admin socket,
-/// operators, peers.
+/// \file
+/// The node's listeners other than the platform's address: progress, admin socket, operators and
+/// peers.
 #pragma once
 
 #include <functional>
@@ -24,10 +25,10 @@
 
 namespace keelflow {
 
-/// Owns those servers and their fronts. Each is opened once, at the start.
+/// Owns these servers and their fronts. Each is opened once, at the start.
 class ExtraListeners {
  public:
-  /// All must outlive it.
+  /// The parts that the listeners use. All must outlive the ExtraListeners.
   struct Parts {
     net::EventLoop& loop;
     const Config& config;
@@ -37,31 +38,31 @@
     Traffic& traffic;
     Plugins& plugins;
     PlatformFront& front;
-    const Server& server;  ///< The platform's; its on_pressure is used here too.
+    const Server& server;  ///< The platform's server; the others use its on_pressure too.
     Peers& peers;
     MembershipAgent& membership;
     const OperatorCalls& operators;
     Counters& counters;
   };
   struct Callbacks {
-    std::function<bool()> has_sibling;    ///< The old process still runs, and may hold addresses.
-    std::function<bool()> is_upgradable;  ///< There may be an old process.
+    std::function<bool()> has_sibling;    ///< The old process still runs and may hold addresses.
+    std::function<bool()> is_upgradable;  ///< An old process may exist.
   };
   ExtraListeners(const Parts& parts, AdminFront::Pages pages, Callbacks callbacks)
       : parts_(parts), pages_(std::move(pages)), callbacks_(std::move(callbacks)) {}
 
-  /// These throw std::system_error where an address can't be listened on, unless the old process
-  /// holds it: then they try again until it is free.
+  /// Open the progress and admin listeners. They throw std::system_error if listening fails, unless
+  /// the old process holds the address: then they retry until it is free.
   void open_progress();
   void open_admin();
-  /// Throws ConfigError where the address can't be listened on.
+  /// Throws ConfigError if listening on the address fails.
   void open_operators();
 
-  /// Logs an address that can't be listened on, and goes on without peers; one that the old process
-  /// may hold is tried again.
+  /// If listening fails, logs the address and continues without peers; retries an address that the
+  /// old process may hold.
   void open_peers();
 
-  /// Null where it is not open.
+  /// Null if the progress listener is not open.
   Server* progress_server() const { return progress_server_.get(); }
 
  private:
--- a/node/lifecycle/graceful_shutdown.h
+++ b/node/lifecycle/graceful_shutdown.h
@@ -1,4 +1,5 @@
-/// The end of the process after SIGTERM: no request that was accepted is dropped.
+/// \file
+/// Graceful shutdown after SIGTERM: no accepted request is dropped.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +15,20 @@
 
 namespace keelflow {
 
-/// Drains the node and stops its event loop. At first all goes on as before; requests that come
-/// later have only until the last answer; then answers end their connections, and when nothing is
-/// open any more the loop stops. With a successor process the connections are drained at once.
+/// Drains the node and stops its event loop, in stages: first the node serves as before; then new
+/// requests get the time of the last answer as their deadline; then each answer closes its
+/// connection, and the loop stops once nothing is open. With a successor process the connections
+/// are drained at once.
 class GracefulShutdown {
  public:
-  /// How far it has come; it only advances. Scraped as the counter `drain_stage`.
+  /// The stage of the shutdown, which only advances. Scraped as the counter `drain_stage`.
   enum class Stage : std::uint8_t {
     serving,
-    requested,          ///< SIGTERM has come; all goes on as before.
-    deadlines_limited,  ///< Requests from now on have the time of the last answer as deadline.
-    draining,           ///< Answers end their connections.
+    requested,          ///< SIGTERM was received; the node serves as before.
+    deadlines_limited,  ///< New requests get the time of the last answer as deadline.
+    draining,           ///< Each answer closes its connection.
   };
-  /// All must outlive it.
+  /// The parts that are drained or stopped. All must outlive the GracefulShutdown.
   struct Parts {
     net::EventLoop& loop;
     const Config& config;
@@ -37,14 +39,14 @@
     Counters& counters;
   };
   struct Callbacks {
-    std::function<Server*()> progress_server;  ///< Null where there is none.
+    std::function<Server*()> progress_server;  ///< Null if there is none.
     std::function<bool()> has_successor;       ///< Another process of this node accepts clients.
-    std::function<bool()> is_upgrade_done;     ///< Nothing has to pass through this process.
+    std::function<bool()> is_upgrade_done;     ///< No message has to pass through this process.
   };
   GracefulShutdown(const Parts& parts, Callbacks callbacks)
       : parts_(parts), callbacks_(std::move(callbacks)) {}
 
-  /// Begins, unless it has begun.
+  /// Begins the shutdown; no effect if it has begun.
   void begin();
   /// A successor process accepts clients from now on.
   void on_successor_ready();
@@ -52,7 +54,7 @@
 
  private:
   Stage stage() const { return static_cast<Stage>(parts_.counters.drain_stage); }
-  bool advance(Stage next);  // false: it was there already
+  bool advance(Stage next);  // false: the stage had been reached before
   Duration last_answer() const;
   void drain();
   void check_drained();
--- a/node/lifecycle/process_upgrade.h
+++ b/node/lifecycle/process_upgrade.h
@@ -1,5 +1,6 @@
-/// The take-over of this node by another process of it, while both run. Either side of it: this
-/// process may take over from an old one, and hand over to a new one.
+/// \file
+/// Replaces this node's process by a new one while both run. This process may be on either side: it
+/// may take over from an old process, and hand over to a new one.
 #pragma once
 
 #include <cstddef>
@@ -23,11 +24,11 @@
 
 namespace keelflow {
 
-/// Decides when a process that takes over may serve, exchanges what the two need to know, and
+/// Decides when a process that takes over may serve, exchanges state between the two processes, and
 /// splits the limits that they share. Idle until `begin` is called.
 class ProcessUpgrade {
  public:
-  /// All must outlive it.
+  /// The parts that an upgrade reads or changes. All must outlive the ProcessUpgrade.
   struct Parts {
     net::EventLoop& loop;
     const UnixClock& clock;
@@ -39,36 +40,38 @@
     Server& server;
     Counters& counters;
   };
-  struct Limits {  ///< Of a process that is alone.
+  /// The limits of a process that runs alone.
+  struct Limits {
     std::size_t inbound, idle_outbound;
   };
   struct Callbacks {
     std::function<void(const std::string& host, bool out)> apply_override;
-    std::function<void()> serve_if_ready;      ///< What the start waits for may have changed.
+    std::function<void()> serve_if_ready;      ///< A condition of `waits_for` may have changed.
     std::function<void()> on_successor_ready;  ///< The new process accepts clients.
   };
   ProcessUpgrade(const Parts& parts, Limits limits, Callbacks callbacks)
       : parts_(parts), limits_(limits), callbacks_(std::move(callbacks)) {}
 
-  /// Polls the old process, if there is one. Until it ends, both share all limits.
+  /// Connects to the old process, if there is one. Until it ends, both share all limits.
   void begin();
   bool has_begun() const { return succession_.has_value(); }
   /// Whether a hand-over to or from other processes is possible.
   bool is_enabled() const { return handover_ != nullptr; }
   bool has_sibling() const { return handover_ && handover_->has_sibling_process(); }
   bool has_successor() const { return has_successor_; }
-  /// Nothing has to pass through this process any more.
+  /// No message has to pass through this process any more.
   bool is_done() const;
-  /// What the start still waits for; empty: it may serve.
+  /// The condition that this process still waits for before it serves; empty: it may serve.
   std::string waits_for() const;
 
-  /// This process serves from now on: tells the old one, and waits for a new one.
+  /// This process serves from now on: notifies the old process, and listens for a new one.
   void on_serving();
   void on_watch_established();
-  /// An endpoint list came before this process serves.
+  /// An endpoint list arrived before this process serves.
   void on_list_before_serving();
   void send_admin_override(const std::string& host, bool out);
-  /// False: the process that it is for could not be reached, so it must come again.
+  /// False: the process that the callback is for could not be reached, so the endpoint must send it
+  /// again.
   bool forward_status_callback(const std::string& body);
 
  private:
@@ -82,7 +85,7 @@
   Callbacks callbacks_;
   std::unique_ptr<Handover> handover_;
   std::optional<handover::TakeoverReadiness> succession_;
-  std::vector<scheduler::LearnedState> learned_;  // by the old process
+  std::vector<scheduler::LearnedState> learned_;  // received from the old process
   bool has_successor_ = false;
 };
 
--- a/node/lifecycle/signal_reader.h
+++ b/node/lifecycle/signal_reader.h
@@ -1,4 +1,5 @@
-/// The signals of the process, read from a descriptor.
+/// \file
+/// Reads the signals of the process from a descriptor.
 #pragma once
 
 #include <csignal>
@@ -12,7 +13,8 @@
 /// The signals that the node reads: SIGTERM, SIGINT, SIGHUP, SIGUSR1.
 sigset_t handled_signals();
 
-/// Calls back on the event loop for each signal. They must be blocked (block_signals) before.
+/// Calls back on the event loop for each signal. The signals must be blocked (block_signals)
+/// before.
 class SignalReader final : public net::EventLoop::Handler {
  public:
   struct Callbacks {
@@ -26,7 +28,7 @@
   SignalReader(const SignalReader&) = delete;
   SignalReader& operator=(const SignalReader&) = delete;
 
-  /// Begins to read. Throws std::runtime_error.
+  /// Begins to read signals. Throws std::runtime_error.
   void open();
 
  private:
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -1,5 +1,6 @@
-/// Short messages between the nodes of a tier: UDP datagrams, which come late or never. What is in
-/// them is not this module's.
+/// \file
+/// Short messages between the nodes of a tier, sent as UDP datagrams, which may be delayed or lost.
+/// This module does not interpret their content.
 #pragma once
 
 #include <compare>
@@ -17,7 +18,7 @@
 
 namespace keelflow {
 
-/// Owns the socket. Nodes are known by their rank, their place in the platform's settings.
+/// Owns the socket. A node is identified by its rank, its position in the platform's settings.
 class Peers final : public PeerSender, net::EventLoop::Handler {
  public:
   static constexpr std::size_t kMaxMessageBytes = 256;  ///< a longer datagram voids the run
@@ -29,17 +30,17 @@
         Counters& counters);
   ~Peers() override;
 
-  /// False: the address cannot be had (errno). The node serves without, and what it would send is
-  /// counted as dropped.
+  /// False: binding the address failed (errno). The node serves without peers, and its messages to
+  /// them are counted as dropped.
   bool open(const net::Address& listen);
-  /// Never blocks: where the kernel has no buffer, or there is no such peer, the message is dropped
-  /// and counted.
+  /// Never blocks: if the kernel has no buffer space or the peer does not exist, the message is
+  /// dropped and counted.
   void tell(int peer, std::string_view bytes) override;
-  /// The one it has; port 0 while it is closed.
+  /// The socket's own address; port 0 while it is closed.
   net::Address address() const;
 
  private:
-  /// In network byte order.
+  /// A peer's address, in network byte order.
   struct PeerAddress {
     std::uint32_t ip = 0;
     std::uint16_t port = 0;
