--- a/node/discovery/destination_set.cpp
+++ b/node/discovery/destination_set.cpp
@@ -13,7 +13,7 @@
 void DestinationSet::start(const discovery::CallPolicy& policy,
                            const discovery::LeaseTerms& terms) {
   change(policy, terms);
-  notify_lease(false);  // a list from before the start may be of any age
+  notify_lease(false);  // a list from before the start may be arbitrarily old
   watches_.start();
 }
 
--- a/node/discovery/destination_set.h
+++ b/node/discovery/destination_set.h
@@ -1,5 +1,5 @@
 /// \file
-/// Discovery's endpoint list as this process has it, kept current by a watch.
+/// This process's copy of discovery's endpoint list, kept current by a watch.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 namespace keelflow {
 
 /// Connects the parts of node/discovery and is their only interface to the rest of the process:
-/// EndpointDirectory knows the destinations, ListReceiver judges and applies lists, WatchManager
+/// EndpointDirectory stores the destinations, ListReceiver checks and applies lists, WatchManager
 /// calls discovery, ListLeaseKeeper decides whether requests may be sent by the list. Not
 /// thread-safe.
 class DestinationSet {
@@ -30,18 +30,20 @@
   /// Receives each list that is applied.
   using Listener = ListReceiver::Listener;
 
-  /// Keeps references to `loop` and `counters`, which must outlive it. Calls nobody before `start`.
+  /// Keeps references to `loop` and `counters`, which must outlive it. Makes no call before
+  /// `start`.
   DestinationSet(net::EventLoop& loop, net::Address discovery, Names names, Listener listener,
                  Counters& counters, std::uint64_t seed);
   DestinationSet(const DestinationSet&) = delete;
   DestinationSet& operator=(const DestinationSet&) = delete;
 
-  /// Discovery has accepted a call: the changes follow next, if there are any. May be empty.
+  /// Discovery has accepted a call: the changes follow next, if there are any. This callback may be
+  /// empty.
   std::function<void()> on_watch_established;
-  /// Called when descriptors are short; true if it closed one. May be empty.
+  /// Called when no descriptor is available; returns true if it closed one. May be empty.
   std::function<bool()> on_pressure;
-  /// The lease of the list has expired (false), or runs again (true) and sends that waited may go
-  /// on. May be empty.
+  /// The lease of the list has expired (false), or runs again (true), so that withheld requests may
+  /// be sent. May be empty.
   std::function<void(bool may_send)> on_lease;
 
   /// Applies the list that the process had before it started, in the scope `cached`.
@@ -60,11 +62,11 @@
     directory_.set_disabled(endpoint, is_disabled);
   }
   WatchSurvey& survey() { return lease_.survey(); }
-  /// Null: none. The monitor must outlive this object.
+  /// Sets the monitor to notify; null: none. The monitor must outlive this object.
   void observe(invariants::Monitor* monitor) { watches_.observe(monitor); }
 
-  /// Whether requests may be sent by the list at this moment: its lease runs, and the process was
-  /// not stopped since it last read from the watch.
+  /// Whether requests may be sent by the list at this moment: its lease runs, and the process has
+  /// not been suspended since it last read from the watch.
   bool may_send_by_list() { return lease_.may_send(); }
   /// Null: the endpoint was never listed with an address. Valid for the life of this object.
   const Destination* find(EndpointId endpoint) const { return directory_.find(endpoint); }
--- a/node/discovery/discovery_call.cpp
+++ b/node/discovery/discovery_call.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 using discovery::CallEnd;
 
-// The time in which a connection is normally established.
+// A connection is normally established within this time.
 constexpr Duration kConnectTimeout = 1s;
-// On a watch, from an object's first byte to its last.
+// The time limit of an object on a watch, from its first byte to its last.
 constexpr Duration kObjectTimeout = 2s;
-// Bytes of one object. A larger one ends the call as malformed.
+// The limit of an object in bytes. A larger object ends the call as malformed.
 constexpr std::size_t kMaxObjectSize = 4 * 1024 * 1024;
 
 }  // namespace
@@ -60,7 +60,7 @@
 void DiscoveryCall::on_head(const net::Head& head) {
   status_ = head.status;
   if (head.status != 200) {
-    // Whatever its body says, and however long that takes to come.
+    // The call fails without waiting for the body, which does not matter.
     owner_.on_failed(*this, CallEnd::rejected);
     return;
   }
@@ -83,7 +83,7 @@
     return owner_.on_object(*this, text) && connection_.open();
   });
   if (!connection_.open())
-    return;  // its owner has closed it
+    return;  // the owner has closed the call
   if (!is_well_formed) {
     owner_.on_failed(*this, CallEnd::malformed);
     return;
@@ -103,7 +103,7 @@
   restart_silence_timer();
 }
 
-// The only place where the state changes: forward, a step at a time.
+// The only function that changes the state, which only advances.
 void DiscoveryCall::enter(State state) {
   state_ = std::max(state_, state);
 }
--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -1,6 +1,6 @@
 /// \file
-/// One call to discovery for the list and its changes. It becomes the watch once it has brought
-/// something.
+/// One call to discovery for the list and its changes. It becomes the watch once it has received
+/// an object.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace keelflow {
 
-/// An HTTP exchange with discovery whose response does not end. Reports what comes to its owner,
+/// An HTTP exchange with discovery whose response does not end. Reports its events to its owner,
 /// which must outlive it. Not thread-safe.
 class DiscoveryCall final : ClientConnection::User {
  public:
@@ -35,19 +35,19 @@
     virtual void on_failed(DiscoveryCall& call, discovery::CallEnd how) = 0;
   };
 
-  /// `number`: the call's name in the log, counted from 1 in each process. `since`: the query for
-  /// the changes since a version; empty: for the complete list.
+  /// `number`: the call's identifier in the log, counted from 1 in each process. `since`: the query
+  /// for the changes since a version; empty: for the complete list.
   DiscoveryCall(net::EventLoop& loop, Owner& owner, std::uint64_t number, std::string since);
   ~DiscoveryCall() override;
   DiscoveryCall(const DiscoveryCall&) = delete;
   DiscoveryCall& operator=(const DiscoveryCall&) = delete;
 
-  /// Starts to connect; a non-zero error code means that no connection could be started, and that
-  /// `begin` may be called once more.
+  /// Starts to connect. A non-zero error code means that no connection could be started; `begin`
+  /// may then be called again.
   std::error_code begin(const net::Address& discovery);
-  /// No event follows. Idempotent.
+  /// Closes the call; no event follows. Idempotent.
   void close();
-  /// The call is the watch: from now on it fails when no heartbeat comes in time.
+  /// The call is the watch: from now on it fails if no heartbeat arrives in time.
   void established();
 
   std::uint64_t number() const { return number_; }
@@ -56,7 +56,7 @@
   /// The HTTP status of the answer; 0: there is none yet.
   int status() const { return status_; }
   bool has_brought_object() const { return framer_.count() > 0; }
-  /// A time not later than the one at which what is now being read was written.
+  /// A lower bound of the time at which discovery wrote the bytes that are being read.
   TimePoint written_after() const { return std::max(began_, connection_.readable_since()); }
   bool asked_for_all() const { return since_.empty(); }
   /// Within `on_object`: whether the object is the first of the call.
@@ -81,7 +81,7 @@
   int status_ = 0;
   ClientConnection connection_;
   ObjectFramer framer_;
-  TimePoint object_began_;  // of the one that is not complete yet
+  TimePoint object_began_;  // the start of the incomplete object
   TimerId silence_timer_ = 0;
   TimerId acknowledgement_timer_ = 0;
   State state_ = State::requested;
--- a/node/discovery/endpoint_directory.h
+++ b/node/discovery/endpoint_directory.h
@@ -1,5 +1,5 @@
 /// \file
-/// What this process knows of each endpoint that discovery has ever listed.
+/// The address and the state of each endpoint that discovery has ever listed.
 #pragma once
 
 #include <string>
@@ -15,8 +15,8 @@
 struct Destination {
   std::string host;
   net::Address dial;
-  bool listed_ready = true;  ///< by discovery
-  bool disabled = false;     ///< by an administrative override
+  bool listed_ready = true;  ///< discovery lists it as ready
+  bool disabled = false;     ///< an administrative override is set
   bool accepts_new_work() const { return listed_ready && !disabled; }
 };
 
@@ -28,7 +28,7 @@
   void apply(const HostList& list, scheduler::ListScope scope);
   /// Sets or clears the administrative override. No effect on an endpoint that was never listed.
   void set_disabled(EndpointId endpoint, bool is_disabled);
-  /// Null: it was never listed with an address. Valid for the life of the directory.
+  /// Null: the endpoint was never listed with an address. Valid for the life of the directory.
   const Destination* find(EndpointId endpoint) const;
 
  private:
--- a/node/discovery/host_list.cpp
+++ b/node/discovery/host_list.cpp
@@ -20,7 +20,7 @@
   bool is_well_formed = false;
 };
 
-// Throws where a field has another type; a missing one has its default.
+// Throws if a field has another type; a missing field gets its default.
 void decode_attributes(const json& item, const Names& names, scheduler::EndpointEntry& entry) {
   entry.zone = Names::place(names.zones, item.value("site", ""));
   entry.kind = Names::place(names.kinds, item.value("class", ""));
@@ -29,7 +29,7 @@
   entry.started_at = item.value("born_ms", 0.0);
 }
 
-// Throws where the field is missing or has another type.
+// Throws if the field is missing or has another type.
 EndpointState decode_state(const json& item) {
   const std::string health = item.at("health").get<std::string>();
   if (health == "ready")
@@ -44,7 +44,7 @@
   return net::parse_address(field->get<std::string>());
 }
 
-// An endpoint that is not ready needs no address: what is in flight there has an earlier one.
+// An endpoint that is not ready needs no address: attempts in flight there use an earlier one.
 DecodedHost decode_host(const json& item, const Names& names) {
   Host host;
   host.name = item["host"].get<std::string>();
@@ -59,7 +59,7 @@
     if (address || host.entry.state != EndpointState::ready)
       return {.host = std::move(host), .is_well_formed = true};
   } catch (const json::exception&) {
-    // What was decoded before the malformed field stays.
+    // The fields decoded before the malformed one are kept.
   }
   if (host.entry.state == EndpointState::ready)
     host.entry.state = EndpointState::gone;
--- a/node/discovery/host_list.h
+++ b/node/discovery/host_list.h
@@ -16,7 +16,7 @@
 
 using scheduler::EndpointId;
 
-/// The configured names. The scheduler knows each by its position here.
+/// The configured names. The scheduler identifies each by its position here.
 struct Names {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
@@ -44,8 +44,8 @@
   std::uint64_t version = 0;
   bool is_complete = false;
   std::vector<Host> hosts;
-  /// Entries that could not be decoded. One that has at least a host's name stands in `hosts` as
-  /// not ready, since nothing may be sent to an endpoint of which the present state is unknown.
+  /// Entries that could not be decoded. An entry that has at least a host's name is in `hosts`
+  /// as not ready, since no request may be sent to an endpoint whose present state is unknown.
   std::size_t malformed = 0;
 };
 
--- a/node/discovery/list_lease_keeper.h
+++ b/node/discovery/list_lease_keeper.h
@@ -1,5 +1,5 @@
 /// \file
-/// The lease of the endpoint list, renewed and cut by what happens to the calls to discovery.
+/// The lease of the endpoint list, which the events of the calls to discovery renew and shorten.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 /// The state of the watch at this moment.
 struct WatchStatus {
   bool has_watch = false;
-  bool is_overdue = false;         ///< its timer is late: the process was stopped meanwhile
+  bool is_overdue = false;         ///< its timer is late: the process was suspended meanwhile
   std::size_t open_calls = 0;      ///< the watch included
   std::uint64_t list_version = 0;  ///< the version of the present list
 };
@@ -34,7 +34,7 @@
 class ListLeaseKeeper {
  public:
   /// `watch_status`: asked whenever the lease is computed. `on_lease`: the lease has expired
-  /// (false) or runs again (true), and sends that waited may go on.
+  /// (false) or runs again (true), so that withheld requests may be sent.
   ListLeaseKeeper(net::EventLoop& loop, Counters& counters, std::uint64_t seed,
                   std::function<WatchStatus()> watch_status,
                   std::function<void(bool may_send)> on_lease);
@@ -43,17 +43,17 @@
   ListLeaseKeeper& operator=(const ListLeaseKeeper&) = delete;
 
   void change(const discovery::LeaseTerms& terms);
-  /// Computes the lease's end anew. To be called after each change of the watch or of the calls.
+  /// Recomputes the end of the lease. To be called after each change of the watch or of the calls.
   void update();
 
   /// Whether requests may be sent by the list at this moment.
   bool may_send();
-  /// The list was complete when the watch ended or, with pushed lists, when the watch last brought
-  /// something. False after a watch for polled lists has timed out: what it missed is not known,
-  /// and an outage after it does not make the list complete.
+  /// The list was complete when the watch ended or, with pushed lists, when the watch last
+  /// received something. False after a watch for polled lists has timed out: the changes that it
+  /// missed are unknown, and a later outage does not make the list complete.
   bool is_list_complete() const { return is_list_complete_; }
 
-  /// The watch has brought something that was written at `written` or later. Updates.
+  /// The watch has received something that discovery wrote at `written` or later. Updates.
   void proven_current(TimePoint written);
   /// Discovery accepted no connection at `when`. Updates.
   void discovery_unreachable(TimePoint when);
@@ -61,9 +61,9 @@
   void answered_without_list();
   /// The address of discovery has changed. Updates.
   void discovery_moved();
-  /// What the end of a call proves; before the call is removed. `update` has to follow.
+  /// Evaluates the end of a call. To be called before the call is removed; `update` has to follow.
   void call_ended(const EndedCall& call);
-  /// The list may be of any age. `update` has to follow.
+  /// Ends the lease, because the list may be arbitrarily old. `update` has to follow.
   void revoke();
 
   WatchSurvey& survey() { return survey_; }
@@ -79,7 +79,7 @@
   bool pushed_ = false;
   WatchSurvey survey_;
   bool is_list_complete_ = false;
-  bool is_running_ = false;    // as `on_lease_` was last notified
+  bool is_running_ = false;    // the state last reported to `on_lease_`
   bool has_withheld_ = false;  // a send was withheld while the lease ran: `on_lease_` is due
   TimerId lease_end_timer_ = 0;
 };
--- a/node/discovery/list_receiver.cpp
+++ b/node/discovery/list_receiver.cpp
@@ -64,8 +64,8 @@
   return {.verdict = verdict, .list = std::move(*list)};
 }
 
-// The first object of a call that asked for the complete list is never stale: it is all that
-// discovery has.
+// The first object of a call that asked for the complete list is never stale: it is the
+// whole list that discovery has.
 bool ListReceiver::is_stale(const HostList& list, const ListRequest& request) const {
   return list.version < version_ && !accepts_any_version_ &&
          !(request.asked_for_all && request.is_first_object);
--- a/node/discovery/list_receiver.h
+++ b/node/discovery/list_receiver.h
@@ -1,6 +1,6 @@
 /// \file
-/// The lists that discovery sends: decoded, checked against the version that this process has, and
-/// passed on.
+/// Decodes the lists that discovery sends, checks them against the version that this process has,
+/// and passes them on.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace keelflow {
 
-/// What to do with an object of discovery.
+/// The action to take on an object from discovery.
 enum class ListVerdict : std::uint8_t {
   current,            ///< apply it
   overtaken,          ///< a change older than the present version: skip it, the call goes on
   stale,              ///< a complete list, or a call's first object, that is older: end the call
   malformed_entries,  ///< apply the entries that were decoded, and end the call
-  undecodable,        ///< it is no list: end the call
+  undecodable,        ///< not a list: end the call
 };
 
 /// An object of discovery, decoded. `list` is empty for `undecodable`.
@@ -29,13 +29,13 @@
   HostList list;
 };
 
-/// What the call that brought an object had asked for.
+/// The request of the call that received an object.
 struct ListRequest {
   bool asked_for_all = false;    ///< for the complete list, not for the changes since a version
   bool is_first_object = false;  ///< the object is the first of its call
 };
 
-/// The version of the list that this process has, and the way of a list to its consumers. Not
+/// Tracks the version of this process's list, and passes each list to its consumers. Not
 /// thread-safe. Reports errors as verdicts.
 class ListReceiver {
  public:
@@ -45,12 +45,12 @@
   /// Keeps references to `directory` and `counters`, which must outlive it.
   ListReceiver(EndpointDirectory& directory, Names names, Listener listener, Counters& counters);
 
-  /// Decodes an object and judges its version. Applies nothing.
+  /// Decodes an object and checks its version. Applies nothing.
   ReceivedList receive(const std::string& text, const ListRequest& request);
   /// Applies a list that was judged `current`.
   void apply(const HostList& list);
   /// Applies the entries of a list that was judged `malformed_entries`. The version stays, so that
-  /// the next call brings the others once more.
+  /// the next call receives the other entries again.
   void apply_decoded_entries(const HostList& list);
   /// Applies the list that the process had before it started.
   void apply_cached(const HostList& list);
@@ -72,7 +72,7 @@
   Listener listener_;
   Counters& counters_;
   std::uint64_t version_ = 0;
-  bool has_list_ = false;  // of `version_`: a call may ask for the changes since
+  bool has_list_ = false;  // a list of `version_`: a call may ask for the changes since
   bool accepts_any_version_ = true;
 };
 
--- a/node/discovery/object_framer.h
+++ b/node/discovery/object_framer.h
@@ -8,9 +8,10 @@
 
 namespace keelflow {
 
-/// Cuts a stream into complete JSON objects, however they are laid out: on one line, indented over
-/// many, several at once, in pieces of any size. Between objects only white space is permitted; it
-/// keeps a watch alive. Does not check the syntax within an object. Not thread-safe.
+/// Splits a stream into complete JSON objects. An object may be on one line or indented over many,
+/// and the stream may arrive in pieces of any size, with several objects at once. Between objects
+/// only white space is permitted; it keeps a watch alive. Does not check the syntax within an
+/// object. Not thread-safe.
 class ObjectFramer {
  public:
   /// Calls `on_object(const std::string&)` with each complete object until it returns false.
--- a/node/discovery/watch_manager.cpp
+++ b/node/discovery/watch_manager.cpp
@@ -13,13 +13,13 @@
 using discovery::CallEnd;
 using log::Subsystem;
 
-// A watch whose timer is later than this was delayed: the process was stopped.
+// If the watch's timer is later than this, the process was suspended.
 constexpr Duration kStoppedTolerance = 250ms;
-// An agent that has answered none of this many open calls, the first of them for this long, is
-// taken to be out of service.
+// An agent is presumed out of service if this many calls are open, none is answered, and the oldest
+// has waited for this long.
 constexpr std::size_t kUnansweredCalls = 8;
 constexpr Duration kUnansweredFor = 2s;
-// A call that is younger than this may yet be answered, and proves nothing.
+// A younger call may still be answered, so it is no evidence that the agent is out of service.
 constexpr Duration kMinCallAge = 1s;
 
 }  // namespace
@@ -56,8 +56,8 @@
   pushed_ = policy.pushed;
 }
 
-// At once, whatever the state of the calls: nothing more comes from the former address, and waiting
-// for its watch to end would leave changes unknown.
+// Moves at once, whatever the state of the calls: the former address sends nothing more, and
+// changes would stay unknown while waiting for its watch to end.
 void WatchManager::move(const net::Address& discovery) {
   if (discovery == discovery_ && !calls_.empty())
     return;
@@ -122,8 +122,8 @@
 }
 
 // Lists are pushed by an agent on this machine, which answers at once while it has anything to
-// send. A list from before this process started is no proof that the agent had nothing newer, so
-// that it is not used while the agent does not answer.
+// send. A list from before this process started does not prove that the agent had nothing newer,
+// so that list is not used while the agent does not answer.
 bool WatchManager::is_agent_unresponsive() const {
   if (!pushed_ || !lease_.is_list_complete() || calls_.size() < kUnansweredCalls ||
       loop_.now() - calls_.front()->began() < kUnansweredFor)
@@ -153,7 +153,8 @@
   callbacks_.on_call_accepted();
 }
 
-// Before its first object a call may have changes to send, so that a heartbeat proves nothing.
+// Until a call has received its first object, changes may be pending, so a heartbeat does not show
+// that the list is current.
 void WatchManager::on_heartbeat(DiscoveryCall& call) {
   if (!call.has_brought_object()) {
     log::info(Subsystem::discovery, "heartbeat-before-list", {{"call", call.number()}});
@@ -199,8 +200,8 @@
   return true;
 }
 
-// The first call that brings something is the watch. Those that began before it have failed to;
-// those that began later are not needed.
+// The first call that receives something becomes the watch. Calls that began before it have
+// received nothing and count as failed; calls that began later are not needed.
 void WatchManager::establish(DiscoveryCall& call) {
   if (watch_ == &call)
     return;
--- a/node/discovery/watch_manager.h
+++ b/node/discovery/watch_manager.h
@@ -1,7 +1,6 @@
 /// \file
-/// The calls to discovery, one of which is the watch. When calls begin is decided by
-/// logic/discovery/call_schedule; this class carries it out and is the only one that calls
-/// discovery.
+/// The calls to discovery, one of which is the watch. logic/discovery/call_schedule decides
+/// when calls begin; this class opens them, and no other class calls discovery.
 #pragma once
 
 #include <cstdint>
@@ -23,14 +22,16 @@
 
 namespace keelflow {
 
-/// Opens calls until one of them brings something and so becomes the watch, and again when it is
-/// lost. Gives lists to the ListReceiver and proofs to the ListLeaseKeeper. Not thread-safe.
+/// Opens calls until one of them receives something and so becomes the watch, and opens calls again
+/// when the watch is lost. Passes lists to the ListReceiver, and evidence that the list is current
+/// to the ListLeaseKeeper. Not thread-safe.
 class WatchManager final : public DiscoveryCall::Owner {
  public:
+  /// Notifications to the owner.
   struct Callbacks {
     /// Discovery has accepted a call: the changes follow next, if there are any.
     std::function<void()> on_call_accepted;
-    /// Descriptors are short; true if one was closed.
+    /// No descriptor is available; returns true if one was closed.
     std::function<bool()> on_descriptors_exhausted;
   };
 
@@ -46,7 +47,7 @@
   void change(const discovery::CallPolicy& policy);
   /// Calls another discovery from now on.
   void move(const net::Address& discovery);
-  /// Null: none. The monitor must outlive this object.
+  /// Sets the monitor to notify; null: none. The monitor must outlive this object.
   void observe(invariants::Monitor* monitor) { monitor_ = monitor; }
 
   WatchStatus status() const;
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -8,7 +8,7 @@
 using namespace std::chrono_literals;
 using Kind = discovery::WatchMessage::Kind;
 
-// Between two questions: four random peers a second.
+// The interval between questions: four random peers are asked per second.
 constexpr Duration kPollInterval = 250ms;
 
 }  // namespace
@@ -44,7 +44,7 @@
     send(draw_peer(), Kind::question);
 }
 
-// Any process but this one.
+// Draws any process except this one.
 int WatchSurvey::draw_peer() {
   int peer = std::uniform_int_distribution<int>(0, count_ - 2)(random_);
   return peer >= rank_ ? peer + 1 : peer;
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -1,6 +1,6 @@
 /// \file
-/// Polls random peers whether they have a watch on discovery, while this process has none, and
-/// answers theirs. What follows from the answers is decided by logic/discovery/outage_presumption.
+/// Asks random peers whether they have a watch on discovery while this process has none, and
+/// answers the same question from peers. logic/discovery/outage_presumption evaluates the answers.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
 
 namespace keelflow {
 
-/// The messages about watches, and the evidence from the answers. Messages may be lost: nothing
-/// waits for an answer, and no errors are reported. Not thread-safe.
+/// Sends and answers the messages about watches, and collects the evidence from the answers.
+/// Messages may be lost: nothing waits for an answer, and no errors are reported. Not thread-safe.
 class WatchSurvey {
  public:
   /// `has_watch`: whether this process has a watch. `on_answer`: a peer has answered.
@@ -31,7 +31,7 @@
   void connect(PeerSender* peers, int count, int rank);
   /// Starts or stops polling.
   void run(bool is_polling);
-  /// A message of a peer. False: it is of another kind.
+  /// Handles a message from a peer. False: it is not a message about watches.
   bool hear(int peer, std::string_view bytes);
 
   discovery::OutagePresumption& presumption() { return presumption_; }
--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -28,7 +28,7 @@
   return change.to == MemberState::dead || change.from == MemberState::dead;
 }
 
-// A member that is received for the first time is no event for operators.
+// The first message of a member is logged at debug level, as it is no event for operators.
 log::Level level_of(const fleet::MemberChange& change) {
   if (change.to == MemberState::dead)
     return log::Level::warning;
@@ -70,7 +70,8 @@
 
 bool MembershipAgent::hear(int from, const std::string& bytes) {
   if (!membership_)
-    return fleet::decode_membership_message(bytes).has_value();  // off here, on there
+    return fleet::decode_membership_message(bytes)
+        .has_value();  // off in this node, on in the sender
   fleet::Membership::Output out;
   bool is_membership_message = membership_->on_datagram(now_ms(), from, bytes, out);
   execute(out);
@@ -78,7 +79,8 @@
   return is_membership_message;
 }
 
-// A timer that is armed for later than needed is replaced; an earlier one finds nothing to do.
+// Replaces a timer that is due later than the next event. An earlier timer stays: when it fires,
+// nothing is due yet.
 void MembershipAgent::arm_timer() {
   if (timer_ != 0 && timer_due_ <= membership_->next())
     return;
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -20,12 +20,12 @@
 
 using log::Subsystem;
 
-// Links at once; a further process is refused, and counted.
+// The maximum number of simultaneous links; a further process is refused and counted.
 constexpr std::size_t kMaxLinks = 4;
-// Nobody but this user connects.
+// Only this user may connect.
 constexpr mode_t kSocketMask = 0177;
 
-// Empty: the folder's name is too long for a socket in it.
+// Empty: the path is too long for the address of a Unix socket.
 std::optional<sockaddr_un> address_of(const std::string& path) {
   sockaddr_un to{};
   to.sun_family = AF_UNIX;
@@ -56,7 +56,8 @@
       callbacks_(std::move(callbacks)),
       counters_(counters) {}
 
-// The name stays: it is the successor's by now, or nobody answers there.
+// The path is not unlinked: either a successor's socket has replaced this one, or no process
+// accepts there any more.
 Handover::~Handover() {
   links_.clear();
   if (fd_ < 0)
@@ -84,11 +85,11 @@
   send_to_all(ReadyMessage{});
 }
 
-// Listens under a name of this process's own, which then replaces the common one in one step: there
-// is no moment at which nobody answers. False: errno.
+// Listens at a path of this process's own and then renames it atomically over the common path, so
+// that some process accepts there at every moment. False: failed (errno).
 bool Handover::open_socket(const std::string& path) {
   auto address = address_of(path);
-  ::unlink(path.c_str());  // of a process with our number that ended in between
+  ::unlink(path.c_str());  // left by an ended process that had the same process id
   fd_ = address ? open_unix_socket() : -1;
   mode_t mask = ::umask(kSocketMask);
   bool bound =
@@ -145,7 +146,7 @@
 
 void Handover::check_is_same(int version, const std::string& node) const {
   if (version != kVersion || node != node_)
-    throw std::runtime_error("another release, or another node");
+    throw std::runtime_error("the process has another protocol version or another node name");
 }
 
 void Handover::on(HandoverLink& link, const HelloMessage& message) {
--- a/node/handover/handover_link.cpp
+++ b/node/handover/handover_link.cpp
@@ -7,9 +7,9 @@
 namespace keelflow {
 namespace {
 
-// A status callback's body of 64 KiB, each byte of which may be escaped in six, and more.
+// More than a status callback's body of 64 KiB with each byte escaped as six bytes.
 constexpr std::size_t kMaxLineBytes = 1024 * 1024;
-// Queued for a process that does not read.
+// The limit of the bytes queued for a process that does not read.
 constexpr std::size_t kMaxQueuedBytes = 1024 * 1024;
 
 }  // namespace
@@ -39,7 +39,7 @@
   }
   received_.erase(0, begin);
   if (received_.size() > kMaxLineBytes)
-    fail("a message is too long");
+    fail("a message exceeds 1 MiB");
 }
 
 void HandoverLink::on_line(std::string_view line) {
--- a/node/handover/handover_message.cpp
+++ b/node/handover/handover_message.cpp
@@ -44,7 +44,7 @@
   return message.at(key).get<std::string>();
 }
 
-/// One overload for each kind.
+/// Encodes a message as JSON, with one overload for each kind.
 struct ToJson {
   json operator()(const HelloMessage& m) const {
     return {{kKindKey, kHello}, {kVersionKey, m.version}, {kNodeKey, m.node}};
--- a/node/handover/learned_state_codec.cpp
+++ b/node/handover/learned_state_codec.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 using scheduler::LearnedState;
 
-// The keys of the release before, and of the next one: they stay.
+// The previous and the next release use the same keys, so they must not change.
 constexpr const char* kMeanRunMs = "mean_run";
 constexpr const char* kCongestion = "crowding";
 constexpr const char* kClasses = "classes";
@@ -18,7 +18,7 @@
 constexpr const char* kHintCount = "hint_count";
 constexpr const char* kKinds = "kinds";
 constexpr const char* kObservedCores = "cores";
-constexpr const char* kServiceTimeRatio = "slow";  // of kinds and of endpoints
+constexpr const char* kServiceTimeRatio = "slow";  // used for kinds and for endpoints
 constexpr const char* kStartDelays = "zones";
 constexpr const char* kEndpoints = "workers";
 constexpr const char* kEndpoint = "id";
--- a/node/lifecycle/config_reload.cpp
+++ b/node/lifecycle/config_reload.cpp
@@ -40,7 +40,7 @@
   parts_.traffic.check_numbers(own.routes);
   auto packages = plugins::load_all(own.plugins, files.own, names);
   if (!is_same_log(own.log, parts_.own.log))
-    log::open(own.log);  // the last that may throw
+    log::open(own.log);  // the last step that may throw
   parts_.traffic.retune({names, next.config.settings});
   parts_.traffic.configure(own.routes, own.moves);
   parts_.plugins.retune(names, next.config.settings.classes);
--- a/node/lifecycle/extra_listeners.cpp
+++ b/node/lifecycle/extra_listeners.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Between two attempts to listen on an address that the old process holds.
+// The interval between attempts to listen on an address that the old process holds.
 constexpr Duration kRetryAddress = std::chrono::milliseconds(50);
-// Connections to the admin socket at a time.
+// The maximum number of simultaneous connections to the admin socket.
 constexpr std::size_t kAdminConnections = 6;
 
 }  // namespace
--- a/node/lifecycle/graceful_shutdown.cpp
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -11,18 +11,18 @@
 
 using namespace std::chrono_literals;
 
-// After SIGTERM the front brings new connections for up to 0.4 s, and clients use the ones they
-// have for as long as these stay open. While the next node is still starting they have no other
-// place to go to.
+// After SIGTERM the front still opens new connections for up to 0.4 s, and clients use their
+// existing connections for as long as these stay open. Until the next node has started, clients
+// have no other node to send to.
 constexpr Duration kServeAfterSigterm = 1600ms;
-// SIGKILL comes as long after SIGTERM as the longest deadline, of which 3 s count at most, and 0.7
-// s. What came in more than 0.7 s after SIGTERM must be answered by then; a little before that all
-// answers are out.
+// SIGKILL follows SIGTERM after the longest deadline, of which at most 3 s count, plus 0.7 s.
+// Requests that arrive more than 0.7 s after SIGTERM must be answered before SIGKILL; all answers
+// are sent a little earlier.
 constexpr Duration kLongestDeadline = 3s;
 constexpr Duration kAfterDeadline = 700ms;
 constexpr Duration kLimitDeadlinesAfter = 600ms;
 constexpr Duration kAnswerTravelTime = 300ms;
-// Between two checks whether all is done.
+// The interval between checks whether the node is drained.
 constexpr Duration kCheckInterval = 20ms;
 
 }  // namespace
@@ -32,12 +32,12 @@
     return;
   log::info(log::Subsystem::node, "told-to-end");
   parts_.plugins.drain();
-  TimePoint begun = parts_.loop.now();
-  parts_.loop.at(begun + kLimitDeadlinesAfter, [this, begun] {
+  TimePoint shutdown_began = parts_.loop.now();
+  parts_.loop.at(shutdown_began + kLimitDeadlinesAfter, [this, shutdown_began] {
     advance(Stage::deadlines_limited);
-    parts_.engine.set_last_answer(begun + last_answer());
+    parts_.engine.set_last_answer(shutdown_began + last_answer());
   });
-  parts_.loop.at(begun + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
+  parts_.loop.at(shutdown_began + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
   if (handover::should_stop_accepting(true, callbacks_.has_successor()))
     drain();
 }
@@ -59,8 +59,8 @@
          kAnswerTravelTime;
 }
 
-// With a successor the listening socket is left to it at once: it accepts from the same socket, and
-// clients lose nothing by connecting to it.
+// If there is a successor process, this process stops accepting at once: the successor accepts from
+// the same listening socket, so clients that connect to it lose nothing.
 void GracefulShutdown::drain() {
   if (!advance(Stage::draining))
     return;
@@ -86,7 +86,7 @@
   if (progress)
     progress->close_idle();
   if (is_idle() && callbacks_.is_upgrade_done()) {
-    // What the kernel has accepted is served before the end, and nothing comes after it.
+    // Serves the connections that the kernel has already accepted; no others follow them.
     parts_.server.take_the_last();
     if (progress)
       progress->take_the_last();
--- a/node/lifecycle/process_upgrade.cpp
+++ b/node/lifecycle/process_upgrade.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// From an established watch until the list that discovery sends at once has been applied.
+// The time from an established watch until the list that discovery sends at once is applied.
 constexpr Duration kListArrives = std::chrono::milliseconds(30);
 
 }  // namespace
@@ -49,10 +49,10 @@
 }
 
 bool ProcessUpgrade::is_done() const {
-  // A process between two others passes status callbacks from its successor to its predecessor;
-  // without a successor the predecessor accepts again.
-  bool passes_callbacks = handover_ && has_successor_ && handover_->has_old_process();
-  return !passes_callbacks && (!handover_ || handover_->flushed());
+  // A process between two others forwards status callbacks from its successor to its predecessor.
+  // Without a successor it need not, because the predecessor accepts clients again.
+  bool forwards_callbacks = handover_ && has_successor_ && handover_->has_old_process();
+  return !forwards_callbacks && (!handover_ || handover_->flushed());
 }
 
 std::string ProcessUpgrade::waits_for() const {
@@ -65,7 +65,8 @@
     handover_->listen();
 }
 
-// What discovery has to send follows at once, in this iteration of the loop or the next.
+// Discovery sends its pending changes at once: they arrive in this iteration of the loop or the
+// next.
 void ProcessUpgrade::on_watch_established() {
   parts_.loop.at(parts_.loop.now() + kListArrives, [this] {
     succession_->endpoint_list_received();
@@ -100,7 +101,8 @@
   learned_.clear();
   for (const auto& state : message.at("knowledge"))
     learned_.push_back(from_json(state, parts_.config.names));
-  // Of the endpoints on the list that the platform keeps; of the others when they are listed.
+  // Restores the endpoints of the list in the platform's settings; the other endpoints are restored
+  // when they are listed.
   parts_.engine.restore(learned_);
   succession_->state_received();
   log::info(Subsystem::node, "taken-over", {{"out", message.at("out").size()}});
--- a/node/peers/peers.cpp
+++ b/node/peers/peers.cpp
@@ -13,7 +13,7 @@
 namespace keelflow {
 namespace {
 
-// Datagrams read before other sockets have their turn: a flood must not delay them.
+// The number of datagrams read before other sockets are served, which a flood must not delay.
 constexpr int kMostReadsAtOnce = 64;
 
 }  // namespace
@@ -44,8 +44,8 @@
   fd_ = net::open_socket(AF_INET, SOCK_DGRAM);
   if (fd_ < 0)
     return false;
-  bool bound = ::bind(fd_, reinterpret_cast<const sockaddr*>(&listen.in), sizeof listen.in) == 0;
-  if (bound)
+  bool is_bound = ::bind(fd_, reinterpret_cast<const sockaddr*>(&listen.in), sizeof listen.in) == 0;
+  if (is_bound)
     registration_ = loop_.watch(fd_, *this);
   if (registration_ != 0)
     return true;
@@ -79,16 +79,16 @@
 }
 
 void Peers::read() {
-  std::array<char, kMaxMessageBytes + 1> buffer;  // one more: a longer datagram is seen as such
+  std::array<char, kMaxMessageBytes + 1> buffer;  // one more byte, to detect longer datagrams
   for (int count = 0; count < kMostReadsAtOnce; ++count) {
     net::Address from;
     socklen_t size = sizeof from.in;
     ssize_t got = ::recvfrom(fd_, buffer.data(), buffer.size(), 0,
                              reinterpret_cast<sockaddr*>(&from.in), &size);
     if (got < 0 && (errno == EINTR || errno == ECONNREFUSED))
-      continue;  // refused: an earlier send, whose peer does not run
+      continue;  // refused: an earlier message went to a peer that is not running
     if (got < 0)
-      return;  // nothing left, or a fault that would last if it were tried again at once
+      return;  // no datagram left, or an error that an immediate retry would meet again
     on_datagram(address_of(from), {buffer.data(), static_cast<std::size_t>(got)});
   }
   loop_.next_turn(registration_);
--- a/node/peers/peers.h
+++ b/node/peers/peers.h
@@ -21,7 +21,8 @@
 /// Owns the socket. A node is identified by its rank, its position in the platform's settings.
 class Peers final : public PeerSender, net::EventLoop::Handler {
  public:
-  static constexpr std::size_t kMaxMessageBytes = 256;  ///< a longer datagram voids the run
+  static constexpr std::size_t kMaxMessageBytes =
+      256;  ///< a longer datagram invalidates a benchmark run
   /// A datagram of a peer arrived.
   using Listener = std::function<void(int peer, std::string bytes)>;
 
