--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -60,7 +60,7 @@
   TimePoint written_after() const { return std::max(began_, connection_.readable_since()); }
   bool asked_for_all() const { return since_.empty(); }
   /// Within `on_object`: whether the object is the first of the call.
-  bool at_first_object() const { return framer_.count() == 1; }
+  bool is_at_first_object() const { return framer_.count() == 1; }
 
  private:
   enum class State : std::uint8_t { requested, accepted, watching };
--- a/node/discovery/watch_manager.cpp
+++ b/node/discovery/watch_manager.cpp
@@ -170,7 +170,7 @@
   if (monitor_)
     monitor_->list_received(text, loop_.now());
   ListRequest request{.asked_for_all = call.asked_for_all(),
-                      .is_first_object = call.at_first_object()};
+                      .is_first_object = call.is_at_first_object()};
   ReceivedList received = receiver_.receive(text, request);
   // A list that its consumers cannot apply ends its call, as one that cannot be decoded does.
   try {
--- a/node/discovery/watch_survey.cpp
+++ b/node/discovery/watch_survey.cpp
@@ -55,7 +55,7 @@
     peers_->tell(peer, discovery::encode({kind}));
 }
 
-bool WatchSurvey::hear(int peer, std::string_view bytes) {
+bool WatchSurvey::handle_peer_datagram(int peer, std::string_view bytes) {
   auto message = discovery::decode_watch_message(bytes);
   if (!message)
     return false;
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -32,7 +32,7 @@
   /// Starts or stops polling.
   void run(bool is_polling);
   /// Handles a message from a peer. False: it is not a message about watches.
-  bool hear(int peer, std::string_view bytes);
+  bool handle_peer_datagram(int peer, std::string_view bytes);
 
   discovery::OutagePresumption& presumption() { return presumption_; }
   const discovery::OutagePresumption& presumption() const { return presumption_; }
--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -68,7 +68,7 @@
   execute(out);
 }
 
-bool MembershipAgent::hear(int from, const std::string& bytes) {
+bool MembershipAgent::handle_peer_datagram(int from, const std::string& bytes) {
   if (!membership_)
     return fleet::decode_membership_message(bytes)
         .has_value();  // off in this node, on in the sender
--- a/node/fleet/membership_agent.h
+++ b/node/fleet/membership_agent.h
@@ -37,7 +37,7 @@
   void leave();
   /// A datagram of another node. True: it was a membership message, which no other
   /// module handles.
-  bool hear(int from, const std::string& bytes);
+  bool handle_peer_datagram(int from, const std::string& bytes);
   /// For operators; null while it is off.
   nlohmann::json status() const;
 
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -66,7 +66,7 @@
   ::close(fd_);
 }
 
-bool Handover::ask() {
+bool Handover::connect_to_old_process() {
   auto to = address_of(path_);
   int fd = to ? open_unix_socket() : -1;
   if (fd < 0)
@@ -156,12 +156,12 @@
 
 void Handover::on(HandoverLink&, const WelcomeMessage& message) {
   check_is_same(message.version, message.node);
-  callbacks_.welcomed(message.state);
+  callbacks_.on_welcome(message.state);
 }
 
 void Handover::on(HandoverLink& link, const ReadyMessage&) {
   if (link.peer() == HandoverLink::Peer::new_process)
-    callbacks_.successor_ready();
+    callbacks_.on_new_process_ready();
 }
 
 void Handover::on(HandoverLink& link, const AdminOverrideMessage& message) {
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -34,11 +34,11 @@
     std::function<nlohmann::json()> welcome;
     /// The old process's state arrived, together with the keys of the message itself. May throw the
     /// exceptions of nlohmann-json, which close the connection.
-    std::function<void(const nlohmann::json&)> welcomed;
+    std::function<void(const nlohmann::json&)> on_welcome;
     /// True: the first link to a sibling process was made; false: the last one closed.
     std::function<void(bool here)> on_sibling_process;
     /// The new process accepts clients.
-    std::function<void()> successor_ready;
+    std::function<void()> on_new_process_ready;
     /// An operator's override at the other process.
     std::function<void(const std::string& host, bool out)> on_admin_override;
     /// A load update of the other process's scheduler.
@@ -52,7 +52,7 @@
   ~Handover() override;
 
   /// Connects to the old process. False: there is none.
-  bool ask();
+  bool connect_to_old_process();
   /// Takes over the socket's path, and notifies the old process that this one serves. A failure is
   /// logged: the node serves, but cannot be upgraded without a restart.
   void listen();
--- a/node/lifecycle/extra_listeners.cpp
+++ b/node/lifecycle/extra_listeners.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 // The interval between attempts to listen on an address that the old process holds.
-constexpr Duration kRetryAddress = std::chrono::milliseconds(50);
+constexpr Duration kListenRetryInterval = std::chrono::milliseconds(50);
 // The maximum number of simultaneous connections to the admin socket.
-constexpr std::size_t kAdminConnections = 6;
+constexpr std::size_t kMaxAdminConnections = 6;
 
 }  // namespace
 
@@ -46,7 +46,7 @@
   } catch (const std::system_error& fault) {
     if (!callbacks_.has_sibling() || fault.code().value() != EADDRINUSE)
       throw;
-    parts_.loop.at(parts_.loop.now() + kRetryAddress, [this, &server, where, then] {
+    parts_.loop.at(parts_.loop.now() + kListenRetryInterval, [this, &server, where, then] {
       try {
         listen_when_free(server, where, then);
       } catch (const std::system_error& later) {
@@ -62,7 +62,7 @@
   admin_front_ =
       std::make_unique<AdminFront>(parts_.traffic, parts_.plugins, pages_, parts_.counters);
   admin_server_ =
-      std::make_unique<Server>(parts_.loop, *admin_front_, kAdminConnections, parts_.counters);
+      std::make_unique<Server>(parts_.loop, *admin_front_, kMaxAdminConnections, parts_.counters);
   listen_when_free(*admin_server_, parts_.own.admin.socket, [this] {
     log::info(Subsystem::admin, "listens",
               {{"name", parts_.config.name}, {"socket", parts_.own.admin.socket}});
@@ -88,7 +88,7 @@
   if (parts_.peers.open(*config.peer_listen))
     parts_.membership.start(parts_.own.members, config.settings.dispatchers, config.settings.rank);
   else if (callbacks_.is_upgradable() && errno == EADDRINUSE)
-    parts_.loop.at(parts_.loop.now() + kRetryAddress, [this] { open_peers(); });
+    parts_.loop.at(parts_.loop.now() + kListenRetryInterval, [this] { open_peers(); });
   else
     log::error(Subsystem::node, "peers-unheard",
                {{"address", config.peer_listen->text()}, {"errno", errno}});
--- a/node/lifecycle/graceful_shutdown.cpp
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -19,7 +19,7 @@
 // Requests that arrive more than 0.7 s after SIGTERM must be answered before SIGKILL; all answers
 // are sent a little earlier.
 constexpr Duration kLongestDeadline = 3s;
-constexpr Duration kAfterDeadline = 700ms;
+constexpr Duration kSigkillAfterDeadline = 700ms;
 constexpr Duration kLimitDeadlinesAfter = 600ms;
 constexpr Duration kAnswerTravelTime = 300ms;
 // The interval between checks whether the node is drained.
@@ -55,7 +55,7 @@
 }
 
 Duration GracefulShutdown::last_answer() const {
-  return std::min(parts_.config.longest_deadline, kLongestDeadline) + kAfterDeadline -
+  return std::min(parts_.config.longest_deadline, kLongestDeadline) + kSigkillAfterDeadline -
          kAnswerTravelTime;
 }
 
--- a/node/lifecycle/process_upgrade.cpp
+++ b/node/lifecycle/process_upgrade.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // The time from an established watch until the list that discovery sends at once is applied.
-constexpr Duration kListArrives = std::chrono::milliseconds(30);
+constexpr Duration kListArrivalTime = std::chrono::milliseconds(30);
 
 }  // namespace
 
@@ -23,15 +23,16 @@
   else
     handover_ = std::make_unique<Handover>(parts_.loop, folder, parts_.config.name,
                                            handover_callbacks(), parts_.counters);
-  succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()), handover_ && handover_->ask());
+  succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()),
+                      handover_ && handover_->connect_to_old_process());
   parts_.loop.at(parts_.clock.at(succession_->latest_ready_ms()), callbacks_.serve_if_ready);
 }
 
 Handover::Callbacks ProcessUpgrade::handover_callbacks() {
   return {.welcome = [this] { return welcome(); },
-          .welcomed = [this](const nlohmann::json& message) { on_welcomed(message); },
-          .on_sibling_process = [this](bool is_here) { on_sibling(is_here); },
-          .successor_ready =
+          .on_welcome = [this](const nlohmann::json& message) { on_old_process_state(message); },
+          .on_sibling_process = [this](bool is_here) { on_sibling_changed(is_here); },
+          .on_new_process_ready =
               [this] {
                 has_successor_ = true;
                 callbacks_.on_successor_ready();
@@ -68,7 +69,7 @@
 // Discovery sends its pending changes at once: they arrive in this iteration of the loop or the
 // next.
 void ProcessUpgrade::on_watch_established() {
-  parts_.loop.at(parts_.loop.now() + kListArrives, [this] {
+  parts_.loop.at(parts_.loop.now() + kListArrivalTime, [this] {
     succession_->endpoint_list_received();
     callbacks_.serve_if_ready();
   });
@@ -95,7 +96,7 @@
   return {{"out", parts_.overrides.disabled_hosts()}, {"knowledge", learned}};
 }
 
-void ProcessUpgrade::on_welcomed(const nlohmann::json& message) {
+void ProcessUpgrade::on_old_process_state(const nlohmann::json& message) {
   for (const auto& host : message.at("out"))
     callbacks_.apply_override(host.get<std::string>(), true);
   learned_.clear();
@@ -109,7 +110,7 @@
   callbacks_.serve_if_ready();
 }
 
-void ProcessUpgrade::on_sibling(bool is_here) {
+void ProcessUpgrade::on_sibling_changed(bool is_here) {
   log::info(Subsystem::node, is_here ? "partner-here" : "partner-gone");
   parts_.server.limit(handover::share_of_limit(limits_.inbound, is_here));
   parts_.connections.most_idle(handover::share_of_limit(limits_.idle_outbound, is_here));
--- a/node/lifecycle/process_upgrade.h
+++ b/node/lifecycle/process_upgrade.h
@@ -77,8 +77,8 @@
  private:
   Handover::Callbacks handover_callbacks();
   nlohmann::json welcome() const;
-  void on_welcomed(const nlohmann::json& message);
-  void on_sibling(bool is_here);
+  void on_old_process_state(const nlohmann::json& message);
+  void on_sibling_changed(bool is_here);
 
   Parts parts_;
   Limits limits_;
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -57,7 +57,8 @@
         peers_(
             loop_, config_.peers, config_.settings.rank,
             [this](int peer, const std::string& bytes) {
-              if (!destinations_.survey().hear(peer, bytes) && !membership_agent_.hear(peer, bytes))
+              if (!destinations_.survey().handle_peer_datagram(peer, bytes) &&
+                  !membership_agent_.handle_peer_datagram(peer, bytes))
                 engine_.on_peer_message(peer, bytes);
             },
             counters_),
--- a/node/peers/peers.cpp
+++ b/node/peers/peers.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // The number of datagrams read before other sockets are served, which a flood must not delay.
-constexpr int kMostReadsAtOnce = 64;
+constexpr int kMaxReadsPerTurn = 64;
 
 }  // namespace
 
@@ -80,7 +80,7 @@
 
 void Peers::read() {
   std::array<char, kMaxMessageBytes + 1> buffer;  // one more byte, to detect longer datagrams
-  for (int count = 0; count < kMostReadsAtOnce; ++count) {
+  for (int count = 0; count < kMaxReadsPerTurn; ++count) {
     net::Address from;
     socklen_t size = sizeof from.in;
     ssize_t got = ::recvfrom(fd_, buffer.data(), buffer.size(), 0,
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -208,12 +208,12 @@
                       {"out", {"box-3"}},
                       {"knowledge", {to_json(example_learned_state(), example_names())}}};
                 },
-            .welcomed =
+            .on_welcome =
                 [this](const nlohmann::json& message) {
                   received_.push_back("welcome " + message.dump());
                 },
             .on_sibling_process = [](bool) {},
-            .successor_ready = [this] { received_.push_back("ready"); },
+            .on_new_process_ready = [this] { received_.push_back("ready"); },
             .on_admin_override =
                 [this](const std::string& host, bool out) {
                   received_.push_back("by-hand " + host + " " + std::to_string(out));
@@ -318,7 +318,7 @@
   ASSERT_EQ(::bind(listening, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
   ASSERT_EQ(::listen(listening, 1), 0);
   auto handover = make();
-  ASSERT_TRUE(handover->ask());
+  ASSERT_TRUE(handover->connect_to_old_process());
   peer_ = ::accept(listening, nullptr, nullptr);
   ASSERT_GE(peer_, 0);
   expect_message("handover-hello", lines(1)[0]);
