--- a/node/fleet/membership_agent.cpp
+++ b/node/fleet/membership_agent.cpp
@@ -131,13 +131,13 @@
 }
 
 json MembershipAgent::status_of(int member, double now) const {
-  const fleet::Member& of = membership_->at(member);
+  const fleet::Member& entry = membership_->at(member);
   return {{"member", member},
-          {"life", to_string(of.state)},
-          {"incarnation", of.incarnation},
-          {"accusers", of.accusers},
-          {"since_s", seconds_since(of.since, now)},
-          {"heard_s", seconds_since(of.last_datagram_at, now)}};
+          {"life", to_string(entry.state)},
+          {"incarnation", entry.incarnation},
+          {"accusers", entry.accusers},
+          {"since_s", seconds_since(entry.since, now)},
+          {"heard_s", seconds_since(entry.last_datagram_at, now)}};
 }
 
 json MembershipAgent::status() const {
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -27,12 +27,12 @@
 
 // Empty: the path is too long for the address of a Unix socket.
 std::optional<sockaddr_un> address_of(const std::string& path) {
-  sockaddr_un to{};
-  to.sun_family = AF_UNIX;
-  if (path.size() >= sizeof to.sun_path)
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  if (path.size() >= sizeof address.sun_path)
     return std::nullopt;
-  path.copy(to.sun_path, sizeof to.sun_path - 1);
-  return to;
+  path.copy(address.sun_path, sizeof address.sun_path - 1);
+  return address;
 }
 
 int open_unix_socket() {
@@ -67,11 +67,11 @@
 }
 
 bool Handover::connect_to_old_process() {
-  auto to = address_of(path_);
-  int fd = to ? open_unix_socket() : -1;
+  auto address = address_of(path_);
+  int fd = address ? open_unix_socket() : -1;
   if (fd < 0)
     return false;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0) {
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0) {
     ::close(fd);
     return false;
   }
@@ -92,10 +92,10 @@
   ::unlink(path.c_str());  // left by an ended process that had the same process id
   fd_ = address ? open_unix_socket() : -1;
   mode_t mask = ::umask(kSocketMask);
-  bool bound =
+  bool is_bound =
       fd_ >= 0 && ::bind(fd_, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) == 0;
   ::umask(mask);
-  if (!bound || ::listen(fd_, static_cast<int>(kMaxLinks)) != 0)
+  if (!is_bound || ::listen(fd_, static_cast<int>(kMaxLinks)) != 0)
     return false;
   registration_ = loop_.watch(fd_, *this);
   return registration_ != 0 && std::rename(path.c_str(), path_.c_str()) == 0;
@@ -186,8 +186,8 @@
   return all_sent;
 }
 
-void Handover::send_admin_override(const std::string& host, bool out) {
-  send_to_all(AdminOverrideMessage{host, out});
+void Handover::send_admin_override(const std::string& host, bool is_out) {
+  send_to_all(AdminOverrideMessage{host, is_out});
 }
 
 void Handover::send_load_update(std::string_view bytes) {
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -36,11 +36,11 @@
     /// exceptions of nlohmann-json, which close the connection.
     std::function<void(const nlohmann::json&)> on_welcome;
     /// True: the first link to a sibling process was made; false: the last one closed.
-    std::function<void(bool here)> on_sibling_process;
+    std::function<void(bool is_here)> on_sibling_process;
     /// The new process accepts clients.
     std::function<void()> on_new_process_ready;
     /// An operator's override at the other process.
-    std::function<void(const std::string& host, bool out)> on_admin_override;
+    std::function<void(const std::string& host, bool is_out)> on_admin_override;
     /// A load update of the other process's scheduler.
     std::function<void(const std::string& bytes)> on_load_update;
     /// A status callback that reached the other process. True: it belongs to one of this process's
@@ -57,7 +57,7 @@
   /// logged: the node serves, but cannot be upgraded without a restart.
   void listen();
 
-  void send_admin_override(const std::string& host, bool out);
+  void send_admin_override(const std::string& host, bool is_out);
   void send_load_update(std::string_view bytes);
   /// Sends the others a status callback that belongs to none of this process's attempts. False: it
   /// was not sent to all other processes, so the endpoint must send it again.
--- a/node/lifecycle/process_upgrade.cpp
+++ b/node/lifecycle/process_upgrade.cpp
@@ -80,9 +80,9 @@
     parts_.engine.restore(learned_);
 }
 
-void ProcessUpgrade::send_admin_override(const std::string& host, bool out) {
+void ProcessUpgrade::send_admin_override(const std::string& host, bool is_out) {
   if (handover_)
-    handover_->send_admin_override(host, out);
+    handover_->send_admin_override(host, is_out);
 }
 
 bool ProcessUpgrade::forward_status_callback(const std::string& body) {
--- a/node/lifecycle/process_upgrade.h
+++ b/node/lifecycle/process_upgrade.h
@@ -45,7 +45,7 @@
     std::size_t inbound, idle_outbound;
   };
   struct Callbacks {
-    std::function<void(const std::string& host, bool out)> apply_override;
+    std::function<void(const std::string& host, bool is_out)> apply_override;
     std::function<void()> serve_if_ready;      ///< A condition of `waits_for` may have changed.
     std::function<void()> on_successor_ready;  ///< The new process accepts clients.
   };
@@ -69,7 +69,7 @@
   void on_watch_established();
   /// An endpoint list arrived before this process serves.
   void on_list_before_serving();
-  void send_admin_override(const std::string& host, bool out);
+  void send_admin_override(const std::string& host, bool is_out);
   /// False: the process that the callback is for could not be reached, so the endpoint must send it
   /// again.
   bool forward_status_callback(const std::string& body);
--- a/node/peers/peers.cpp
+++ b/node/peers/peers.cpp
@@ -83,13 +83,13 @@
   for (int count = 0; count < kMaxReadsPerTurn; ++count) {
     net::Address from;
     socklen_t size = sizeof from.in;
-    ssize_t got = ::recvfrom(fd_, buffer.data(), buffer.size(), 0,
-                             reinterpret_cast<sockaddr*>(&from.in), &size);
-    if (got < 0 && (errno == EINTR || errno == ECONNREFUSED))
+    ssize_t received_bytes = ::recvfrom(fd_, buffer.data(), buffer.size(), 0,
+                                        reinterpret_cast<sockaddr*>(&from.in), &size);
+    if (received_bytes < 0 && (errno == EINTR || errno == ECONNREFUSED))
       continue;  // refused: an earlier message went to a peer that is not running
-    if (got < 0)
+    if (received_bytes < 0)
       return;  // no datagram left, or an error that an immediate retry would meet again
-    on_datagram(address_of(from), {buffer.data(), static_cast<std::size_t>(got)});
+    on_datagram(address_of(from), {buffer.data(), static_cast<std::size_t>(received_bytes)});
   }
   loop_.next_turn(registration_);
 }
