--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -63,6 +63,7 @@
   bool is_at_first_object() const { return framer_.count() == 1; }
 
  private:
+  /// The progress of a call, which only advances.
   enum class State : std::uint8_t { requested, accepted, watching };
 
   void on_connected() override;
--- a/node/discovery/host_list.cpp
+++ b/node/discovery/host_list.cpp
@@ -15,6 +15,7 @@
 constexpr std::uint32_t kHashOffset = 2166136261u;
 constexpr std::uint32_t kHashPrime = 16777619u;
 
+// An entry of the list, and whether all its fields could be decoded.
 struct DecodedHost {
   Host host;
   bool is_well_formed = false;
--- a/node/fleet/membership_agent.h
+++ b/node/fleet/membership_agent.h
@@ -19,6 +19,7 @@
 /// Owns this node's Membership and its timer. Off until start(), and if the settings disable it.
 class MembershipAgent {
  public:
+  /// Whether the protocol runs, its period, and the range of the suspicion timeout.
   struct Settings {
     bool on = false;
     Duration period = std::chrono::milliseconds(250);
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -29,6 +29,7 @@
   static constexpr int kVersion =
       1;  ///< of the protocol; a process with another version is refused
 
+  /// The actions for messages and link events, and the source of the state to send.
   struct Callbacks {
     /// Returns the state to send to the new process.
     std::function<nlohmann::json()> welcome;
--- a/node/lifecycle/derived_settings.h
+++ b/node/lifecycle/derived_settings.h
@@ -12,8 +12,11 @@
 /// The scheduler's settings with polling off: DestinationSet refreshes the endpoint list and passes
 /// it to the scheduler.
 scheduler::Settings scheduler_settings(scheduler::Settings settings);
+/// The policy by which DestinationSet calls discovery.
 discovery::CallPolicy call_policy(const scheduler::Settings& settings);
+/// The terms of the endpoint list's lease.
 discovery::LeaseTerms lease_terms(const scheduler::Settings& settings);
+/// The terms that the invariant monitor checks.
 invariants::Terms monitor_terms(const scheduler::Settings& settings);
 
 }  // namespace keelflow
--- a/node/lifecycle/extra_listeners.h
+++ b/node/lifecycle/extra_listeners.h
@@ -44,6 +44,7 @@
     const OperatorCalls& operators;
     Counters& counters;
   };
+  /// Queries about other processes of this node.
   struct Callbacks {
     std::function<bool()> has_sibling;    ///< The old process still runs and may hold addresses.
     std::function<bool()> is_upgradable;  ///< An old process may exist.
--- a/node/lifecycle/graceful_shutdown.h
+++ b/node/lifecycle/graceful_shutdown.h
@@ -38,6 +38,7 @@
     Server& server;
     Counters& counters;
   };
+  /// Queries that decide how the node drains and when it may stop.
   struct Callbacks {
     std::function<Server*()> progress_server;  ///< Null if there is none.
     std::function<bool()> has_successor;       ///< Another process of this node accepts clients.
--- a/node/lifecycle/process_upgrade.h
+++ b/node/lifecycle/process_upgrade.h
@@ -44,6 +44,7 @@
   struct Limits {
     std::size_t inbound, idle_outbound;
   };
+  /// Notifications to the owner.
   struct Callbacks {
     std::function<void(const std::string& host, bool is_out)> apply_override;
     std::function<void()> serve_if_ready;      ///< A condition of `waits_for` may have changed.
--- a/node/lifecycle/signal_reader.h
+++ b/node/lifecycle/signal_reader.h
@@ -17,6 +17,7 @@
 /// before.
 class SignalReader final : public net::EventLoop::Handler {
  public:
+  /// The action for each signal.
   struct Callbacks {
     std::function<void()> on_terminate;  ///< SIGTERM, SIGINT.
     std::function<void()> on_reload;     ///< SIGHUP.
