--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -20,19 +20,19 @@
 
 using log::Subsystem;
 
-// Links at once; a further process is refused, and counted.
+// The maximum number of simultaneous links; a further process is refused and counted.
 constexpr std::size_t kMaxLinks = 4;
-// Nobody but this user connects.
+// Only this user may connect.
 constexpr mode_t kSocketMask = 0177;
 
-// Empty: the folder's name is too long for a socket in it.
+// Empty: the path is too long for the address of a Unix socket.
 std::optional<sockaddr_un> address_of(const std::string& path) {
-  sockaddr_un to{};
-  to.sun_family = AF_UNIX;
-  if (path.size() >= sizeof to.sun_path)
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  if (path.size() >= sizeof address.sun_path)
     return std::nullopt;
-  path.copy(to.sun_path, sizeof to.sun_path - 1);
-  return to;
+  path.copy(address.sun_path, sizeof address.sun_path - 1);
+  return address;
 }
 
 int open_unix_socket() {
@@ -56,7 +56,8 @@
       callbacks_(std::move(callbacks)),
       counters_(counters) {}
 
-// The name stays: it is the successor's by now, or nobody answers there.
+// The path is not unlinked: either a successor's socket has replaced this one, or no process
+// accepts there any more.
 Handover::~Handover() {
   links_.clear();
   if (fd_ < 0)
@@ -65,12 +66,12 @@
   ::close(fd_);
 }
 
-bool Handover::ask() {
-  auto to = address_of(path_);
-  int fd = to ? open_unix_socket() : -1;
+bool Handover::connect_to_old_process() {
+  auto address = address_of(path_);
+  int fd = address ? open_unix_socket() : -1;
   if (fd < 0)
     return false;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*to), sizeof *to) != 0) {
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0) {
     ::close(fd);
     return false;
   }
@@ -84,17 +85,17 @@
   send_to_all(ReadyMessage{});
 }
 
-// Listens under a name of this process's own, which then replaces the common one in one step: there
-// is no moment at which nobody answers. False: errno.
+// Listens at a path of this process's own and then renames it atomically over the common path, so
+// that some process accepts there at every moment. False: failed (errno).
 bool Handover::open_socket(const std::string& path) {
   auto address = address_of(path);
-  ::unlink(path.c_str());  // of a process with our number that ended in between
+  ::unlink(path.c_str());  // left by an ended process that had the same process id
   fd_ = address ? open_unix_socket() : -1;
   mode_t mask = ::umask(kSocketMask);
-  bool bound =
+  bool is_bound =
       fd_ >= 0 && ::bind(fd_, reinterpret_cast<const sockaddr*>(&*address), sizeof *address) == 0;
   ::umask(mask);
-  if (!bound || ::listen(fd_, static_cast<int>(kMaxLinks)) != 0)
+  if (!is_bound || ::listen(fd_, static_cast<int>(kMaxLinks)) != 0)
     return false;
   registration_ = loop_.watch(fd_, *this);
   return registration_ != 0 && std::rename(path.c_str(), path_.c_str()) == 0;
@@ -145,7 +146,7 @@
 
 void Handover::check_is_same(int version, const std::string& node) const {
   if (version != kVersion || node != node_)
-    throw std::runtime_error("another release, or another node");
+    throw std::runtime_error("the process has another protocol version or another node name");
 }
 
 void Handover::on(HandoverLink& link, const HelloMessage& message) {
@@ -155,12 +156,12 @@
 
 void Handover::on(HandoverLink&, const WelcomeMessage& message) {
   check_is_same(message.version, message.node);
-  callbacks_.welcomed(message.state);
+  callbacks_.on_welcome(message.state);
 }
 
 void Handover::on(HandoverLink& link, const ReadyMessage&) {
   if (link.peer() == HandoverLink::Peer::new_process)
-    callbacks_.successor_ready();
+    callbacks_.on_new_process_ready();
 }
 
 void Handover::on(HandoverLink& link, const AdminOverrideMessage& message) {
@@ -185,8 +186,8 @@
   return all_sent;
 }
 
-void Handover::send_admin_override(const std::string& host, bool out) {
-  send_to_all(AdminOverrideMessage{host, out});
+void Handover::send_admin_override(const std::string& host, bool is_out) {
+  send_to_all(AdminOverrideMessage{host, is_out});
 }
 
 void Handover::send_load_update(std::string_view bytes) {
--- a/node/lifecycle/process_upgrade.cpp
+++ b/node/lifecycle/process_upgrade.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// From an established watch until the list that discovery sends at once has been applied.
-constexpr Duration kListArrives = std::chrono::milliseconds(30);
+// The time from an established watch until the list that discovery sends at once is applied.
+constexpr Duration kListArrivalTime = std::chrono::milliseconds(30);
 
 }  // namespace
 
@@ -23,15 +23,16 @@
   else
     handover_ = std::make_unique<Handover>(parts_.loop, folder, parts_.config.name,
                                            handover_callbacks(), parts_.counters);
-  succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()), handover_ && handover_->ask());
+  succession_.emplace(parts_.clock.unix_ms(parts_.loop.now()),
+                      handover_ && handover_->connect_to_old_process());
   parts_.loop.at(parts_.clock.at(succession_->latest_ready_ms()), callbacks_.serve_if_ready);
 }
 
 Handover::Callbacks ProcessUpgrade::handover_callbacks() {
   return {.welcome = [this] { return welcome(); },
-          .welcomed = [this](const nlohmann::json& message) { on_welcomed(message); },
-          .on_sibling_process = [this](bool is_here) { on_sibling(is_here); },
-          .successor_ready =
+          .on_welcome = [this](const nlohmann::json& message) { on_old_process_state(message); },
+          .on_sibling_process = [this](bool is_here) { on_sibling_changed(is_here); },
+          .on_new_process_ready =
               [this] {
                 has_successor_ = true;
                 callbacks_.on_successor_ready();
@@ -49,10 +50,10 @@
 }
 
 bool ProcessUpgrade::is_done() const {
-  // A process between two others passes status callbacks from its successor to its predecessor;
-  // without a successor the predecessor accepts again.
-  bool passes_callbacks = handover_ && has_successor_ && handover_->has_old_process();
-  return !passes_callbacks && (!handover_ || handover_->flushed());
+  // A process between two others forwards status callbacks from its successor to its predecessor.
+  // Without a successor it need not, because the predecessor accepts clients again.
+  bool forwards_callbacks = handover_ && has_successor_ && handover_->has_old_process();
+  return !forwards_callbacks && (!handover_ || handover_->flushed());
 }
 
 std::string ProcessUpgrade::waits_for() const {
@@ -65,9 +66,10 @@
     handover_->listen();
 }
 
-// What discovery has to send follows at once, in this iteration of the loop or the next.
+// Discovery sends its pending changes at once: they arrive in this iteration of the loop or the
+// next.
 void ProcessUpgrade::on_watch_established() {
-  parts_.loop.at(parts_.loop.now() + kListArrives, [this] {
+  parts_.loop.at(parts_.loop.now() + kListArrivalTime, [this] {
     succession_->endpoint_list_received();
     callbacks_.serve_if_ready();
   });
@@ -78,9 +80,9 @@
     parts_.engine.restore(learned_);
 }
 
-void ProcessUpgrade::send_admin_override(const std::string& host, bool out) {
+void ProcessUpgrade::send_admin_override(const std::string& host, bool is_out) {
   if (handover_)
-    handover_->send_admin_override(host, out);
+    handover_->send_admin_override(host, is_out);
 }
 
 bool ProcessUpgrade::forward_status_callback(const std::string& body) {
@@ -94,20 +96,21 @@
   return {{"out", parts_.overrides.disabled_hosts()}, {"knowledge", learned}};
 }
 
-void ProcessUpgrade::on_welcomed(const nlohmann::json& message) {
+void ProcessUpgrade::on_old_process_state(const nlohmann::json& message) {
   for (const auto& host : message.at("out"))
     callbacks_.apply_override(host.get<std::string>(), true);
   learned_.clear();
   for (const auto& state : message.at("knowledge"))
     learned_.push_back(from_json(state, parts_.config.names));
-  // Of the endpoints on the list that the platform keeps; of the others when they are listed.
+  // Restores the endpoints of the list in the platform's settings; the other endpoints are restored
+  // when they are listed.
   parts_.engine.restore(learned_);
   succession_->state_received();
   log::info(Subsystem::node, "taken-over", {{"out", message.at("out").size()}});
   callbacks_.serve_if_ready();
 }
 
-void ProcessUpgrade::on_sibling(bool is_here) {
+void ProcessUpgrade::on_sibling_changed(bool is_here) {
   log::info(Subsystem::node, is_here ? "partner-here" : "partner-gone");
   parts_.server.limit(handover::share_of_limit(limits_.inbound, is_here));
   parts_.connections.most_idle(handover::share_of_limit(limits_.idle_outbound, is_here));
