--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -57,7 +57,7 @@
   void on(const MembershipChanged& event) { quota.on_membership(event.is_alive); }
   void on(const LearnedState& event) { state_transfer.restore(event); }
   void on(const TimerFired& event) { environment.timers.on_fired(event.id); }
-  void on(const SendPermission& event) { may_release = event.is_allowed; }
+  void on(const SendPermission& event) { is_sending_allowed = event.is_allowed; }
   void on(const HealthCheckResult&) {}  // health check results do not affect scheduling
 
   void on(const SettingsChanged& event) {
@@ -95,7 +95,7 @@
   // Sends the request with the smallest calibrated cost of all classes first. Overdue requests stay
   // queued under congestion.
   void release() {
-    if (!may_release)
+    if (!is_sending_allowed)
       return;
     release(QueueTier::in_time);
     if (!congestion.is_high())
@@ -158,7 +158,7 @@
   StateTransfer state_transfer{environment, endpoints,   health,     peer_load,   statistics,
                                slow_start,  calibration, congestion, availability};
   Time next_release = 0;
-  bool may_release = true;
+  bool is_sending_allowed = true;
 };
 
 Dispatcher::Dispatcher(const Settings& settings, std::uint64_t seed,
--- a/scheduler/endpoint_health.cpp
+++ b/scheduler/endpoint_health.cpp
@@ -11,7 +11,7 @@
 // Ejection time of an overloaded endpoint, in mean running times.
 constexpr double kEjectionMeanRuns = 0.1;
 constexpr double kMinEjectionTicks = 4;
-constexpr int kMaxOutlierSigns = 3;  // most doublings of the ejection time for signs of a fault
+constexpr int kMaxOutlierSigns = 3;         // most doublings of the ejection time for outlier signs
 constexpr int kMaxConsecutiveFailures = 6;  // most doublings for consecutive failures
 // The ejection time is multiplied by a random factor in [kMinEjectionJitter, kMinEjectionJitter +
 // kEjectionJitterSpan), so that dispatchers that ejected the endpoint together return at different
--- a/scheduler/endpoint_list_tracker.cpp
+++ b/scheduler/endpoint_list_tracker.cpp
@@ -112,10 +112,10 @@
   const Settings& settings = environment_.settings;
   if (!settings.polls_list)
     return;
-  double most = kMaxPollSpreadFraction * settings.poll_within_ms;
-  double spread =
-      std::min(most, kSpreadPerDispatcherMs * (settings.dispatchers - 1) + poll_backoff_ms_);
-  poll_backoff_ms_ = std::min(most, 2 * poll_backoff_ms_ + kInitialPollBackoffMs);
+  double max_spread_ms = kMaxPollSpreadFraction * settings.poll_within_ms;
+  double spread = std::min(max_spread_ms,
+                           kSpreadPerDispatcherMs * (settings.dispatchers - 1) + poll_backoff_ms_);
+  poll_backoff_ms_ = std::min(max_spread_ms, 2 * poll_backoff_ms_ + kInitialPollBackoffMs);
   environment_.timers.add(environment_.now + spread * environment_.random(),
                           TimerPurpose::poll_list);
 }
--- a/scheduler/endpoint_selector.cpp
+++ b/scheduler/endpoint_selector.cpp
@@ -16,7 +16,8 @@
 constexpr double kCongestionWaitFactor = 4;  // full congestion adds up to this multiple of the wait
 
 constexpr int kRingProbes = 16;  // ring lookups that order the endpoints for a key
-// A key may use this multiple of the number of endpoints that its traffic fills.
+// A key may use this multiple of its proportional share of the endpoints: its fraction of the
+// requests times the number of endpoints.
 constexpr double kKeySpreadFactor = 2.5;
 // A queued request with a key may use one more endpoint each time it has waited about as long as an
 // endpoint takes to fetch the key's data from the shared store: this multiple of the mean running
--- a/scheduler/endpoint_table.cpp
+++ b/scheduler/endpoint_table.cpp
@@ -75,7 +75,7 @@
 
 void EndpointTable::index(EndpointSlot slot, bool is_available, bool is_in_subset) {
   const EndpointEntry& entry = records_[slot].entry;
-  Kind& kind = kinds_[kind_index(entry.kind)];
+  EndpointsOfKind& kind = kinds_[kind_index(entry.kind)];
   if (entry.state == EndpointState::ready) {
     kind.ring.emplace(mix(entry.endpoint), slot);
   } else {
--- a/scheduler/endpoint_table.h
+++ b/scheduler/endpoint_table.h
@@ -76,7 +76,8 @@
   const Ring& ring(int kind) const { return kinds_[kind_index(kind)].ring; }
 
  private:
-  struct Kind {
+  /// Indexes of the available endpoints of one kind.
+  struct EndpointsOfKind {
     SampledSet available;
     SampledSet available_in_subset;
     Ring ring;
@@ -90,7 +91,7 @@
   std::unordered_map<EndpointId, EndpointSlot> slots_;  // never iterated: unordered
   std::set<EndpointId> listed_;
   std::map<int, std::set<EndpointId>> cells_;
-  std::vector<Kind> kinds_;
+  std::vector<EndpointsOfKind> kinds_;
 };
 
 }  // namespace keelflow::scheduler
--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -18,7 +18,8 @@
     /// This dispatcher's limit of capacity slots in flight; the default applies until there is
     /// data.
     double concurrency_limit = 2;
-    int outlier_signs = 0;         ///< signs of a fault since the last success
+    /// Outlier signs since they were last cleared; each doubles the ejection time, up to a limit.
+    int outlier_signs = 0;
     int consecutive_failures = 0;  ///< failed attempts since the last successful one
     Time ejected_until = 0;
   };
--- a/simulator_adapter/instance_table.cpp
+++ b/simulator_adapter/instance_table.cpp
@@ -62,7 +62,7 @@
 void InstanceTable::log_unknown(std::uint32_t id, int code, std::string& log) {
   bool is_new = unknown_codes_[id].insert(code).second;
   if (is_new)
-    log += "simulator_adapter: event code " + std::to_string(code) + " skipped\n";
+    log += "simulator_adapter: skipped event with unknown code " + std::to_string(code) + "\n";
 }
 
 void InstanceTable::handle(std::uint32_t id, double now, const Event& event,
--- a/tests/replay/messages_test.cpp
+++ b/tests/replay/messages_test.cpp
@@ -230,7 +230,7 @@
         counters_);
   }
 
-  // The name of the only socket in the folder.
+  // The name of the only socket in the temporary folder of this test.
   std::string socket_name() const {
     for (const auto& entry : std::filesystem::directory_iterator(folder_))
       return entry.path().filename();
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -7,8 +7,8 @@
 namespace keelflow::scheduler {
 namespace {
 
-// A dispatcher prefers the endpoints that it was notified are in its subset. It prefers an endpoint
-// that is warming up if it has a part of that endpoint's budget.
+// A dispatcher prefers the endpoints of its subset, which it learns from events. It prefers an
+// endpoint that is warming up if it has a share of that endpoint's budget.
 TEST(Fleet, UsesTheNotifiedSubsetExceptForEndpointsThatAreWarmingUp) {
   Settings settings = basic_settings();
   settings.dispatchers = 100;
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -14,7 +14,8 @@
 // whenever the endpoint is sampled, in two of three cases among four endpoints.
 TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedDespiteItsAssumedServiceTimeRatio) {
   Settings settings = basic_settings();
-  settings.classes[0].objective_runtime_factor = 10;  // the objective can be met there even so
+  // High enough that the objective can be met despite the assumed service time ratio.
+  settings.classes[0].objective_runtime_factor = 10;
   int tried = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     DispatcherHarness harness(settings, seed);
@@ -134,8 +135,8 @@
   double single_process = max_fraction_of_siblings(false, false);
   EXPECT_LE(single_process, 0.70);
   EXPECT_LT(max_fraction_of_siblings(true, true), 1.1 * single_process);
-  EXPECT_GT(max_fraction_of_siblings(true, false),
-            1.4 * single_process);  // without shared state, the excess is detected
+  // Without shared state, the two processes together exceed the budget of one.
+  EXPECT_GT(max_fraction_of_siblings(true, false), 1.4 * single_process);
 }
 
 }  // namespace
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -106,7 +106,8 @@
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
-TEST_F(RetryPolicyTest, ARequestWithAKeyMayBeRejectedIfDeduplicatedEverywhereOrNotDelivered) {
+TEST_F(RetryPolicyTest,
+       ARequestWithAKeyMayBeRejectedIfAllEndpointsDeduplicateItOrItWasNotDelivered) {
   add_attempt(DeliveryState::may_have_run);
   set_class(Idempotency::idempotent_with_key, DeduplicationScope::all);
   EXPECT_TRUE(policy.may_reject(request));
--- a/tests/scheduler/service_statistics_test.cpp
+++ b/tests/scheduler/service_statistics_test.cpp
@@ -17,7 +17,7 @@
   return settings;
 }
 
-TEST(ServiceStatistics, ARatioMovesTheEndpointFasterThanItsKindAndNoOtherKind) {
+TEST(ServiceStatistics, ARatioChangesTheEndpointMoreThanItsKindAndLeavesOtherKindsUnchanged) {
   ServiceStatistics statistics(two_kinds_and_zones());
   statistics.reset(kSlot, 1);
   statistics.record_ratio(kSlot, 1, 2, false);
@@ -52,7 +52,7 @@
   EXPECT_DOUBLE_EQ(statistics.service_time_ratio(kSlot), 1 - 0.2 * 0.75);
 }
 
-TEST(ServiceStatistics, TheMeanRunStartsAtTheFirstRunAndMovesByATenthOfTheDifference) {
+TEST(ServiceStatistics, TheMeanRunningTimeIsTheFirstRunThenMovesATenthOfTheWayToEachNewRun) {
   ServiceStatistics statistics(two_kinds_and_zones());
   EXPECT_DOUBLE_EQ(statistics.mean_running_time_ms(), 0);
   statistics.record_run(100);
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -170,8 +170,8 @@
     // nine tenths of its hint, so the maximum is 0.69.
     for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
       EXPECT_LE(fleet->max_budget_fraction(), 0.70) << "seed " << seed;
-    EXPECT_GT(silent.relative_use_of_warming_up(), 0.25)
-        << "seed " << seed;  // it was 0.18 when budget parts depended on received messages
+    // Fails if a dispatcher's share depends on received messages: the use was 0.18 then.
+    EXPECT_GT(silent.relative_use_of_warming_up(), 0.25) << "seed " << seed;
     EXPECT_GT(notifying.relative_use_of_warming_up(), 0.35) << "seed " << seed;
     EXPECT_GT(lossy.relative_use_of_warming_up(), 0.31) << "seed " << seed;
     EXPECT_GT(notifying.fraction_in_time(), silent.fraction_in_time() + 0.12) << "seed " << seed;
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -221,7 +221,7 @@
                      padded_record("ff") + padded_record("ff");
   EXPECT_EQ(table.process_batch(header_for(body, 4), body, log),
             bytes_from_hex("00000000 00000000"));
-  EXPECT_EQ(log, "simulator_adapter: event code 255 skipped\n");
+  EXPECT_EQ(log, "simulator_adapter: skipped event with unknown code 255\n");
 }
 
 }  // namespace
