--- a/scheduler/endpoint_health.h
+++ b/scheduler/endpoint_health.h
@@ -10,7 +10,8 @@
 
 namespace keelflow::scheduler {
 
-/// Owns the concurrency limit, fault signs and ejection time of each endpoint, by EndpointSlot.
+/// Owns the concurrency limit, outlier signs, consecutive failures and ejection time of each
+/// endpoint, by EndpointSlot.
 class EndpointHealth {
  public:
   explicit EndpointHealth(Environment& environment) : environment_(environment) {}
@@ -23,7 +24,7 @@
     return environment_.now < health_[slot].ejected_until;
   }
   Time ejected_until(EndpointSlot slot) const { return health_[slot].ejected_until; }
-  /// Whether the endpoint has failed, or started attempts very late, since its last success.
+  /// Whether an outlier sign or a failed attempt of the endpoint has not been cleared since.
   bool has_fault_signs(EndpointSlot slot) const {
     return health_[slot].outlier_signs + health_[slot].consecutive_failures > 0;
   }
--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -21,7 +21,7 @@
   EndpointId endpoint = 0;
   int zone = 0;
   int kind = 0;
-  int cell = 0;
+  int cell = 0;  ///< number of a group of endpoints, see DeduplicationScope
   EndpointState state = EndpointState::ready;
   double nominal_capacity = 1;
   Time started_at = 0;  ///< start of the current incarnation; 0: long ago
--- a/scheduler/learned_state.h
+++ b/scheduler/learned_state.h
@@ -1,4 +1,5 @@
-/// The learned state of a Dispatcher, passed to its successor after the successor's endpoint list.
+/// The learned state of a Dispatcher. Its successor receives the endpoint list first and this state
+/// afterwards.
 #pragma once
 
 #include <cstdint>
--- a/scheduler/settings.h
+++ b/scheduler/settings.h
@@ -17,7 +17,8 @@
   non_idempotent,       ///< must not run twice
 };
 
-/// Which endpoints drop the repeats of a request that is idempotent with a key.
+/// Which endpoints drop the repeats of a request that is idempotent with a key: all of them, or
+/// those in the same zone or in the same cell as the earlier attempt.
 enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 
 /// The meaning of a value in an endpoint's load report.
--- a/tests/replay/dispatcher_day.cpp
+++ b/tests/replay/dispatcher_day.cpp
@@ -298,7 +298,7 @@
                            : run_ms * (1 + endpoint.running - endpoint.cores) / endpoint.cores;
     ++endpoint.running;
     bool is_listed = endpoint.entry.state != EndpointState::gone;
-    double ended_at = now_ + travel_ms;
+    double ends_at = now_ + travel_ms;
     if (!is_listed || rng_.chance(0.01)) {
       outcome.result = scheduler::AttemptResult::connect_failed;
     } else if (rng_.chance(endpoint.reject_probability)) {
@@ -308,17 +308,17 @@
     } else if (rng_.chance(endpoint.fail_probability)) {
       outcome.result =
           rng_.chance(0.5) ? scheduler::AttemptResult::error : scheduler::AttemptResult::reset;
-      ended_at += rng_.between(0, 30);
+      ends_at += rng_.between(0, 30);
     } else {
       if (options_.start_reports)
         schedule(now_ + travel_ms + queued_ms, index, ScheduledEvent::Kind::event,
                  scheduler::AttemptStarted{send.request, attempt});
       outcome.result =
           rng_.chance(0.01) ? scheduler::AttemptResult::withheld : scheduler::AttemptResult::ok;
-      ended_at += queued_ms + run_ms;
+      ends_at += queued_ms + run_ms;
     }
-    outcome.elapsed_ms = ended_at - now_;
-    schedule(ended_at, index, ScheduledEvent::Kind::attempt_end, outcome);
+    outcome.elapsed_ms = ends_at - now_;
+    schedule(ends_at, index, ScheduledEvent::Kind::attempt_end, outcome);
   }
 
   void end_attempt(int index, scheduler::AttemptFinished outcome) {
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -62,7 +62,7 @@
     return max_window_fraction(settings_, warming_up_,
                                [&](Time when) { return 2 * capacity_fraction(when); });
   }
-  double fraction_in_time() const { return 1.0 * in_time_ / arrived_; }
+  double fraction_in_time() const { return 1.0 * in_time_count_ / arrived_; }
   // The mean work of endpoints that are warming up, relative to the others. Their mean capacity is
   // 0.6 of that of the others.
   double relative_use_of_warming_up() const {
@@ -130,7 +130,7 @@
     });
     pending_events_.emplace(end + 1, [this, &node, id = send.request, request, end] {
       node.outcome(id, 0, AttemptResult::ok, true);
-      in_time_ += end - request.arrived_at < 500 + kRuntimeFactor * request.hint;
+      in_time_count_ += end - request.arrived_at < 500 + kRuntimeFactor * request.hint;
     });
   }
 
@@ -156,7 +156,7 @@
   std::map<EndpointId, std::array<Time, 2>> free_at_;  // when each core becomes free
   std::map<RequestId, ClientRequest> requests_;
   std::multimap<Time, std::function<void()>> pending_events_;
-  int in_time_ = 0;
+  int in_time_count_ = 0;
   int arrived_ = 0;
 };
 
