--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -161,7 +161,7 @@
   bool shares_load = false;  ///< dispatchers that share an endpoint notify one another of its load
 };
 
-/// The part of an endpoint's slow-start budget that this Dispatcher may spend.
+/// The share of an endpoint's slow-start budget that this Dispatcher may spend.
 struct SlowStartShare {
   SubsetEntry subset;   ///< applies while the endpoint is warming up
   Time started_at = 0;  ///< identifies the incarnation; ignored for any other one
--- a/scheduler/settings.h
+++ b/scheduler/settings.h
@@ -75,7 +75,7 @@
   double max_retry_after_ms = 0;
   bool reports_start = false;  ///< endpoints report when an attempt starts to run
   bool queue_by_priority = false;
-  /// Prices, in points of service.
+  /// Prices, in points of service. No scheduling decision uses them.
   double health_check_price = 0;
   double cross_zone_price = 0;
   double waste_price = 0;
--- a/scheduler/subset.h
+++ b/scheduler/subset.h
@@ -21,7 +21,7 @@
   void set_warming_up(EndpointSlot slot, const SubsetEntry& entry) {
     entries_[slot].warming_up = entry;
   }
-  /// `fraction`: the part of all endpoints that is in the subset.
+  /// `fraction`: the fraction of all endpoints that is in the subset.
   void set_fraction_and_sharing(double fraction, bool shares_load);
 
   const SubsetEntry& entry(EndpointSlot slot, bool is_warming_up) const {
--- a/tests/scheduler/cost_calibration_test.cpp
+++ b/tests/scheduler/cost_calibration_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_DOUBLE_EQ(calibration.calibrated_cost(request_with_hint(120)), 120);
 }
 
-TEST(CostCalibration, ARunMovesOnlyTheFactorOfItsClassByATenthOfTheDifference) {
+TEST(CostCalibration, ARunMovesOnlyTheFactorOfItsClassATenthOfTheWayToTheMeasuredRatio) {
   CostCalibration calibration(2);
   calibration.record_run(request_with_hint(100, 1), 300);
   EXPECT_DOUBLE_EQ(calibration.factor(1), 1.2);
--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -7,7 +7,7 @@
 namespace keelflow::scheduler {
 namespace {
 
-TEST(ConcurrencyLimit, RejectionsLowerItAndTimelyServiceRaisesIt) {
+TEST(ConcurrencyLimit, RejectionsLowerTheLimitAndTimelyStartsRaiseIt) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(1);
   for (RequestId id = 1; id <= 6; ++id)
@@ -133,7 +133,7 @@
   EXPECT_EQ(harness.sends[1].request, 100001u);
 }
 
-TEST(Incarnation, ANewOneResetsHealthButKeepsAttemptsInFlight) {
+TEST(Incarnation, ANewIncarnationResetsHealthButKeepsAttemptsInFlight) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(1);
   harness.arrive(1, 100);
--- a/tests/scheduler/dispatcher_peers_test.cpp
+++ b/tests/scheduler/dispatcher_peers_test.cpp
@@ -42,7 +42,7 @@
   RequestId last_request = 0;
 };
 
-TEST(PeerMessages, AnEndpointFilledByPeersIsSkippedUntilTheyReportLessLoad) {
+TEST(PeerMessages, AnEndpointWithoutCapacityDueToPeersIsSkippedUntilTheyReportLessLoad) {
   SharedEndpointsHarness harness;
   EXPECT_GT(harness.count_sent_to_first(40), 0);
   harness.receives(3, 100, 2);
--- a/tests/scheduler/dispatcher_queue_test.cpp
+++ b/tests/scheduler/dispatcher_queue_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_NEAR(harness.dispatcher.calibration(0), 3.0, 0.05);
 }
 
-TEST(Calibration, UnsuccessfulAttemptsDoNotChangeIt) {
+TEST(Calibration, UnsuccessfulAttemptsDoNotChangeTheFactor) {
   DispatcherHarness harness(basic_settings());
   harness.endpoints(4);
   for (AttemptResult result :
@@ -137,7 +137,7 @@
   EXPECT_EQ(harness.sends[1].request, 3u);
 }
 
-TEST(Fleet, LiveDispatchersSplitTheTenantQuotaIncludingThePartsOfDeadOnes) {
+TEST(Fleet, LiveDispatchersSplitTheTenantQuotaIncludingTheSharesOfDeadOnes) {
   Settings settings = basic_settings();
   settings.dispatchers = 4;
   settings.tenant_quota = {8, 1};
--- a/tests/scheduler/dispatcher_selection_test.cpp
+++ b/tests/scheduler/dispatcher_selection_test.cpp
@@ -9,7 +9,7 @@
 
 // A dispatcher prefers the endpoints of its subset, which it learns from events. It prefers an
 // endpoint that is warming up if it has a share of that endpoint's budget.
-TEST(Fleet, UsesTheNotifiedSubsetExceptForEndpointsThatAreWarmingUp) {
+TEST(Fleet, PrefersItsSubsetExceptForEndpointsThatAreWarmingUp) {
   Settings settings = basic_settings();
   settings.dispatchers = 100;
   settings.rank = 3;
@@ -24,7 +24,7 @@
   EXPECT_EQ(harness.sends[0].endpoint, 107u);
   int users_while_warming_up = 0;
   // Only the first few dispatchers in the order of the endpoint use it, regardless of their
-  // notified subsets.
+  // subsets.
   for (int rank = 0; rank < 100; ++rank) {
     settings.rank = rank;
     DispatcherHarness other(settings);
--- a/tests/scheduler/dispatcher_slow_start_test.cpp
+++ b/tests/scheduler/dispatcher_slow_start_test.cpp
@@ -9,9 +9,9 @@
 namespace keelflow::scheduler {
 namespace {
 
-// An endpoint that restarts while an override drains it is warming up when it is ready again. It
-// must be tried regardless of the service time ratio assumed for it. The next request is sent there
-// whenever the endpoint is sampled, in two of three cases among four endpoints.
+// An endpoint that restarts while an override drains it is warming up when it is ready again. The
+// endpoint must be tried regardless of the service time ratio assumed for it. The next request is
+// sent there whenever the endpoint is sampled, in two of three cases among four endpoints.
 TEST(SlowStart, AnEndpointThatIsReadyAgainIsTriedDespiteItsAssumedServiceTimeRatio) {
   Settings settings = basic_settings();
   // High enough that the objective can be met despite the assumed service time ratio.
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -87,7 +87,7 @@
   EXPECT_DOUBLE_EQ(health.ejected_until(kSlot), 5000);
 }
 
-TEST_F(EndpointHealthTest, WithoutAMeanRunAnEjectionLastsFourTicks) {
+TEST_F(EndpointHealthTest, WithoutAMeanRunningTimeAnEjectionLastsFourTicks) {
   environment.settings.tick_ms = 50;
   health.eject_as_overloaded(kSlot, 0);
   expect_ejected_for_about(4 * 50);
--- a/tests/scheduler/retry_policy_test.cpp
+++ b/tests/scheduler/retry_policy_test.cpp
@@ -150,7 +150,7 @@
   EXPECT_FALSE(policy.may_send(request, same_zone));
 }
 
-TEST_F(RetryPolicyTest, RetryAfterIsAQuarterOfTheMeanRunWithinLimits) {
+TEST_F(RetryPolicyTest, RetryAfterIsAQuarterOfTheMeanRunningTimeWithinLimits) {
   EXPECT_DOUBLE_EQ(policy.retry_after(), 0);  // disabled in the settings
   environment.settings.retry_after = true;
   environment.settings.max_retry_after_ms = 500;
--- a/tests/scheduler/slow_start_test.cpp
+++ b/tests/scheduler/slow_start_test.cpp
@@ -82,7 +82,7 @@
   EXPECT_DOUBLE_EQ(slow_start.work_in_window(warming_up_slot, environment.now), 0);
 }
 
-TEST_F(SlowStartTest, AGrantIsSpentBeforeTheOwnPartAndExpires) {
+TEST_F(SlowStartTest, AGrantIsSpentBeforeTheOwnShareAndExpires) {
   double own = slow_start.budget(warming_up_slot).own;
   slow_start.on_grant(warming_up_slot, grant(100, kStartedAt + 50, true));
   EXPECT_NEAR(slow_start.budget(warming_up_slot).total(), own + 100, 1e-9);
--- a/tests/scheduler/subset_test.cpp
+++ b/tests/scheduler/subset_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr EndpointSlot kSlot = 3;
 
-TEST(Subset, AllEndpointsBelongToItUntilTheFirstNotification) {
+TEST(Subset, AllEndpointsBelongToTheSubsetUntilTheFirstEvent) {
   Subset subset;
   subset.reset(kSlot);
   EXPECT_TRUE(subset.entry(kSlot, false).is_own);
--- a/tests/scheduler/tenant_quota_test.cpp
+++ b/tests/scheduler/tenant_quota_test.cpp
@@ -27,7 +27,7 @@
   TenantQuota quota{shared};
 };
 
-TEST_F(TenantQuotaTest, ABucketFillsAtThisDispatchersPartOfTheQuotaAndHoldsTwoSecondsOfIt) {
+TEST_F(TenantQuotaTest, ABucketFillsAtThisDispatchersShareOfTheQuotaAndHoldsTwoSecondsOfIt) {
   EXPECT_EQ(admitted_of(10, 500), 1);
   EXPECT_EQ(admitted_of(10, 1500), 2);
   EXPECT_EQ(admitted_of(10, 60000), 4);
