--- a/scheduler/endpoint_feedback.cpp
+++ b/scheduler/endpoint_feedback.cpp
@@ -86,7 +86,7 @@
   apply_details(*slot, *update, message.peer);
   apply(*slot, update->signal);
   // All dispatchers that wait for a slot are notified of its release at the same time, so each
-  // waits for a random delay to avoid filling it simultaneously.
+  // waits for a random delay to avoid sending to the slot simultaneously.
   if (was_full)
     health_.eject_until(*slot, environment_.now + kMaxYieldMs * environment_.random());
   environment_.timers.add(was_full ? health_.ejected_until(*slot) : report_until,
--- a/scheduler/retry_policy.cpp
+++ b/scheduler/retry_policy.cpp
@@ -6,8 +6,9 @@
 namespace keelflow::scheduler {
 namespace {
 
-constexpr double kUsableWindowFraction = 0.9;  // part of a deduplication window used for retries
-constexpr double kRetryAfterMeanRuns = 0.25;   // retry time of a rejection, in mean running times
+// Fraction of a deduplication window in which a request may be retried.
+constexpr double kUsableWindowFraction = 0.9;
+constexpr double kRetryAfterMeanRuns = 0.25;  // retry time of a rejection, in mean running times
 constexpr double kMinRetryAfterTicks = 4;
 
 }  // namespace
--- a/scheduler/slow_start.cpp
+++ b/scheduler/slow_start.cpp
@@ -14,8 +14,8 @@
 constexpr double kMinWorkPerHint = 0.9;
 constexpr double kMinKindRatio = 0.5;
 constexpr double kMaxKindRatio = 4;
-// One dispatcher rarely fills an endpoint, so the nominal capacity is accepted up to this multiple
-// of the cores it has observed.
+// One dispatcher rarely uses all cores of an endpoint, so the nominal capacity is accepted up to
+// this multiple of the cores it has observed.
 constexpr double kMaxCoresPerObserved = 2;
 
 }  // namespace
--- a/tests/scheduler/cost_calibration_test.cpp
+++ b/tests/scheduler/cost_calibration_test.cpp
@@ -1,4 +1,4 @@
-/// Tests of the factor between cost hints and run times that is learned for each class.
+/// Tests of the factor between cost hints and running times that is learned for each class.
 #include "scheduler/cost_calibration.h"
 
 #include <gtest/gtest.h>
--- a/tests/scheduler/dispatcher_health_test.cpp
+++ b/tests/scheduler/dispatcher_health_test.cpp
@@ -85,7 +85,7 @@
   settings.tick_ms = 4;
   DispatcherHarness harness(settings);
   harness.endpoints(2);
-  serve(harness, 1, 100, 100);  // establishes the mean run time
+  serve(harness, 1, 100, 100);  // sets the mean running time
   harness.sends.clear();
   harness.arrive(2, 100);
   harness.advance(harness.now + 300);
@@ -104,7 +104,7 @@
   settings.classes[1].idempotency = Idempotency::non_idempotent;
   DispatcherHarness harness(settings);
   harness.endpoints(1);
-  serve(harness, 1, 100, 100);  // establishes the mean run time
+  serve(harness, 1, 100, 100);  // sets the mean running time
   std::vector<Time> attempt_times;
   for (RequestId id = 2; harness.now < 20000; ++id) {
     std::size_t before = harness.sends.size();
@@ -128,7 +128,7 @@
   EXPECT_TRUE(harness.sends.empty());
   harness.arrive(100002, 100, 0);
   ASSERT_EQ(harness.sends.size(), 1u);
-  harness.outcome(100002, 0, AttemptResult::ok, true);  // success clears the fault signs
+  harness.outcome(100002, 0, AttemptResult::ok, true);  // success clears the signs of faults
   ASSERT_EQ(harness.sends.size(), 2u);
   EXPECT_EQ(harness.sends[1].request, 100001u);
 }
--- a/tests/scheduler/dispatcher_peers_test.cpp
+++ b/tests/scheduler/dispatcher_peers_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_EQ(harness.count_sent_to_first(40), 0);
   harness.receives(3, 100, 0);
   harness.receives(4, 100, 0);
-  harness.advance(harness.now + 50);  // leaves peers time to fill the endpoint again
+  harness.advance(harness.now + 50);  // time in which peers may use the capacity again
   EXPECT_GT(harness.count_sent_to_first(40), 0);
 }
 
--- a/tests/scheduler/dispatcher_queue_test.cpp
+++ b/tests/scheduler/dispatcher_queue_test.cpp
@@ -150,7 +150,7 @@
       is_alive[static_cast<std::size_t>(d)] = true;
     harness.handle(MembershipChanged{is_alive});
     harness.arrive(100, 500);
-    harness.arrive(101, 500);  // these two fill the only endpoint
+    harness.arrive(101, 500);  // these two requests use all capacity of the only endpoint
     for (RequestId id : {100u, 101u})
       harness.handle(AttemptStarted{id, 0});
     harness.now += 4000;  // longer than a bucket takes to fill
@@ -159,8 +159,9 @@
     large.tenant = 1;
     large.hint = 300;
     large.client_timeout_ms = 10000;
-    // Of eight requests per second, the only live dispatcher can accumulate sixteen tokens, one of
-    // four only four. Requests beyond that count as larger.
+    // The quota is eight requests per second. A dispatcher that is the only live one can accumulate
+    // sixteen tokens, and one of four live dispatchers only four. Requests beyond that count as
+    // larger.
     for (RequestId id = 1; id <= 10; ++id) {
       RequestArrived arrival;
       arrival.request = id;
--- a/tests/scheduler/embed_example.cpp
+++ b/tests/scheduler/embed_example.cpp
@@ -23,7 +23,7 @@
   int sends = 0;
   for (const keelflow::scheduler::Action& action : actions)
     if (const auto* send = std::get_if<keelflow::scheduler::SendAttempt>(&action)) {
-      std::cout << "send request " << send->request << " to endpoint " << send->endpoint << "\n";
+      std::cout << "send request " << send->request << " to worker " << send->endpoint << "\n";
       ++sends;
     }
   return sends == 1 ? 0 : 1;
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr EndpointSlot kSlot = 0;
-constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of the mean run
+constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of this mean running time
 constexpr double kBaseEjectionMs = 100;
 constexpr double kMinEjectionJitter = 0.75;  // ejection durations have random jitter
 constexpr double kMaxEjectionJitter = 1.25;
--- a/tests/scheduler/service_statistics_test.cpp
+++ b/tests/scheduler/service_statistics_test.cpp
@@ -1,4 +1,4 @@
-/// Tests of the averages of start delays and run times.
+/// Tests of the averages of start delays and running times.
 #include "scheduler/service_statistics.h"
 
 #include <gtest/gtest.h>
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -178,8 +178,8 @@
   }
 }
 
-// Twice the usual traffic, with the messages of 90 nodes lost. The fraction was 0.98 when budgets
-// depended on received messages.
+// Twice the usual traffic, with the messages of 90 nodes lost. Fails if a dispatcher's share
+// depends on received messages: the fraction was 0.98 then.
 TEST(SlowStartBudget, StaysWithinTheBudgetAtDoubleTrafficWithMessagesOfNinetyNodesLost) {
   LargeFleet fleet(
       {.seed = 3, .notifies_peers = true, .nodes_with_lost_messages = 90, .arrival_steps = 30});
--- a/tests/scheduler/tenant_quota_test.cpp
+++ b/tests/scheduler/tenant_quota_test.cpp
@@ -11,7 +11,7 @@
   TenantQuotaTest() {
     settings.dispatchers = 4;
     settings.tenant_quota = {
-        8, 8};  // this dispatcher's part is two requests per second for each tenant
+        8, 8};  // this dispatcher's share is two requests per second for each tenant
     settings.over_quota_weight = 0.5;
     quota.resize(settings);
   }
