--- a/scheduler/events.h
+++ b/scheduler/events.h
@@ -21,7 +21,7 @@
   EndpointId endpoint = 0;
   int zone = 0;
   int kind = 0;
-  int cell = 0;
+  int cell = 0;  ///< number of a group of endpoints, see DeduplicationScope
   EndpointState state = EndpointState::ready;
   double nominal_capacity = 1;
   Time started_at = 0;  ///< start of the current incarnation; 0: long ago
@@ -161,7 +161,7 @@
   bool shares_load = false;  ///< dispatchers that share an endpoint notify one another of its load
 };
 
-/// The part of an endpoint's slow-start budget that this Dispatcher may spend.
+/// The share of an endpoint's slow-start budget that this Dispatcher may spend.
 struct SlowStartShare {
   SubsetEntry subset;   ///< applies while the endpoint is warming up
   Time started_at = 0;  ///< identifies the incarnation; ignored for any other one
--- a/scheduler/settings.h
+++ b/scheduler/settings.h
@@ -17,7 +17,8 @@
   non_idempotent,       ///< must not run twice
 };
 
-/// Which endpoints drop the repeats of a request that is idempotent with a key.
+/// Which endpoints drop the repeats of a request that is idempotent with a key: all of them, or
+/// those in the same zone or in the same cell as the earlier attempt.
 enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 
 /// The meaning of a value in an endpoint's load report.
@@ -74,7 +75,7 @@
   double max_retry_after_ms = 0;
   bool reports_start = false;  ///< endpoints report when an attempt starts to run
   bool queue_by_priority = false;
-  /// Prices, in points of service.
+  /// Prices, in points of service. No scheduling decision uses them.
   double health_check_price = 0;
   double cross_zone_price = 0;
   double waste_price = 0;
--- a/tests/scheduler/endpoint_health_test.cpp
+++ b/tests/scheduler/endpoint_health_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr EndpointSlot kSlot = 0;
-constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of the mean run
+constexpr double kMeanRunMs = 1000;  // the shortest ejection is a tenth of this mean running time
 constexpr double kBaseEjectionMs = 100;
 constexpr double kMinEjectionJitter = 0.75;  // ejection durations have random jitter
 constexpr double kMaxEjectionJitter = 1.25;
@@ -87,7 +87,7 @@
   EXPECT_DOUBLE_EQ(health.ejected_until(kSlot), 5000);
 }
 
-TEST_F(EndpointHealthTest, WithoutAMeanRunAnEjectionLastsFourTicks) {
+TEST_F(EndpointHealthTest, WithoutAMeanRunningTimeAnEjectionLastsFourTicks) {
   environment.settings.tick_ms = 50;
   health.eject_as_overloaded(kSlot, 0);
   expect_ejected_for_about(4 * 50);
--- a/tests/scheduler/slow_start_fleet_test.cpp
+++ b/tests/scheduler/slow_start_fleet_test.cpp
@@ -62,7 +62,7 @@
     return max_window_fraction(settings_, warming_up_,
                                [&](Time when) { return 2 * capacity_fraction(when); });
   }
-  double fraction_in_time() const { return 1.0 * in_time_ / arrived_; }
+  double fraction_in_time() const { return 1.0 * in_time_count_ / arrived_; }
   // The mean work of endpoints that are warming up, relative to the others. Their mean capacity is
   // 0.6 of that of the others.
   double relative_use_of_warming_up() const {
@@ -130,7 +130,7 @@
     });
     pending_events_.emplace(end + 1, [this, &node, id = send.request, request, end] {
       node.outcome(id, 0, AttemptResult::ok, true);
-      in_time_ += end - request.arrived_at < 500 + kRuntimeFactor * request.hint;
+      in_time_count_ += end - request.arrived_at < 500 + kRuntimeFactor * request.hint;
     });
   }
 
@@ -156,7 +156,7 @@
   std::map<EndpointId, std::array<Time, 2>> free_at_;  // when each core becomes free
   std::map<RequestId, ClientRequest> requests_;
   std::multimap<Time, std::function<void()>> pending_events_;
-  int in_time_ = 0;
+  int in_time_count_ = 0;
   int arrived_ = 0;
 };
 
@@ -170,16 +170,16 @@
     // nine tenths of its hint, so the maximum is 0.69.
     for (const LargeFleet* fleet : {&silent, &notifying, &cut_off, &lossy})
       EXPECT_LE(fleet->max_budget_fraction(), 0.70) << "seed " << seed;
-    EXPECT_GT(silent.relative_use_of_warming_up(), 0.25)
-        << "seed " << seed;  // it was 0.18 when budget parts depended on received messages
+    // Fails if a dispatcher's share depends on received messages: the use was 0.18 then.
+    EXPECT_GT(silent.relative_use_of_warming_up(), 0.25) << "seed " << seed;
     EXPECT_GT(notifying.relative_use_of_warming_up(), 0.35) << "seed " << seed;
     EXPECT_GT(lossy.relative_use_of_warming_up(), 0.31) << "seed " << seed;
     EXPECT_GT(notifying.fraction_in_time(), silent.fraction_in_time() + 0.12) << "seed " << seed;
   }
 }
 
-// Twice the usual traffic, with the messages of 90 nodes lost. The fraction was 0.98 when budgets
-// depended on received messages.
+// Twice the usual traffic, with the messages of 90 nodes lost. Fails if a dispatcher's share
+// depends on received messages: the fraction was 0.98 then.
 TEST(SlowStartBudget, StaysWithinTheBudgetAtDoubleTrafficWithMessagesOfNinetyNodesLost) {
   LargeFleet fleet(
       {.seed = 3, .notifies_peers = true, .nodes_with_lost_messages = 90, .arrival_steps = 30});
