--- a/logic/admin_overrides/admin_overrides.cpp
+++ b/logic/admin_overrides/admin_overrides.cpp
@@ -44,7 +44,8 @@
   auto it = listed_.find(endpoint);
   if (it == listed_.end() || it->second.state != EndpointState::ready)
     return std::nullopt;
-  // The scheduler would take a delta or a full list for an answer of discovery and stop polling.
+  // The scheduler would treat a delta or a full list as an answer from discovery and stop polling.
+  // Therefore the scope is `cached`.
   EndpointList list{.scope = ListScope::cached, .entries = {}};
   for (const auto& [id, entry] : listed_)
     apply_override(list.entries.emplace_back(entry));
--- a/logic/admin_overrides/admin_overrides.h
+++ b/logic/admin_overrides/admin_overrides.h
@@ -50,7 +50,7 @@
 
   // The entries from discovery, without the overrides.
   std::map<scheduler::EndpointId, scheduler::EndpointEntry> listed_;
-  // The host name by endpoint. Only operators' commands add entries.
+  // The disabled endpoints and their host names. Only operators' commands add entries.
   std::map<scheduler::EndpointId, std::string> disabled_;
 };
 
--- a/logic/fleet/dissemination.h
+++ b/logic/fleet/dissemination.h
@@ -19,7 +19,8 @@
   std::string bytes;
 };
 
-/// The messages to send after an event, in sending order, and the state changes it caused.
+/// The messages to send after an event, in sending order, and the state changes that the event
+/// caused.
 struct MembershipOutput {
   std::vector<OutgoingMessage> messages;
   std::vector<MemberChange> changes;
@@ -35,12 +36,12 @@
 
   Dissemination(const MemberTable& members, MemberSampler& sampler, Time now);
 
-  /// Piggybacks the member's updates on the next messages, about as many times as it takes to reach
-  /// every member.
+  /// Piggybacks the updates about the member on the next messages, about as many times as it takes
+  /// to reach every member.
   void enqueue(int member);
-  /// Enqueues the member's updates like enqueue(), and immediately sends them in gossip messages to
-  /// a few members. A budget limits the rate of gossip messages, so that they cannot saturate the
-  /// network.
+  /// Enqueues the updates about the member like enqueue(), and immediately sends them in gossip
+  /// messages to a few members. A budget limits the rate of gossip messages, so that they cannot
+  /// saturate the network.
   void enqueue_urgent(int member, Time now, MembershipOutput& out);
   bool has_queued() const { return !transmissions_left_.empty(); }
 
--- a/logic/moves/comparison.h
+++ b/logic/moves/comparison.h
@@ -35,7 +35,7 @@
 
 /// The result of a comparison so far.
 struct Estimate {
-  double control = 0, trial = 0;  // ratios, 0 to 1
+  double control = 0, trial = 0;  // ratio of each arm, 0 to 1
   double loss = 0, error = 0;     // control - trial, and its standard error
   // Evidence without the discarded blocks; the trial pool is worse from -log(false_alarm) on.
   double log_evidence = 0;
@@ -68,8 +68,9 @@
   /// Sums over blocks of time.
   struct Totals {
     Block arms{};
-    // Sums over blocks of products, where x is the weight answered in time and n the weight asked:
-    // xx, xn and nn within an arm, the others across the arms.
+    // Each is a sum of products over the blocks. x is the priority weight of a block's requests
+    // that were answered in time, n that of all its requests. xx, xn and nn multiply sums of one
+    // arm; the others multiply sums of both arms.
     double xx[2] = {}, xn[2] = {}, nn[2] = {};
     double x0x1 = 0, x0n1 = 0, n0x1 = 0, n0n1 = 0;
     std::uint64_t count = 0;
--- a/logic/operation_guard/operation_guard.h
+++ b/logic/operation_guard/operation_guard.h
@@ -29,7 +29,7 @@
   endpoint_not_ready,   ///< the endpoint drains, was removed, or is disabled by an override
   endpoint_moved,       ///< the connection is to a former address of the endpoint
   deadline_passed,      ///< the client's timeout has passed
-  window_expired,       ///< endpoints may no longer recognise a retry as such
+  window_expired,       ///< endpoints may no longer recognise a retry as a duplicate
   client_disconnected,  ///< the client has disconnected or has its response
   may_have_run,         ///< a non-idempotent request may have run already
   attempt_in_flight,    ///< another attempt has not ended and was not abandoned
@@ -54,7 +54,7 @@
   bool is_endpoint_ready = false;
   bool is_address_current = false;  ///< the connection is to the endpoint's present address
   bool has_waiting_client = false;
-  bool is_in_window = false;             ///< endpoints still recognise a retry as such
+  bool is_in_window = false;             ///< endpoints still recognise a retry as a duplicate
   std::chrono::nanoseconds time_left{};  ///< until the client's timeout passes
 };
 
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -96,7 +96,7 @@
                     "' matches all requests, so later routes are never reached");
     if (last && !matches_all(route))
       out.push_back("the last route, '" + route.name +
-                    "', must match all requests: it may have no conditions");
+                    "', must match all requests: it must not have conditions");
   }
   return out;
 }
--- a/tests/logic/operation_guard_test.cpp
+++ b/tests/logic/operation_guard_test.cpp
@@ -72,7 +72,7 @@
   }
   EXPECT_TRUE(
       may_repeat({.idempotency = Idempotency::non_idempotent, .is_in_window = true}).allowed())
-      << "no earlier attempt can have run";
+      << "no earlier attempt may have run";
 }
 
 TEST(OperationGuard, ARequestWithAnIdempotencyKeyIsRepeatedOnlyWithinItsDeduplicationWindow) {
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -60,7 +60,7 @@
   EXPECT_FALSE(overrides.enable(1));
 }
 
-// The scheduler takes any list except a cached one for an answer of discovery, and would stop
+// The scheduler treats any list except a cached one as an answer from discovery, and would stop
 // polling.
 TEST(AdminOverrides, AnOverrideIsNotReportedAsAnAnswerOfDiscovery) {
   AdminOverrides overrides;
