--- a/logic/discovery/call_schedule.h
+++ b/logic/discovery/call_schedule.h
@@ -48,7 +48,7 @@
 };
 
 /// Computes the time of the next call. Does no I/O: the caller passes the time and random numbers
-/// (`draw`), distributed uniformly from 0 to 1. Reports no errors; not thread-safe.
+/// (`draw`), distributed uniformly from 0 to 1. Its functions return no errors; not thread-safe.
 class CallSchedule {
  public:
   explicit CallSchedule(const CallPolicy& policy) : pace_(CallPace::of(policy)) {}
--- a/logic/discovery/list_lease.h
+++ b/logic/discovery/list_lease.h
@@ -25,8 +25,8 @@
   Duration poll_deadline{};
 };
 
-/// The lease on the endpoint list. Does no I/O: the caller passes the time. Reports no errors; not
-/// thread-safe.
+/// The lease on the endpoint list. Does no I/O: the caller passes the time. Its functions return no
+/// errors; not thread-safe.
 class ListLease {
  public:
   explicit ListLease(const LeaseTerms& terms) : terms_(terms) {}
--- a/logic/fleet/membership.cpp
+++ b/logic/fleet/membership.cpp
@@ -175,8 +175,7 @@
     return dissemination_.enqueue_urgent(update.member, now_, out);
   }
   if (is_newer)
-    change_state(update.member, MemberState::alive, update.incarnation, "reported alive by others",
-                 out);
+    change_state(update.member, MemberState::alive, update.incarnation, "reported by others", out);
   apply_suspicion(update, out);
 }
 
@@ -280,7 +279,8 @@
   for (int accuser : accusers)
     evidence += " " + name_of(accuser);
   change_state(member, MemberState::dead, dead.incarnation, evidence, out);
-  dead.accusers = std::move(accusers);  // the updates about the dead member still name its accusers
+  // change_state() has cleared the accusers, but the updates about the dead member list them.
+  dead.accusers = std::move(accusers);
   probing_.stop(member);
   if (!is_isolated())
     dissemination_.enqueue(member);
--- a/logic/fleet/membership.h
+++ b/logic/fleet/membership.h
@@ -4,14 +4,13 @@
 ///
 /// - The shared clock schedules one probe of every member by one other member in each period. Most
 ///   of these probes are skipped while datagrams of the probed member arrive and no updates are
-///   queued. A member
-///   that does not answer is probed through three others, then suspected.
+///   queued. A member that does not answer is probed through three others, then suspected.
 /// - A suspect is notified and refutes with a new incarnation. No node adopts a death verdict of
 ///   another node: each waits for its own suspicion timeout, which decreases with the number of
 ///   independent accusers.
 /// - A node that was stalled, or receives no datagrams, does not report its suspicions to others.
-/// - A member from which nothing was ever received counts as alive, since nothing is known about
-/// it.
+/// - A member from which nothing was ever received counts as alive, since nothing is
+///   known about it.
 ///
 /// All times are milliseconds on the caller's clock, which only moves forward. The clocks of the
 /// nodes should agree; a difference only makes the probes less evenly spread.
--- a/logic/fleet/slow_start_borrower.cpp
+++ b/logic/fleet/slow_start_borrower.cpp
@@ -39,7 +39,7 @@
                                           SlowStartOutput out) {
   BorrowedLease& borrowed = lease.borrowed;
   if (borrowed.until <= now)
-    budget.granted = 0;  // just returned; the Dispatcher has not been notified yet
+    budget.granted = 0;  // the lease was just returned; the Dispatcher has not been notified yet
   if (budget.total() >= budget.typical)
     return;
   if (borrowed.is_awaiting_reply)
--- a/logic/fleet/slow_start_message.h
+++ b/logic/fleet/slow_start_message.h
@@ -26,7 +26,7 @@
 
 std::string encode(const SlowStartMessage& message);
 
-/// Returns an empty optional if the bytes have another type, version, size or kind.
+/// Returns an empty optional if the size is wrong or the type, version or kind is unknown.
 std::optional<SlowStartMessage> decode_slow_start_message(std::string_view bytes);
 
 }  // namespace keelflow::fleet
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -208,8 +208,8 @@
 
 // Returns the reason why the measurement says nothing about the new pool, if there is one.
 Wait Move::measurement_blocker(double now_ms) {
-  // Rule 4 limits the traffic of endpoints in slow start. The move waits for its end, because the
-  // limit does not mean that the pool is slow.
+  // The traffic of endpoints in slow start is limited. The move waits until slow start ends,
+  // because the limit does not mean that the pool is slow.
   if (2 * to_.warm < to_.ready || to_.warm == 0)
     return Wait::slow_start;
   // During a surge the new pool is measured only if its share of the load is clearly less than its
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -49,7 +49,8 @@
   double warm_share = 0;  // sum of nominal_capacity over the warm, ready endpoints
 };
 
-/// The durations of rule 4, in milliseconds.
+/// The durations, in milliseconds, of slow start and of the delay before an endpoint in slow start
+/// joins its new pool.
 struct Timing {
   double slow_start_ms = 0, pool_change_delay_ms = 0;
 };
--- a/tests/logic/membership_test.cpp
+++ b/tests/logic/membership_test.cpp
@@ -443,7 +443,7 @@
   for (int i : gone)
     tier.start(i);
   Time back = tier.time_to_agreement(tier.all_but({}), tier.all_but({}));
-  std::printf("210 start again: known to all after %.0f ms\n", back);
+  std::printf("210 restart: known to all after %.0f ms\n", back);
   EXPECT_GE(back, 0);
 }
 
--- a/tests/logic/operation_test.cpp
+++ b/tests/logic/operation_test.cpp
@@ -55,7 +55,7 @@
   auto enabled = overrides.enable(1);
   ASSERT_TRUE(enabled);
   EXPECT_EQ(state_of(*enabled, 1), EndpointState::ready);
-  // The start that discovery reported last. Rule 4 counts from it.
+  // The start that discovery reported last. Slow start is measured from this time.
   EXPECT_EQ(enabled->entries.front().started_at, kLater);
   EXPECT_FALSE(overrides.enable(1));
 }
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -228,7 +228,7 @@
   pool_lists = fleet.apply_to(router, 3000);
   ASSERT_TRUE(find(pool_lists, 1, 1)) << "the old pool must be notified that the endpoint is gone";
   EXPECT_EQ(find(pool_lists, 1, 1)->state, EndpointState::gone);
-  EXPECT_FALSE(find(pool_lists, 0, 1)) << "the window of rule 4 is not over";
+  EXPECT_FALSE(find(pool_lists, 0, 1)) << "the delay after the change of pools is not over";
   EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins immediately";
   ASSERT_TRUE(router.next_due());
   EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -51,7 +51,7 @@
     // The first owner's part is 400 ms of work.
     settings_.overload_multiple = 400.0 * 8 / (0.62 * settings_.overload_window_ms) + 1e-9;
     auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
-    ranks_ = {order[8], order[9], order[0]};  // two without a part, and the owner
+    ranks_ = {order[8], order[9], order[0]};  // two without a part of the budget, and the owner
     for (int rank : ranks_)
       is_alive_[static_cast<std::size_t>(rank)] = true;
     now_ = kStartedAt - 1;  // before the endpoint's start, so nothing can have been sent yet
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -171,7 +171,8 @@
   }
 }
 
-/// An owner and a borrower without a part in a fleet of 20 in which no other node is alive.
+/// An owner and a borrower without a part of the slow-start budget, in a fleet of 20 in which no
+/// other node is alive.
 struct OwnerAndBorrower {
   OwnerAndBorrower() {
     is_alive.assign(20, false);
--- a/tests/logic/slow_start_sides_test.cpp
+++ b/tests/logic/slow_start_sides_test.cpp
@@ -112,7 +112,7 @@
 TEST_F(SlowStartBorrowerTest, ChoosesUnresponsiveOwnersLastAndDeadOwnersNever) {
   request_lease(1000);
   int first = receiver();
-  for (scheduler::Time now = 1100; now < 2100; now += 100) {  // nearly two rounds of the owners
+  for (scheduler::Time now = 1100; now < 2100; now += 100) {  // nearly two rounds over all owners
     request_lease(now);
     EXPECT_NE(receiver(), first) << now;
     borrower.on_grant(now, kLengthMs, receiver(), grant_of(sent(), 0), lease, out);  // denied
