--- a/logic/fleet/dissemination.cpp
+++ b/logic/fleet/dissemination.cpp
@@ -13,7 +13,7 @@
 constexpr int kUrgentFanout = 4;
 // Token bucket for urgent gossip messages: its capacity, and its refill rate in messages per ms.
 constexpr double kMaxGossipBudget = 24;
-constexpr double kGossipBudgetPerMs = 0.04;
+constexpr double kGossipRefillPerMs = 0.04;
 
 void add_new(const std::vector<MemberUpdate>& added, std::vector<MemberUpdate>& updates) {
   for (const MemberUpdate& update : added)
@@ -33,7 +33,7 @@
 
 void Dissemination::enqueue_urgent(int member, Time now, MembershipOutput& out) {
   enqueue(member);
-  budget_ = std::min(kMaxGossipBudget, budget_ + (now - budget_at_) * kGossipBudgetPerMs);
+  budget_ = std::min(kMaxGossipBudget, budget_ + (now - budget_at_) * kGossipRefillPerMs);
   budget_at_ = now;
   for (int i = 0; i < kUrgentFanout; ++i) {
     if (budget_ < 1) {
--- a/logic/fleet/probing.cpp
+++ b/logic/fleet/probing.cpp
@@ -37,7 +37,7 @@
       health_(health),
       on_failed_(std::move(on_failed)),
       period_(period),
-      dead_due_(now + kDeadProbeMs) {
+      next_dead_probe_at_(now + kDeadProbeMs) {
   // Spreads the nodes' rounds over the period, so that they do not all probe at the same time.
   double phase = std::fmod(members.self() * kGoldenFraction, 1.0) * period;
   round_due_ = (std::floor(now / period) + 1) * period + phase;
@@ -54,7 +54,7 @@
 }
 
 Time Probing::next(Time now) const {
-  Time next = std::min(round_due_, dead_due_);
+  Time next = std::min(round_due_, next_dead_probe_at_);
   for (const auto& [member, probe] : probes_)
     next = std::min(next, probe.next);
   for (const IndirectProbe& probe : indirect_probes_)
@@ -83,7 +83,7 @@
 
 void Probing::on_returned(Time now) {
   has_returned_ = true;
-  dead_due_ = now;
+  next_dead_probe_at_ = now;
 }
 
 void Probing::on_indirect_probe(int requester, int subject, std::uint16_t number, Time now) {
@@ -237,7 +237,7 @@
 }
 
 void Probing::tick_dead(Time now, MembershipOutput& out) {
-  if (now < dead_due_)
+  if (now < next_dead_probe_at_)
     return;
   int left = std::exchange(has_returned_, false) ? kDeadProbesAfterReturn : 1;
   for (int i = 0; i < members_.size() && left > 0; ++i) {
@@ -247,7 +247,7 @@
     dissemination_.send_probe(dead_cursor_, ++last_number_, out);
     --left;
   }
-  dead_due_ = now + kDeadProbeMs;
+  next_dead_probe_at_ = now + kDeadProbeMs;
 }
 
 }  // namespace keelflow::fleet
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -87,7 +87,7 @@
   FailureHandler on_failed_;
   Time period_;
   Time round_due_;
-  Time dead_due_;
+  Time next_dead_probe_at_;
   int dead_cursor_ = 0;  ///< member
   /// Whether a dead member has returned since the last probe of dead members.
   bool has_returned_ = false;
--- a/logic/fleet/subsets.cpp
+++ b/logic/fleet/subsets.cpp
@@ -78,9 +78,9 @@
   if (endpoints.empty() || dispatchers.empty())
     return assigned;
   subset_size = std::min(subset_size, static_cast<int>(endpoints.size()));
-  double mean_dispatchers = static_cast<double>(subset_size) *
-                            static_cast<double>(dispatchers.size()) /
-                            static_cast<double>(endpoints.size());
+  double mean_dispatchers_per_endpoint = static_cast<double>(subset_size) *
+                                         static_cast<double>(dispatchers.size()) /
+                                         static_cast<double>(endpoints.size());
   std::vector<Pair> pairs = best_pairs(endpoints, dispatchers, subset_size);
   std::vector<int> sizes(dispatchers.size());
   auto pass = [&](int most_endpoints, double most_dispatchers) {
@@ -94,11 +94,11 @@
       at.push_back(dispatchers[pair.dispatcher]);
     }
   };
-  double under = mean_dispatchers < kSmallMean ? kUnderMean - 1 : kUnderMean;
-  double over = mean_dispatchers < kSmallMean ? kOverMean - 1 : kOverMean;
-  pass(std::min(kFirstPassPicks, subset_size), mean_dispatchers + over);
-  pass(subset_size, std::max(1.0, mean_dispatchers - under));
-  pass(subset_size, mean_dispatchers + over);
+  double under = mean_dispatchers_per_endpoint < kSmallMean ? kUnderMean - 1 : kUnderMean;
+  double over = mean_dispatchers_per_endpoint < kSmallMean ? kOverMean - 1 : kOverMean;
+  pass(std::min(kFirstPassPicks, subset_size), mean_dispatchers_per_endpoint + over);
+  pass(subset_size, std::max(1.0, mean_dispatchers_per_endpoint - under));
+  pass(subset_size, mean_dispatchers_per_endpoint + over);
   pass(subset_size, static_cast<double>(dispatchers.size()));
   for (std::vector<int>& at : assigned)
     std::sort(at.begin(), at.end());
--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -72,12 +72,13 @@
   if (count < kMinBlocks)
     return independent;
   double n0 = arms[0].asked, n1 = arms[1].asked;
-  double spread0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
-  double spread1 = xx[1] - 2 * r1 * xn[1] + r1 * r1 * nn[1];
+  double residual_squares0 = xx[0] - 2 * r0 * xn[0] + r0 * r0 * nn[0];
+  double residual_squares1 = xx[1] - 2 * r1 * xn[1] + r1 * r1 * nn[1];
   double covariance = x0x1 - r1 * x0n1 - r0 * n0x1 + r0 * r1 * n0n1;
   double blocks = static_cast<double>(count);
-  double by_block = (spread0 / (n0 * n0) + spread1 / (n1 * n1) - 2 * covariance / (n0 * n1)) *
-                    blocks / (blocks - 1);
+  double by_block =
+      (residual_squares0 / (n0 * n0) + residual_squares1 / (n1 * n1) - 2 * covariance / (n0 * n1)) *
+      blocks / (blocks - 1);
   return std::max(independent, by_block);
 }
 
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -194,7 +194,7 @@
   compile();
   for (auto& [id, endpoint] : endpoints_)
     assign_pool(endpoint, now_ms);
-  recount_health(now_ms);
+  recount_health_by_state(now_ms);
   return complete_list();
 }
 
@@ -289,7 +289,7 @@
     if (endpoint.pool >= 0 && endpoint.joins_at_ms <= 0)
       out[at(endpoint.pool)].second.entries.push_back(e);
   }
-  recount_health(now_ms);
+  recount_health_by_state(now_ms);
   if (list.scope == ListScope::delta && pool_count() > 1)
     std::erase_if(out, [](const auto& pool_list) { return pool_list.second.entries.empty(); });
   return out;
@@ -307,7 +307,7 @@
   Lists out;
   for (int pool : joined)
     out.emplace_back(pool, complete_list(pool));
-  recount_health(now_ms);
+  recount_health_by_state(now_ms);
   return out;
 }
 
@@ -319,7 +319,7 @@
   return next;
 }
 
-void Router::recount_health(double now_ms) {
+void Router::recount_health_by_state(double now_ms) {
   next_warm_ms_ = std::numeric_limits<double>::infinity();
   unassigned_ = 0;
   health_.assign(pool_names_.size(), {});
@@ -343,13 +343,13 @@
 
 const Health& Router::health(int pool, double now_ms) {
   if (now_ms >= next_warm_ms_)
-    recount_health(now_ms);
+    recount_health_by_state(now_ms);
   return health_.at(at(pool));
 }
 
 Choice Router::choose(const Query& query, double now_ms) {
   if (now_ms >= next_warm_ms_)
-    recount_health(now_ms);
+    recount_health_by_state(now_ms);
   Choice out;
   const Route* route = nullptr;
   for (std::size_t i = 0; i < routes_.size() && !route; ++i) {
--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -144,7 +144,7 @@
   bool update_endpoint(scheduler::EndpointEntry entry, std::string_view host, double now_ms);
   Lists complete_list() const;
   scheduler::EndpointList complete_list(int pool) const;
-  void recount_health(double now_ms);
+  void recount_health_by_state(double now_ms);
 
   Spec spec_;
   NameLists names_;
--- a/tests/logic/call_schedule_test.cpp
+++ b/tests/logic/call_schedule_test.cpp
@@ -20,7 +20,7 @@
 // In fleets of up to 30 processes the list is received in time even if this many calls in a row
 // fail in any way. In larger fleets it takes longer, and the list lease prevents late sends
 // (list_lease_test.cpp).
-constexpr int kFailuresInARow = 4;
+constexpr int kToleratedFailuresInARow = 4;
 
 // How long a call with this fault lasts. Empty if it never ends by itself.
 std::optional<Duration> call_duration(Fault fault) {
@@ -113,7 +113,7 @@
     Caller caller({.pushed = GetParam(), .processes = 1 + run % 30}, random());
     TimePoint last_heartbeat{1h};
     // The lost watch counts as the first failure.
-    caller.set_faults(random_faults(random, random() % kFailuresInARow));
+    caller.set_faults(random_faults(random, random() % kToleratedFailuresInARow));
     caller.schedule().watch_lost(last_heartbeat + kHeartbeatTimeout, caller.draw());
     auto received = caller.simulate(last_heartbeat, last_heartbeat + 1min);
     ASSERT_TRUE(received) << run;
@@ -130,7 +130,7 @@
     caller.set_faults(random_faults(random, 1000));
     caller.schedule().watch_lost(outage_start, caller.draw());
     ASSERT_FALSE(caller.simulate(outage_start, outage_end));
-    caller.set_faults(random_faults(random, random() % (kFailuresInARow + 1)));
+    caller.set_faults(random_faults(random, random() % (kToleratedFailuresInARow + 1)));
     auto received = caller.simulate(outage_end, outage_end + 1min);
     ASSERT_TRUE(received) << run;
     ASSERT_LE(*received - outage_end, kListDeadline) << run;
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -16,7 +16,7 @@
 using scheduler::EndpointState;
 using scheduler::ListScope;
 
-constexpr double kSlowStart = 20'000, kPoolChangeDelay = 2'000;
+constexpr double kSlowStartMs = 20'000, kPoolChangeDelayMs = 2'000;
 const NameLists kNames{
     {"price", "hold", "sale"}, {"river", "main"}, {"east", "west"}, {"fast", "slow"}};
 
@@ -52,7 +52,7 @@
 };
 
 Router make(Spec spec) {
-  return Router(std::move(spec), kNames, classes(), {kSlowStart, kPoolChangeDelay});
+  return Router(std::move(spec), kNames, classes(), {kSlowStartMs, kPoolChangeDelayMs});
 }
 
 Query query(std::uint64_t object, int class_index = 0) {
@@ -199,7 +199,7 @@
   Fleet().add(1, "o1").add(2, "n1", 10'000).apply_to(router, 11'000);
   EXPECT_EQ(router.choose(query(1), 11'000).pool, 1)
       << "endpoints in slow start get no spilled requests while others are warm";
-  EXPECT_EQ(router.choose(query(1), 10'000 + kSlowStart + 200).pool, 0)
+  EXPECT_EQ(router.choose(query(1), 10'000 + kSlowStartMs + 200).pool, 0)
       << "slow start ends by time alone, without a new list";
   Fleet().add(2, "n1", 40'000).apply_to(router, 41'000);
   EXPECT_EQ(router.choose(query(1), 41'000).pool, 0)
@@ -231,9 +231,9 @@
   EXPECT_FALSE(find(pool_lists, 0, 1)) << "the delay after the change of pools is not over";
   EXPECT_TRUE(find(pool_lists, 0, 2)) << "a warm endpoint joins immediately";
   ASSERT_TRUE(router.next_due());
-  EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelay);
-  EXPECT_TRUE(router.due(3000 + kPoolChangeDelay - 1).empty());
-  pool_lists = router.due(3000 + kPoolChangeDelay);
+  EXPECT_EQ(*router.next_due(), 3000 + kPoolChangeDelayMs);
+  EXPECT_TRUE(router.due(3000 + kPoolChangeDelayMs - 1).empty());
+  pool_lists = router.due(3000 + kPoolChangeDelayMs);
   ASSERT_TRUE(find(pool_lists, 0, 1));
   EXPECT_EQ(find(pool_lists, 0, 1)->state, EndpointState::ready);
   EXPECT_FALSE(router.next_due());
