--- a/logic/routes/router.h
+++ b/logic/routes/router.h
@@ -2,9 +2,10 @@
 /// (Unix milliseconds, as in the scheduler) is an argument. Each pool has its own Dispatcher, which
 /// schedules requests within the pool.
 ///
-/// The choice of a pool is stable. A hash of the request's object (or of its idempotency key, or of
-/// its id) is a point in [0, 1), and a route's pools divide that interval by weight. `shift` moves
-/// only one boundary, so a larger step shifts additional traffic and returns none.
+/// The choice of a pool is stable. A hash maps each request to a point in [0, 1), and a route's
+/// pools divide that interval by weight. The hash is that of the request's object; without an
+/// object, of its idempotency key; without either, of its id. `shift` moves only one boundary, so a
+/// larger step shifts additional traffic and returns none.
 #pragma once
 
 #include <cstdint>
@@ -162,7 +163,8 @@
   int unassigned_ = 0;
 };
 
-/// Returns the point in [0, 1) of a request's object, idempotency key or id.
+/// Returns the point in [0, 1) to which a request is mapped: a hash of its object; without an
+/// object, of its idempotency key; without either, of its id.
 double point_of(const Query& query, std::uint64_t seed);
 /// Returns the key by which retries of a request are recognized.
 std::uint64_t affinity_key(const Query& query);
