--- a/logic/fleet/member_table.cpp
+++ b/logic/fleet/member_table.cpp
@@ -23,20 +23,20 @@
 
 void MemberTable::change_state(int member, MemberState state, std::uint32_t incarnation,
                                std::string evidence, Time now, std::vector<MemberChange>& changes) {
-  Member& changed = at(member);
-  MemberState before = changed.state;
-  digest_ ^= digest_of(member, changed);
+  Member& updated_member = at(member);
+  MemberState before = updated_member.state;
+  digest_ ^= digest_of(member, updated_member);
   alive_count_ += (state != MemberState::dead) - (before != MemberState::dead);
   suspect_count_ += (state == MemberState::suspect) - (before == MemberState::suspect);
-  changed.state = state;
-  changed.incarnation = incarnation;
-  changed.has_left = false;
+  updated_member.state = state;
+  updated_member.incarnation = incarnation;
+  updated_member.has_left = false;
   if (state != MemberState::suspect)
-    changed.accusers.clear();
-  digest_ ^= digest_of(member, changed);
+    updated_member.accusers.clear();
+  digest_ ^= digest_of(member, updated_member);
   if (state == before)
     return;
-  changed.since = now;
+  updated_member.since = now;
   deaths_ += state == MemberState::dead;
   if (member != self_)
     changes.push_back({member, before, state, incarnation, std::move(evidence)});
--- a/logic/moves/move.cpp
+++ b/logic/moves/move.cpp
@@ -58,19 +58,21 @@
 
 std::vector<std::string> faults(const MoveSpec& spec) {
   std::vector<std::string> out;
-  auto need = [&](bool ok, const char* what) {
+  auto require = [&](bool ok, const char* what) {
     if (!ok)
       out.push_back("move '" + spec.name + "': " + what);
   };
-  need(spec.from != spec.to, "'from' and 'to' are the same pool");
-  need(!spec.steps.empty() && spec.steps.size() <= 32, "1 to 32 steps are required");
-  need(std::is_sorted(spec.steps.begin(), spec.steps.end(), std::less_equal<>()),
-       "steps must increase");
-  need(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100),
-       "steps must be above 0 and end with 100");
-  need(spec.min_duration_ms < spec.max_duration_ms, "'least-time' must be less than 'most-time'");
-  need(spec.control > 0 && spec.control <= 50, "'control' must be above 0 and at most 50 percent");
-  need(spec.test.margin < spec.test.worse, "'margin' must be less than 'worse'");
+  require(spec.from != spec.to, "'from' and 'to' are the same pool");
+  require(!spec.steps.empty() && spec.steps.size() <= 32, "1 to 32 steps are required");
+  require(std::is_sorted(spec.steps.begin(), spec.steps.end(), std::less_equal<>()),
+          "steps must increase");
+  require(spec.steps.empty() || (spec.steps.front() > 0 && spec.steps.back() == 100),
+          "steps must be above 0 and end with 100");
+  require(spec.min_duration_ms < spec.max_duration_ms,
+          "'least-time' must be less than 'most-time'");
+  require(spec.control > 0 && spec.control <= 50,
+          "'control' must be above 0 and at most 50 percent");
+  require(spec.test.margin < spec.test.worse, "'margin' must be less than 'worse'");
   return out;
 }
 
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -131,9 +131,9 @@
   world.move.start(world.now);
   while (world.move.step() < 1)
     world.run(1);
-  PoolView small = kFine;
-  small.capacity = 5;
-  world.move.update_pools(kFine, small, world.now);
+  PoolView small_pool = kFine;
+  small_pool.capacity = 5;
+  world.move.update_pools(kFine, small_pool, world.now);
   world.rate = 300;
   world.run(5);
   ASSERT_EQ(world.move.wait_reason(), Wait::surge);
