--- a/logic/fleet/dissemination.h
+++ b/logic/fleet/dissemination.h
@@ -65,10 +65,10 @@
   const MemberTable& members_;
   MemberSampler& sampler_;
   std::map<int, int> transmissions_left_;  ///< indexed by the member whose updates are queued
-  int last_piggybacked_ = -1;              ///< member
-  int table_cursor_ = 0;                   ///< member
-  double budget_;                          ///< gossip messages
-  Time budget_at_;
+  int last_piggybacked_ = -1;              ///< member whose updates were piggybacked last
+  int table_cursor_ = 0;                   ///< next member whose updates are sent as padding
+  double budget_;                          ///< urgent gossip messages that may be sent
+  Time budget_at_;                         ///< time of the last refill
   std::uint64_t messages_ = 0;
   std::uint64_t bytes_ = 0;
   std::uint64_t held_back_ = 0;
--- a/logic/fleet/member_table.h
+++ b/logic/fleet/member_table.h
@@ -18,7 +18,7 @@
   MemberState state = MemberState::unknown;
   std::uint32_t incarnation = 0;
   Time since = 0;                 ///< time of the last change of `state`
-  Time last_datagram_at = -1e18;  ///< of any kind
+  Time last_datagram_at = -1e18;  ///< arrival of the last datagram of any kind from it
   Time last_membership_message_at = -1e18;
   std::set<int> accusers;  ///< members that reported this member as suspect or dead
   bool has_left = false;   ///< it announced its shutdown; only a newer incarnation revives it
--- a/logic/fleet/membership_message.h
+++ b/logic/fleet/membership_message.h
@@ -37,7 +37,7 @@
     gossip = 4
   } kind = Kind::gossip;
   std::uint16_t number = 0;       ///< of the probe, also in its answer
-  std::uint32_t incarnation = 0;  ///< the sender's
+  std::uint32_t incarnation = 0;  ///< of the sender
   std::uint32_t digest = 0;  ///< of the sender's whole table; equal digests need no table updates
   int subject = 0;  ///< the probed member, in messages about an indirect probe; else the sender
   std::vector<MemberUpdate> updates;
--- a/logic/fleet/probing.h
+++ b/logic/fleet/probing.h
@@ -88,7 +88,7 @@
   Time period_;
   Time round_due_;
   Time next_dead_probe_at_;
-  int dead_cursor_ = 0;  ///< member
+  int dead_cursor_ = 0;  ///< last member considered for a probe of dead members
   /// Whether a dead member has returned since the last probe of dead members.
   bool has_returned_ = false;
   std::uint16_t last_number_ = 0;
--- a/logic/fleet/slow_start_lease.h
+++ b/logic/fleet/slow_start_lease.h
@@ -57,7 +57,7 @@
   std::uint64_t obtained = 0;
   std::uint64_t granted = 0;
   std::uint64_t denied = 0;
-  std::uint64_t returned = 0;  ///< leases granted here whose rest was returned
+  std::uint64_t returned = 0;  ///< leases granted here whose unused rest was returned
   std::uint64_t late = 0;      ///< grants that arrived after the lease's end
   SlowStartStatistics& operator+=(const SlowStartStatistics& other);
 };
--- a/logic/fleet/slow_start_leases.h
+++ b/logic/fleet/slow_start_leases.h
@@ -1,5 +1,5 @@
-/// Division of the slow-start budget of an endpoint that is warming up among the dispatchers (rule
-/// 4): by fixed parts and explicit leases, never by inference from other dispatchers' load. Pure.
+/// Division of the slow-start budget of an endpoint that is warming up among the dispatchers
+/// by fixed parts and explicit leases, never by inference from other dispatchers' load. Pure.
 ///
 /// For each incarnation of an endpoint, a common hash orders all dispatchers of the configuration.
 /// The first few own fixed parts of the work that all dispatchers together may send within a
--- a/logic/fleet/subsets.h
+++ b/logic/fleet/subsets.h
@@ -23,7 +23,8 @@
                                       const std::vector<int>& dispatchers, int subset_size);
 
 /// Whether dispatchers with a common endpoint send one another load updates about it: if messages
-/// between them are allowed and there are so many dispatchers that none knows the load by itself.
+/// between them are allowed and there are so many dispatchers that none can determine the load
+/// alone.
 bool shares_load(bool peers, int dispatchers);
 
 /// Minimum number of endpoints in the subset of each dispatcher, if there are enough.
--- a/logic/moves/move.h
+++ b/logic/moves/move.h
@@ -19,7 +19,7 @@
   std::string name, route, from, to;
   std::vector<double> steps = {1, 5, 10, 25, 50, 100};  // percent, increasing
   double min_duration_ms = 30'000;                      // minimum duration of a step
-  double max_duration_ms = 1'800'000;  // a step that is undecided after this time is undone
+  double max_duration_ms = 1'800'000;  // the move is undone if a step is undecided after this time
   std::uint64_t min_answers = 200;     // answers of the new pool that a step needs
   double cool_off_ms = 600'000;        // time after an undo before the move may start again
   double control = 5;  // percent that the old pool keeps until the last step has passed
@@ -97,9 +97,9 @@
 
   MoveSpec spec_;
   Comparison comparison_;
-  LoadSurgeDetector route_load_;  // requests of the route
-  LoadSurgeDetector other_load_;  // requests of other routes to the new pool
-  LoadSurgeDetector pool_load_[2];
+  LoadSurgeDetector route_load_;    // requests of the route
+  LoadSurgeDetector other_load_;    // requests of other routes to the new pool
+  LoadSurgeDetector pool_load_[2];  // indexed by Arm
   PoolView from_, to_;
   State state_ = State::idle;
   Wait wait_ = Wait::none;
--- a/logic/routes/router.cpp
+++ b/logic/routes/router.cpp
@@ -107,7 +107,7 @@
                          const std::vector<std::string>& all, const char* what) {
     for (const std::string& name : wanted)
       if (index_of(all, name) < 0)
-        out.push_back(std::string("the platform knows no ") + what + " '" + name + "'");
+        out.push_back(std::string("the platform has no ") + what + " '" + name + "'");
   };
   for (const PoolSpec& pool : spec.pools) {
     check_names(pool.sites, names.zones, "site");
--- a/tests/logic/plugins_test.cpp
+++ b/tests/logic/plugins_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_FALSE(all.hold_shortened);
   all = combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 5000});
   EXPECT_EQ(all.verdict.hold_ms, 2000)
-      << "the remaining patience less the time that the scheduler needs";
+      << "the remaining timeout less the time that the scheduler needs";
   EXPECT_TRUE(all.hold_shortened);
   EXPECT_EQ(combine({said({.hold_ms = 60'000})}, kSafe, {.max_hold_ms = 50}).verdict.hold_ms, 50);
   RequestFacts late = kSafe;
--- a/tests/logic/router_test.cpp
+++ b/tests/logic/router_test.cpp
@@ -203,7 +203,7 @@
       << "slow start ends by time alone, without a new list";
   Fleet().add(2, "n1", 40'000).apply_to(router, 41'000);
   EXPECT_EQ(router.choose(query(1), 41'000).pool, 0)
-      << "an endpoint in slow start is better than none";
+      << "an endpoint in slow start is chosen if it is the only ready one";
 }
 
 TEST(Router, ARetryWithAKeyIsNotSpilledFromThePoolThatMayHaveRunIt) {
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -239,7 +239,7 @@
   pair.set_time(kStartedAt + 100);
   std::string request = pair.request();
   pair.set_time(kStartedAt + 100 + pair.borrower->bench.turns.lease_length_ms());
-  // The request was in flight all that time, which the owner cannot know.
+  // The request was in flight all that time; the owner cannot detect that.
   std::string grant = pair.grant(request);
   ASSERT_FALSE(grant.empty());
   pair.receive(grant);
--- a/tests/node/moves_test.cpp
+++ b/tests/node/moves_test.cpp
@@ -254,7 +254,7 @@
     own (pool new (site "north")) (route all (to (new 1)))
     signal HUP
     wait reloads_failed 2
-    log knows no site
+    log the platform has no site
     cli 0 move status m --json --socket admin
     expect cli "running"
   )",
