--- a/tests/logic/call_schedule_test.cpp
+++ b/tests/logic/call_schedule_test.cpp
@@ -175,7 +175,7 @@
 // A service that needs 200 ms per call and serves calls in sequence. It rejects a call immediately
 // if the call would wait for 1 s or longer. A second call of a process abandons its first one,
 // which stays in the queue and still takes its service time.
-class BusyService {
+class OverloadedService {
  public:
   static constexpr Duration kServiceTime = 200ms;
   static constexpr Duration kMaxWait = 1s;
@@ -221,7 +221,7 @@
   auto draw = [&] {
     return std::uniform_real_distribution<double>()(random);
   };
-  BusyService service;
+  OverloadedService service;
   std::vector<CallSchedule> schedules(kProcesses,
                                       CallSchedule({.pushed = false, .processes = kProcesses}));
   std::vector<bool> is_served(kProcesses, false);
@@ -244,7 +244,7 @@
       service.accept_call(i, now);
     }
   }
-  EXPECT_LE(now - start, kProcesses * BusyService::kServiceTime * 3 / 2);
+  EXPECT_LE(now - start, kProcesses * OverloadedService::kServiceTime * 3 / 2);
 }
 
 TEST(CallSchedule, HasNoCallDueWhileThereIsAWatch) {
--- a/tests/logic/move_test.cpp
+++ b/tests/logic/move_test.cpp
@@ -147,7 +147,7 @@
 }
 
 TEST(Move, DetectsASurgeOfOtherRoutesToTheNewPool) {
-  auto play = [](double others) {
+  auto play = [](double other_rate) {
     MoveSpec slow = spec();
     slow.min_duration_ms = 30'000;
     World world(slow);
@@ -163,9 +163,9 @@
     run_with_other_route(50, 20);
     world.move.start(world.now);
     run_with_other_route(50, 3);
-    run_with_other_route(others, 4);
+    run_with_other_route(other_rate, 4);
     world.in_time_new = 0.3;
-    run_with_other_route(others, 25);
+    run_with_other_route(other_rate, 25);
     return world.move.state();
   };
   EXPECT_EQ(play(300), State::running);
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -21,13 +21,14 @@
 // borrower) 500 ms, OWNER_LENGTH (the same lease at the owner) 550 ms, RETURN_BEFORE_END 100 ms and
 // WINDOW 2 s. The code returns a lease from 125 ms before its end; time advances in steps of 100 ms
 // here, so the model's 100 ms stand for it.
-const std::string kRatios =
+const std::string kModelParameters =
     " -DSTEP=2 -DLENGTH=10 -DOWNER_LENGTH=11 -DRETURN_BEFORE_END=2 -DWINDOW=40 -DPART=400 "
     "-DJOB_WORK=100 -DREQUESTED_WORK=200 -DEND=400 -DMAX_RESTARTS=3 -DMAX_IN_FLIGHT=6 "
     "-DREPLAY_WEIGHTS ";
 
 std::vector<std::string> run_model(unsigned seed) {
-  std::string command = "spin -n" + std::to_string(seed) + " -T" + kRatios + TURNS_MODEL + " 2>&1";
+  std::string command =
+      "spin -n" + std::to_string(seed) + " -T" + kModelParameters + TURNS_MODEL + " 2>&1";
   std::vector<std::string> lines;
   std::FILE* pipe = popen(command.c_str(), "r");
   if (!pipe)
@@ -50,7 +51,7 @@
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
     // The first owner's part is 400 ms of work.
     settings_.overload_multiple = 400.0 * 8 / (0.62 * settings_.overload_window_ms) + 1e-9;
-    auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
+    auto order = order_at({kWarmingEndpoint, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
     ranks_ = {order[8], order[9], order[0]};  // two without a part of the budget, and the owner
     for (int rank : ranks_)
       is_alive_[static_cast<std::size_t>(rank)] = true;
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -176,7 +176,7 @@
 struct OwnerAndBorrower {
   OwnerAndBorrower() {
     is_alive.assign(20, false);
-    order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
+    order = order_at({kWarmingEndpoint, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
     is_alive[at(0)] = is_alive[at(10)] = true;
     owner.emplace(settings, order[0], kStartedAt - 1, is_alive);
     borrower.emplace(settings, order[10], kStartedAt - 1, is_alive);
@@ -309,7 +309,7 @@
        {std::pair(EndpointState::draining, false), std::pair(EndpointState::ready, true)}) {
     pair.set_time(kStartedAt + (is_requested ? 300 : 100));
     EndpointList list;
-    list.entries = {{kWarmingUp, 0, 0, 0, state, 1, kStartedAt}};
+    list.entries = {{kWarmingEndpoint, 0, 0, 0, state, 1, kStartedAt}};
     pair.borrower->bench.play(list);
     EXPECT_EQ(!pair.request().empty(), is_requested);
   }
@@ -329,7 +329,7 @@
   }
   EXPECT_TRUE(pair.grant(request + "x").empty());
   EXPECT_DOUBLE_EQ(pair.owner->budget().own, before);
-  pair.receive(encode({SlowStartMessage::Kind::grant, kWarmingUp,
+  pair.receive(encode({SlowStartMessage::Kind::grant, kWarmingEndpoint,
                        decode_slow_start_message(request)->endpoint_incarnation,
                        decode_slow_start_message(request)->requester_incarnation,
                        decode_slow_start_message(request)->number + 1, 5000, 0}));
@@ -349,7 +349,7 @@
 
 TEST(SlowStartLeases, DoesNotRequestDeadOwnersAndDelaysUnresponsiveOnes) {
   Settings settings = fleet_settings(20);
-  auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
+  auto order = order_at({kWarmingEndpoint, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, 20);
   std::vector<bool> is_alive(20, true);
   is_alive[static_cast<std::size_t>(order[0])] = false;
   Node borrower(settings, order[10], kStartedAt - 1, is_alive);
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -7,7 +7,7 @@
 
 namespace keelflow::fleet {
 
-constexpr scheduler::EndpointId kWarmingUp = 7;
+constexpr scheduler::EndpointId kWarmingEndpoint = 7;
 constexpr scheduler::EndpointId kWarm = 8;
 constexpr scheduler::Time kStartedAt = 10000;
 constexpr scheduler::Time kJobMs = 100;
@@ -43,7 +43,7 @@
     bench.now = now;
     bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
     bench.sends.clear();
-    list.entries[0] = {kWarmingUp, 0, 0, 0, scheduler::EndpointState::ready, 1, kStartedAt};
+    list.entries[0] = {kWarmingEndpoint, 0, 0, 0, scheduler::EndpointState::ready, 1, kStartedAt};
     bench.play(list);
   }
 
@@ -68,7 +68,7 @@
     return out;
   }
   scheduler::SlowStartBudget budget() const {
-    return bench.d.slow_start_budget(kWarmingUp, bench.now);
+    return bench.d.slow_start_budget(kWarmingEndpoint, bench.now);
   }
 
   static scheduler::Settings with_rank(scheduler::Settings settings, int rank) {
--- a/tests/logic/subsets_test.cpp
+++ b/tests/logic/subsets_test.cpp
@@ -160,9 +160,9 @@
   std::vector<bool> is_alive(40, true);
   EXPECT_FALSE(assigned.after(scheduler::MembershipChanged{is_alive}));
   is_alive[3] = false;
-  auto without = assigned.after(scheduler::MembershipChanged{is_alive});
-  ASSERT_TRUE(without);
-  for (const auto& at : without->endpoints)
+  auto after_death = assigned.after(scheduler::MembershipChanged{is_alive});
+  ASSERT_TRUE(after_death);
+  for (const auto& at : after_death->endpoints)
     EXPECT_EQ(std::count(at.peers.begin(), at.peers.end(), 3), 0);
   EXPECT_FALSE(assigned.after(scheduler::TimerFired{}));
 }
