--- a/logic/moves/comparison.cpp
+++ b/logic/moves/comparison.cpp
@@ -144,10 +144,10 @@
   e.trimmed_loss = r0 - r1;
   // Log of the likelihood ratio between two hypotheses: a loss beyond the margin, drawn from a
   // half-normal distribution, and a loss equal to the margin.
-  double variance = kept_.variance(r0, r1), tau2 = settings_.spread * settings_.spread,
+  double variance = kept_.variance(r0, r1), tau2 = settings_.effect_size * settings_.effect_size,
          sum = variance + tau2;
   double z = (e.trimmed_loss - settings_.margin) / std::sqrt(variance);
-  double inside = normal_cdf(z * settings_.spread / std::sqrt(sum));
+  double inside = normal_cdf(z * settings_.effect_size / std::sqrt(sum));
   e.log_evidence = std::log(2 * std::max(inside, 1e-300)) + 0.5 * std::log(variance / sum) +
                    z * z * tau2 / (2 * sum);
   return e;
--- a/logic/moves/comparison.h
+++ b/logic/moves/comparison.h
@@ -29,7 +29,7 @@
   double margin = 0.02;       // a loss up to this value is tolerated
   double worse = 0.05;        // a loss of this size must be ruled out before a step passes
   double miss = 0.01;         // probability that such a loss is ruled out wrongly
-  double spread = 0.10;       // size of the losses that the test is tuned to detect
+  double effect_size = 0.10;  // size of the losses that the test is tuned to detect
   double block_ms = 1000;
 };
 
--- a/node/config/own_config.cpp
+++ b/node/config/own_config.cpp
@@ -153,7 +153,7 @@
     form.number("miss", m.test.miss, 1e-6, 0.5, "a chance");
     form.number("margin", m.test.margin, 0, 0.5, "a share");
     form.number("worse", m.test.worse, 0.001, 0.9, "a share");
-    form.number("spread", m.test.spread, 0.001, 1, "a share");
+    form.number("spread", m.test.effect_size, 0.001, 1, "a share");
     form.end();
     place_["move " + m.name] = node.place;
     own_.moves.push_back(std::move(m));
