--- a/logic/discovery/outage_presumption.h
+++ b/logic/discovery/outage_presumption.h
@@ -19,8 +19,8 @@
 
 namespace keelflow::discovery {
 
-/// The evidence for an outage of discovery. Does no I/O: the caller passes the time. Reports no
-/// errors; not thread-safe.
+/// The evidence for an outage of discovery. Does no I/O: the caller passes the time. Its
+/// functions return no errors; not thread-safe.
 class OutagePresumption {
  public:
   /// A call was answered with 503.
--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -20,7 +20,8 @@
 // Parameters of the model. Times are in units of kUnitMs: STEP is 100 ms, LENGTH (a lease at the
 // borrower) 500 ms, OWNER_LENGTH (the same lease at the owner) 550 ms, RETURN_BEFORE_END 100 ms and
 // WINDOW 2 s. The code returns a lease from 125 ms before its end; time advances in steps of 100 ms
-// here, so the model's 100 ms stand for it.
+// here, so the model's 100 ms stand for it. PART, JOB_WORK and REQUESTED_WORK are ms of work. A
+// run ends at END, 400 units or 20 s.
 const std::string kModelParameters =
     " -DSTEP=2 -DLENGTH=10 -DOWNER_LENGTH=11 -DRETURN_BEFORE_END=2 -DWINDOW=40 -DPART=400 "
     "-DJOB_WORK=100 -DREQUESTED_WORK=200 -DEND=400 -DMAX_RESTARTS=3 -DMAX_IN_FLIGHT=6 "
@@ -106,7 +107,7 @@
     }
     EXPECT_FALSE(next_line_ < lines_.size() &&
                  (lines_[next_line_] == "sent" || lines_[next_line_] == "unsent"))
-        << "line " << next_line_ << ": the model sends a message";
+        << "line " << next_line_ << ": the model sends a message that the code does not send";
   }
 
   void deliver() {
--- a/tests/logic/turns/turns.pml
+++ b/tests/logic/turns/turns.pml
@@ -15,7 +15,7 @@
 #define PART 2
 #define JOB_WORK 1
 #define REQUESTED_WORK 1
-#define END 5
+#define END 5  /* time at which a run ends */
 #endif
 #ifndef MAX_RESTARTS
 #define MAX_RESTARTS 1  /* of each node */
