--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -20,14 +20,16 @@
 // Parameters of the model. Times are in units of kUnitMs: STEP is 100 ms, LENGTH (a lease at the
 // borrower) 500 ms, OWNER_LENGTH (the same lease at the owner) 550 ms, RETURN_BEFORE_END 100 ms and
 // WINDOW 2 s. The code returns a lease from 125 ms before its end; time advances in steps of 100 ms
-// here, so the model's 100 ms stand for it.
-const std::string kRatios =
+// here, so the model's 100 ms stand for it. PART, JOB_WORK and REQUESTED_WORK are ms of work. A
+// run ends at END, 400 units or 20 s.
+const std::string kModelParameters =
     " -DSTEP=2 -DLENGTH=10 -DOWNER_LENGTH=11 -DRETURN_BEFORE_END=2 -DWINDOW=40 -DPART=400 "
     "-DJOB_WORK=100 -DREQUESTED_WORK=200 -DEND=400 -DMAX_RESTARTS=3 -DMAX_IN_FLIGHT=6 "
     "-DREPLAY_WEIGHTS ";
 
 std::vector<std::string> run_model(unsigned seed) {
-  std::string command = "spin -n" + std::to_string(seed) + " -T" + kRatios + TURNS_MODEL + " 2>&1";
+  std::string command =
+      "spin -n" + std::to_string(seed) + " -T" + kModelParameters + TURNS_MODEL + " 2>&1";
   std::vector<std::string> lines;
   std::FILE* pipe = popen(command.c_str(), "r");
   if (!pipe)
@@ -50,8 +52,8 @@
   explicit Replay(std::vector<std::string> lines) : lines_(std::move(lines)) {
     // The first owner's part is 400 ms of work.
     settings_.overload_multiple = 400.0 * 8 / (0.62 * settings_.overload_window_ms) + 1e-9;
-    auto order = order_at({kWarmingUp, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
-    ranks_ = {order[8], order[9], order[0]};  // two without a part, and the owner
+    auto order = order_at({kWarmingEndpoint, 0, 0, 0, EndpointState::ready, 1, kStartedAt}, kNodes);
+    ranks_ = {order[8], order[9], order[0]};  // two without a part of the budget, and the owner
     for (int rank : ranks_)
       is_alive_[static_cast<std::size_t>(rank)] = true;
     now_ = kStartedAt - 1;  // before the endpoint's start, so nothing can have been sent yet
@@ -105,7 +107,7 @@
     }
     EXPECT_FALSE(next_line_ < lines_.size() &&
                  (lines_[next_line_] == "sent" || lines_[next_line_] == "unsent"))
-        << "line " << next_line_ << ": the model sends a message";
+        << "line " << next_line_ << ": the model sends a message that the code does not send";
   }
 
   void deliver() {
