--- a/node/core/attempt_tracker.cpp
+++ b/node/core/attempt_tracker.cpp
@@ -83,7 +83,8 @@
   if (end.withheld)
     return AttemptResult::withheld;
   AttemptResult result = result_of_outcome(end);
-  // Without concurrent attempts, no other attempt may follow one that may still run.
+  // The endpoint may still be running an attempt whose cancellation it did not receive. Unless
+  // concurrent attempts are permitted, no other attempt may follow it, so it counts as timed out.
   bool may_run_yet =
       end.outcome == AttemptOutcome::cancel_undelivered && !settings_.concurrent_attempts;
   if (result == AttemptResult::cancelled && (attempt.has_timed_out || may_run_yet))
--- a/node/core/endpoint_port.h
+++ b/node/core/endpoint_port.h
@@ -22,7 +22,7 @@
   broken,              ///< The connection or process ended; `delivery` tells if it may have run.
   cancelled,           ///< The Engine cancelled it.
   cancel_undelivered,  ///< The Engine cancelled it, but the endpoint had accepted it and did not
-                       ///< receive the cancellation: it may still run.
+                       ///< receive the cancellation: the endpoint may still run the attempt.
 };
 
 /// The outcome of an attempt.
--- a/node/discovery/discovery_call.cpp
+++ b/node/discovery/discovery_call.cpp
@@ -60,7 +60,7 @@
 void DiscoveryCall::on_head(const net::Head& head) {
   status_ = head.status;
   if (head.status != 200) {
-    // The call fails without waiting for the body, which does not matter.
+    // The status alone decides that the call has failed; the body is not used.
     owner_.on_failed(*this, CallEnd::rejected);
     return;
   }
--- a/node/discovery/endpoint_directory.h
+++ b/node/discovery/endpoint_directory.h
@@ -24,7 +24,9 @@
 /// an endpoint can still be cancelled there after it has left the list. Not thread-safe.
 class EndpointDirectory {
  public:
-  /// Updates the destinations from a list; a list of any scope but `delta` is complete.
+  /// Updates the destinations from a list. A list of scope `delta` changes only the endpoints that
+  /// it names. Any other list is complete: endpoints that it does not name are no longer listed
+  /// ready.
   void apply(const HostList& list, scheduler::ListScope scope);
   /// Sets or clears the administrative override. No effect on an endpoint that was never listed.
   void set_disabled(EndpointId endpoint, bool is_disabled);
--- a/node/discovery/list_lease_keeper.cpp
+++ b/node/discovery/list_lease_keeper.cpp
@@ -12,7 +12,8 @@
 using discovery::CallEnd;
 using log::Subsystem;
 
-// Makes the survey's random numbers differ from those of the calls.
+// Combined with the seed, so that WatchSurvey draws other random numbers than the calls to
+// discovery.
 constexpr std::uint64_t kSurveySeed = 0x5eed;
 
 bool is_answer(CallEnd how) {
--- a/node/handover/handover.cpp
+++ b/node/handover/handover.cpp
@@ -146,7 +146,7 @@
 
 void Handover::check_is_same(int version, const std::string& node) const {
   if (version != kVersion || node != node_)
-    throw std::runtime_error("the process has another protocol version or another node name");
+    throw std::runtime_error("the other process has another protocol version or another node name");
 }
 
 void Handover::on(HandoverLink& link, const HelloMessage& message) {
--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -93,7 +93,7 @@
   Callbacks callbacks_;
   Counters& counters_;
   int fd_ = -1;
-  std::uint64_t registration_ = 0;
+  std::uint64_t registration_ = 0;  ///< Of the listening socket with the event loop; 0: none.
   std::uint64_t last_link_id_ = 0;
   std::map<std::uint64_t, std::unique_ptr<HandoverLink>> links_;
 };
--- a/node/handover/handover_message.h
+++ b/node/handover/handover_message.h
@@ -40,7 +40,7 @@
   std::string bytes;
 };
 
-/// A status callback of an endpoint that reached a process which did not send the attempt.
+/// A status callback from an endpoint. It arrived at a process that had not sent the attempt.
 struct StatusCallbackMessage {
   std::string body;
 };
--- a/node/lifecycle/derived_settings.h
+++ b/node/lifecycle/derived_settings.h
@@ -14,9 +14,9 @@
 scheduler::Settings scheduler_settings(scheduler::Settings settings);
 /// The policy by which DestinationSet calls discovery.
 discovery::CallPolicy call_policy(const scheduler::Settings& settings);
-/// The terms of the endpoint list's lease.
+/// The settings that determine how long the lease of the endpoint list lasts.
 discovery::LeaseTerms lease_terms(const scheduler::Settings& settings);
-/// The terms that the invariant monitor checks.
+/// The settings that the rules of the invariant monitor depend on.
 invariants::Terms monitor_terms(const scheduler::Settings& settings);
 
 }  // namespace keelflow
--- a/node/lifecycle/extra_listeners.h
+++ b/node/lifecycle/extra_listeners.h
@@ -25,7 +25,8 @@
 
 namespace keelflow {
 
-/// Owns these servers and their fronts. Each is opened once, at the start.
+/// Owns the servers for progress, the admin socket and operators, and the fronts, which handle the
+/// requests of the first two; opens the listener of the Peers. Each is opened once, at the start.
 class ExtraListeners {
  public:
   /// The parts that the listeners use. All must outlive the ExtraListeners.
--- a/node/lifecycle/signal_reader.h
+++ b/node/lifecycle/signal_reader.h
@@ -21,7 +21,7 @@
   struct Callbacks {
     std::function<void()> on_terminate;  ///< SIGTERM, SIGINT.
     std::function<void()> on_reload;     ///< SIGHUP.
-    std::function<void()> on_report;     ///< SIGUSR1.
+    std::function<void()> on_report;     ///< SIGUSR1: logs the counters.
   };
   SignalReader(net::EventLoop& loop, Callbacks callbacks)
       : loop_(loop), callbacks_(std::move(callbacks)) {}
