--- a/node/core/endpoint_port.h
+++ b/node/core/endpoint_port.h
@@ -45,8 +45,8 @@
     TimePoint until;     ///< The attempt is abandoned at this time.
     TimePoint write_by;  ///< The last byte must not be written after this time.
     scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-    bool again = false;  ///< Status callbacks of an earlier attempt of this request at the
-                         ///< endpoint may still arrive.
+    bool expects_earlier_callbacks = false;  ///< Status callbacks of an earlier attempt of this
+                                             ///< request at the endpoint may still arrive.
   };
   virtual void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) = 0;
   virtual void cancel(AttemptRef ref) = 0;
--- a/node/core/engine.cpp
+++ b/node/core/engine.cpp
@@ -235,7 +235,7 @@
       .write_by = attempts_.write_deadline(*request),
       .idempotency =
           settings().classes.at(static_cast<std::size_t>(request->job.class_index)).idempotency,
-      .again = AttemptTracker::may_receive_callbacks(*request, send.endpoint)};
+      .expects_earlier_callbacks = AttemptTracker::may_receive_callbacks(*request, send.endpoint)};
   Attempt attempt{.endpoint = send.endpoint, .sent = now};
   attempt.timer = timers_.at(until, [this, ref] { cancel(ref, true); });
   operation_guard::Verdict verdict = attempts_.may_repeat(*request, send.endpoint);
--- a/node/lifecycle/extra_listeners.cpp
+++ b/node/lifecycle/extra_listeners.cpp
@@ -38,21 +38,22 @@
   });
 }
 
-template <typename Where>
-void ExtraListeners::listen_when_free(Server& server, const Where& where,
+template <typename AddressOrPath>
+void ExtraListeners::listen_when_free(Server& server, const AddressOrPath& address_or_path,
                                       std::function<void()> then) {
   try {
-    server.listen(where);
+    server.listen(address_or_path);
   } catch (const std::system_error& fault) {
     if (!callbacks_.has_sibling() || fault.code().value() != EADDRINUSE)
       throw;
-    parts_.loop.at(parts_.loop.now() + kListenRetryInterval, [this, &server, where, then] {
-      try {
-        listen_when_free(server, where, then);
-      } catch (const std::system_error& later) {
-        log::error(Subsystem::node, "not-listening", {{"fault", later.what()}});
-      }
-    });
+    parts_.loop.at(parts_.loop.now() + kListenRetryInterval,
+                   [this, &server, address_or_path, then] {
+                     try {
+                       listen_when_free(server, address_or_path, then);
+                     } catch (const std::system_error& later) {
+                       log::error(Subsystem::node, "not-listening", {{"fault", later.what()}});
+                     }
+                   });
     return;
   }
   then();
--- a/node/lifecycle/extra_listeners.h
+++ b/node/lifecycle/extra_listeners.h
@@ -68,8 +68,9 @@
   Server* progress_server() const { return progress_server_.get(); }
 
  private:
-  template <typename Where>
-  void listen_when_free(Server& server, const Where& where, std::function<void()> then);
+  template <typename AddressOrPath>
+  void listen_when_free(Server& server, const AddressOrPath& address_or_path,
+                        std::function<void()> then);
 
   Parts parts_;
   AdminFront::Pages pages_;
--- a/node/lifecycle/graceful_shutdown.cpp
+++ b/node/lifecycle/graceful_shutdown.cpp
@@ -35,9 +35,10 @@
   TimePoint shutdown_began = parts_.loop.now();
   parts_.loop.at(shutdown_began + kLimitDeadlinesAfter, [this, shutdown_began] {
     advance(Stage::deadlines_limited);
-    parts_.engine.set_shutdown_deadline(shutdown_began + last_answer());
+    parts_.engine.set_shutdown_deadline(shutdown_began + time_to_shutdown_deadline());
   });
-  parts_.loop.at(shutdown_began + std::min(kServeAfterSigterm, last_answer()), [this] { drain(); });
+  parts_.loop.at(shutdown_began + std::min(kServeAfterSigterm, time_to_shutdown_deadline()),
+                 [this] { drain(); });
   if (handover::should_stop_accepting(true, callbacks_.has_successor()))
     drain();
 }
@@ -54,7 +55,7 @@
   return true;
 }
 
-Duration GracefulShutdown::last_answer() const {
+Duration GracefulShutdown::time_to_shutdown_deadline() const {
   return std::min(parts_.config.longest_deadline, kLongestDeadline) + kSigkillAfterDeadline -
          kAnswerTravelTime;
 }
--- a/node/lifecycle/graceful_shutdown.h
+++ b/node/lifecycle/graceful_shutdown.h
@@ -56,7 +56,7 @@
  private:
   Stage stage() const { return static_cast<Stage>(parts_.counters.drain_stage); }
   bool advance(Stage next);  // false: the stage had been reached before
-  Duration last_answer() const;
+  Duration time_to_shutdown_deadline() const;
   void drain();
   void check_drained();
   bool is_idle() const;
--- a/node/lifecycle/signal_reader.cpp
+++ b/node/lifecycle/signal_reader.cpp
@@ -30,7 +30,7 @@
 void SignalReader::on_ready(std::uint32_t) {
   for (signalfd_siginfo info; ::read(fd_, &info, sizeof info) == sizeof info;) {
     if (info.ssi_signo == SIGUSR1)
-      callbacks_.on_report();
+      callbacks_.on_counters_requested();
     else if (info.ssi_signo == SIGHUP)
       callbacks_.on_reload();
     else
--- a/node/lifecycle/signal_reader.h
+++ b/node/lifecycle/signal_reader.h
@@ -19,9 +19,9 @@
  public:
   /// The action for each signal.
   struct Callbacks {
-    std::function<void()> on_terminate;  ///< SIGTERM, SIGINT.
-    std::function<void()> on_reload;     ///< SIGHUP.
-    std::function<void()> on_report;     ///< SIGUSR1: logs the counters.
+    std::function<void()> on_terminate;           ///< SIGTERM, SIGINT.
+    std::function<void()> on_reload;              ///< SIGHUP.
+    std::function<void()> on_counters_requested;  ///< SIGUSR1: logs the counters.
   };
   SignalReader(net::EventLoop& loop, Callbacks callbacks)
       : loop_(loop), callbacks_(std::move(callbacks)) {}
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -311,7 +311,7 @@
   SignalReader signals_{loop_,
                         {.on_terminate = [this] { shutdown_.begin(); },
                          .on_reload = [this] { reload_.run(); },
-                         .on_report =
+                         .on_counters_requested =
                              [this] {
                                status_report_.log_counters();
                              }}};
--- a/node/outbound/outbound_call.cpp
+++ b/node/outbound/outbound_call.cpp
@@ -282,7 +282,7 @@
 }
 
 void OutboundCall::news(const StatusCallback& news) {
-  hear(news, !terms_.again);
+  hear(news, !terms_.expects_earlier_callbacks);
 }
 
 // `certain`: it is of this attempt and no other.
