--- a/node/handover/handover.h
+++ b/node/handover/handover.h
@@ -3,8 +3,8 @@
 /// over a Unix socket in $TMPDIR while both run. docs/design/handover.md has the protocol.
 ///
 /// The socket's path is derived from the node's name. The serving process listens there; a new
-/// process connects, and once it is ready replaces the socket at that path by its own. If no
-/// process accepts at the path, the process that created the socket has ended.
+/// process connects, and once it can serve clients replaces the socket at that path by its own. If
+/// no process accepts at the path, the process that created the socket has ended.
 #pragma once
 
 #include <cstdint>
@@ -60,8 +60,8 @@
 
   void send_admin_override(const std::string& host, bool is_out);
   void send_load_update(std::string_view bytes);
-  /// Sends the others a status callback that belongs to none of this process's attempts. False: it
-  /// was not sent to all other processes, so the endpoint must send it again.
+  /// Sends the other processes a status callback that belongs to none of this process's attempts.
+  /// False: it was not sent to all other processes, so the endpoint must send it again.
   bool forward_status_callback(std::string_view body);
   /// There is a sibling process.
   bool has_sibling_process() const { return !links_.empty(); }
@@ -71,7 +71,7 @@
   bool has_old_process() const;
 
  private:
-  void on_ready(std::uint32_t events) override;
+  void on_ready(std::uint32_t events) override;  // a process connects to the socket
   void on_message(HandoverLink& link, const HandoverMessage& message) override;
   void on_link_closed(HandoverLink& link) override;
 
--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -142,9 +142,9 @@
   auto known = not_ready_since_.find(host);
   if (known != not_ready_since_.end() && known->second &&
       now > *known->second + terms_.drain_grace + kDrainTolerance)
-    violate(Rule::drain, id + " to " + host);
+    violate(Rule::drain, "request " + id + " sent to " + host);
   if (!confirmed_ || now > *confirmed_ + kListDeadline + terms_.drain_grace)
-    violate(Rule::stale_list, id + " to " + host);
+    violate(Rule::stale_list, "request " + id + " sent to " + host);
 }
 
 void Monitor::count_complete_write(Request& request, const std::string& id,
@@ -156,11 +156,11 @@
 void Monitor::check_request(const Request& request, const std::string& id, const std::string& host,
                             TimePoint now) {
   if (request.client_left && now > *request.client_left + kClientLeftTolerance)
-    violate(Rule::client_gone, id + " to " + host);
+    violate(Rule::client_gone, "request " + id + " sent to " + host);
   bool is_same_host = request.in_flight.contains(host);
   bool is_forbidden_hedge = !request.in_flight.empty() && !terms_.parallel_attempts;
   if (is_same_host || is_forbidden_hedge)
-    violate(Rule::one_attempt, id + " to " + host);
+    violate(Rule::one_attempt, "request " + id + " sent to " + host);
 }
 
 void Monitor::check_deadline(const Request& request, const std::string& id, const std::string& host,
@@ -170,7 +170,7 @@
   std::from_chars(text.data(), text.data() + text.size(), expires_in_ms);
   Duration time_left = request.deadline - now;
   if (std::chrono::milliseconds(expires_in_ms) > time_left + kDeadlineTolerance)
-    violate(Rule::deadline, id + " to " + host);
+    violate(Rule::deadline, "request " + id + " sent to " + host);
 }
 
 void Monitor::attempt_written(const std::string& host, std::string_view bytes, bool is_complete,
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -48,8 +48,8 @@
 /// Events must be passed in the order of `now`. Reports no errors; not thread-safe.
 class Monitor {
  public:
-  /// Called for each violation, during the call that reports the event. `what` describes the
-  /// violation, usually by request and host.
+  /// Called for each violation, during the call that reports the event. `what` usually names
+  /// the request and the host.
   using Listener = std::function<void(Rule rule, const std::string& what)>;
   Monitor(const Terms& terms, Listener on_violation)
       : terms_(terms), on_violation_(std::move(on_violation)) {}
@@ -69,7 +69,7 @@
   void client_left(const std::string& id, TimePoint now);
   /// Its final response was written, or its client has disconnected.
   void request_completed(const std::string& id);
-  /// This process closed a client's connection. `has_unanswered_request`: it had a request that was
+  /// This process closed a client's connection. `has_unanswered_request`: a request on it was
   /// read and has no response; `client_left`: the client had closed its side before.
   void connection_closed(bool has_unanswered_request, bool client_left, TimePoint now);
 
@@ -78,7 +78,7 @@
   void attempt_written(const std::string& host, std::string_view bytes, bool is_complete,
                        scheduler::Idempotency idempotency, TimePoint now);
   void last_byte_written(const std::string& id, scheduler::Idempotency idempotency, TimePoint now);
-  /// `never_ran`: it is certain that the endpoint did not run it.
+  /// `never_ran`: it is certain that the endpoint did not run the attempt.
   void attempt_ended(const std::string& id, const std::string& host, bool never_ran);
 
   std::uint64_t violations() const { return violations_; }
--- a/node/lifecycle/graceful_shutdown.h
+++ b/node/lifecycle/graceful_shutdown.h
@@ -16,7 +16,7 @@
 namespace keelflow {
 
 /// Drains the node and stops its event loop, in stages: first the node serves as before; then new
-/// requests get the time of the last answer as their deadline; then each answer closes its
+/// requests get the shutdown deadline as their latest deadline; then each answer closes its
 /// connection, and the loop stops once nothing is open. With a successor process the connections
 /// are drained at once.
 class GracefulShutdown {
@@ -25,7 +25,7 @@
   enum class Stage : std::uint8_t {
     serving,
     requested,          ///< SIGTERM was received; the node serves as before.
-    deadlines_limited,  ///< New requests get the time of the last answer as deadline.
+    deadlines_limited,  ///< The deadline of new requests is at most the shutdown deadline.
     draining,           ///< Each answer closes its connection.
   };
   /// The parts that are drained or stopped. All must outlive the GracefulShutdown.
@@ -56,6 +56,7 @@
  private:
   Stage stage() const { return static_cast<Stage>(parts_.counters.drain_stage); }
   bool advance(Stage next);  // false: the stage had been reached before
+  /// From the start of the shutdown to the time by which the last answer is sent.
   Duration time_to_shutdown_deadline() const;
   void drain();
   void check_drained();
--- a/node/lifecycle/signal_reader.h
+++ b/node/lifecycle/signal_reader.h
@@ -33,7 +33,7 @@
   void open();
 
  private:
-  void on_ready(std::uint32_t events) override;
+  void on_ready(std::uint32_t events) override;  // the descriptor has signals to read
 
   net::EventLoop& loop_;
   Callbacks callbacks_;
