--- a/node/invariants/monitor.cpp
+++ b/node/invariants/monitor.cpp
@@ -60,11 +60,11 @@
   return all;
 }
 
-void Monitor::violate(Rule rule, const std::string& what) {
+void Monitor::violate(Rule rule, const std::string& description) {
   ++violations_;
   ++by_rule_[static_cast<std::size_t>(rule)];
-  record("violation " + std::string(to_string(rule)) + ": " + what);
-  on_violation_(rule, what);
+  record("violation " + std::string(to_string(rule)) + ": " + description);
+  on_violation_(rule, description);
 }
 
 void Monitor::list_received(std::string_view object, TimePoint now) {
--- a/node/invariants/monitor.h
+++ b/node/invariants/monitor.h
@@ -48,9 +48,9 @@
 /// Events must be passed in the order of `now`. Reports no errors; not thread-safe.
 class Monitor {
  public:
-  /// Called for each violation, during the call that reports the event. `what` usually names
+  /// Called for each violation, during the call that reports the event. `description` usually names
   /// the request and the host.
-  using Listener = std::function<void(Rule rule, const std::string& what)>;
+  using Listener = std::function<void(Rule rule, const std::string& description)>;
   Monitor(const Terms& terms, Listener on_violation)
       : terms_(terms), on_violation_(std::move(on_violation)) {}
 
@@ -99,7 +99,7 @@
   };
 
   void record(std::string event);
-  void violate(Rule rule, const std::string& what);
+  void violate(Rule rule, const std::string& description);
   void check_list(const std::string& id, const std::string& host, TimePoint now);
   void check_request(const Request& request, const std::string& id, const std::string& host,
                      TimePoint now);
