--- a/node/discovery/discovery_call.h
+++ b/node/discovery/discovery_call.h
@@ -69,7 +69,10 @@
   void on_connected() override;
   void on_head(const net::Head& head) override;
   void on_body(std::string_view bytes) override;
-  void on_complete(bool) override { owner_.on_failed(*this, discovery::CallEnd::closed); }
+  // The response must not end, so its end is a failure of the call.
+  void on_complete(bool /*reusable*/) override {
+    owner_.on_failed(*this, discovery::CallEnd::closed);
+  }
   void on_broken() override;
   void enter(State state);
   void restart_silence_timer();
--- a/node/discovery/host_list.h
+++ b/node/discovery/host_list.h
@@ -1,5 +1,5 @@
 /// \file
-/// Discovery's list of endpoints, decoded. The only reader of its JSON keys.
+/// Decodes the list of endpoints from discovery. No other module reads the JSON keys of the list.
 #pragma once
 
 #include <cstddef>
@@ -49,7 +49,7 @@
   std::size_t malformed = 0;
 };
 
-/// Throws nlohmann::json::exception if `list` is no list at all.
+/// Throws nlohmann::json::exception if `list` is not an endpoint list.
 HostList decode_list(const nlohmann::json& list, const Names& names);
 
 /// The scheduler's id of an endpoint: a hash of its name, so that it is the same in each process.
--- a/node/discovery/list_lease_keeper.h
+++ b/node/discovery/list_lease_keeper.h
@@ -53,13 +53,14 @@
   /// missed are unknown, and a later outage does not make the list complete.
   bool is_list_complete() const { return is_list_complete_; }
 
-  /// The watch has received something that discovery wrote at `written` or later. Updates.
+  /// The watch has received something that discovery wrote at `written` or later. Calls `update`.
   void proven_current(TimePoint written);
-  /// Discovery accepted no connection at `when`. Updates.
+  /// Discovery accepted no connection at `when`. Calls `update`.
   void discovery_unreachable(TimePoint when);
-  /// Discovery can be reached, so that no outage is presumed, and has not sent its list. Updates.
+  /// Discovery can be reached, so that no outage is presumed, and has not sent its list. Calls
+  /// `update`.
   void answered_without_list();
-  /// The address of discovery has changed. Updates.
+  /// The address of discovery has changed. Calls `update`.
   void discovery_moved();
   /// Evaluates the end of a call. To be called before the call is removed; `update` has to follow.
   void call_ended(const EndedCall& call);
--- a/node/discovery/watch_survey.h
+++ b/node/discovery/watch_survey.h
@@ -1,6 +1,6 @@
 /// \file
 /// Asks random peers whether they have a watch on discovery while this process has none, and
-/// answers the peers that ask the same. logic/discovery/outage_presumption evaluates the answers.
+/// answers peers that ask it the same. logic/discovery/outage_presumption evaluates the answers.
 #pragma once
 
 #include <cstdint>
