--- a/node/discovery/host_list.h
+++ b/node/discovery/host_list.h
@@ -1,5 +1,6 @@
 /// \file
-/// Decodes the list of endpoints from discovery. No other module reads the JSON keys of the list.
+/// Decodes the list of endpoints from discovery. Apart from the invariant monitor, which shares no
+/// code with it, no other part of the node reads the JSON keys of the list.
 #pragma once
 
 #include <cstddef>
