--- a/node/core/endpoint_port.h
+++ b/node/core/endpoint_port.h
@@ -22,7 +22,7 @@
   broken,              ///< The connection or process ended; `delivery` tells if it may have run.
   cancelled,           ///< The Engine cancelled it.
   cancel_undelivered,  ///< The Engine cancelled it, but the endpoint had accepted it and did not
-                       ///< receive the cancellation: it may still run.
+                       ///< receive the cancellation: the endpoint may still run the attempt.
 };
 
 /// The outcome of an attempt.
@@ -45,8 +45,8 @@
     TimePoint until;     ///< The attempt is abandoned at this time.
     TimePoint write_by;  ///< The last byte must not be written after this time.
     scheduler::Idempotency idempotency = scheduler::Idempotency::idempotent;
-    bool again = false;  ///< Status callbacks of an earlier attempt of this request at the
-                         ///< endpoint may still arrive.
+    bool expects_earlier_callbacks = false;  ///< Status callbacks of an earlier attempt of this
+                                             ///< request at the endpoint may still arrive.
   };
   virtual void start(AttemptRef ref, EndpointId endpoint, const Job& job, const Terms& terms) = 0;
   virtual void cancel(AttemptRef ref) = 0;
--- a/node/lifecycle/extra_listeners.h
+++ b/node/lifecycle/extra_listeners.h
@@ -25,7 +25,8 @@
 
 namespace keelflow {
 
-/// Owns these servers and their fronts. Each is opened once, at the start.
+/// Owns the servers for progress, the admin socket and operators, and the fronts, which handle the
+/// requests of the first two; opens the listener of the Peers. Each is opened once, at the start.
 class ExtraListeners {
  public:
   /// The parts that the listeners use. All must outlive the ExtraListeners.
@@ -67,8 +68,9 @@
   Server* progress_server() const { return progress_server_.get(); }
 
  private:
-  template <typename Where>
-  void listen_when_free(Server& server, const Where& where, std::function<void()> then);
+  template <typename AddressOrPath>
+  void listen_when_free(Server& server, const AddressOrPath& address_or_path,
+                        std::function<void()> then);
 
   Parts parts_;
   AdminFront::Pages pages_;
