--- a/tests/logic/slow_start_leases_replay.cpp
+++ b/tests/logic/slow_start_leases_replay.cpp
@@ -62,7 +62,7 @@
     now_ = kStartedAt;
   }
 
-  void play() {
+  void run_to_end() {
     while (next_line_ < lines_.size() && !::testing::Test::HasFailure())
       step(lines_[next_line_++]);
   }
@@ -84,7 +84,7 @@
   }
   Node& node(int i) {
     Node& n = *nodes_[static_cast<std::size_t>(i)];
-    n.bench.now = now_;
+    n.harness.now = now_;
     return n;
   }
   bool consume_if(const std::string& line) {
@@ -114,7 +114,8 @@
     Datagram datagram = net_.front();
     net_.pop_front();
     node(datagram.to)
-        .bench.play(PeerMessage{ranks_[static_cast<std::size_t>(datagram.from)], datagram.bytes});
+        .harness.handle(
+            PeerMessage{ranks_[static_cast<std::size_t>(datagram.from)], datagram.bytes});
     returns += decode_slow_start_message(datagram.bytes)->kind == SlowStartMessage::Kind::returned;
     if (next_line_ < lines_.size() && lines_[next_line_].starts_with("grant ")) {
       auto messages = node(datagram.to).messages();
@@ -148,7 +149,7 @@
     if (action == "tick") {
       now_ += 2 * kUnitMs;
       // Any event makes the node notice the end of its wait.
-      node(2).bench.play(ClientDisconnected{});
+      node(2).harness.handle(ClientDisconnected{});
     }
     if (action == "deliver")
       deliver();
@@ -200,7 +201,7 @@
     ASSERT_GT(lines.size(), 100u)
         << "the model produced too few steps; is spin installed (.ci/packages)?";
     Replay replay(lines);
-    replay.play();
+    replay.run_to_end();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
     grants += replay.grants;
     returns += replay.returns;
--- a/tests/logic/slow_start_leases_test.cpp
+++ b/tests/logic/slow_start_leases_test.cpp
@@ -50,7 +50,7 @@
       if (stalled_until[to] > now)
         in_flight.emplace(stalled_until[to], std::tuple(from, to, bytes));
       else
-        at(to).bench.play(PeerMessage{static_cast<int>(from), bytes});
+        at(to).harness.handle(PeerMessage{static_cast<int>(from), bytes});
     }
     for (std::size_t n = 0; n < nodes.size(); ++n) {
       if (stalled_until[n] > now)
@@ -67,7 +67,7 @@
   }
 
   Node& at(std::size_t n) {
-    nodes[n]->bench.now = now;
+    nodes[n]->harness.now = now;
     return *nodes[n];
   }
 
@@ -182,7 +182,7 @@
     borrower.emplace(settings, order[10], kStartedAt - 1, is_alive);
   }
   std::size_t at(std::size_t place) const { return static_cast<std::size_t>(order[place]); }
-  void set_time(Time now) { owner->bench.now = borrower->bench.now = now; }
+  void set_time(Time now) { owner->harness.now = borrower->harness.now = now; }
   // Returns the lease request that a job causes, or an empty string.
   std::string request() {
     borrower->play_job();
@@ -191,11 +191,11 @@
   }
   // Returns the grant for a request, or an empty string.
   std::string grant(const std::string& request) {
-    owner->bench.play(PeerMessage{order[10], request});
+    owner->harness.handle(PeerMessage{order[10], request});
     auto messages = owner->messages();
     return messages.empty() ? std::string() : messages.back().bytes;
   }
-  void receive(const std::string& grant) { borrower->bench.play(PeerMessage{order[0], grant}); }
+  void receive(const std::string& grant) { borrower->harness.handle(PeerMessage{order[0], grant}); }
 
   Settings settings = fleet_settings(20);
   std::vector<bool> is_alive;
@@ -222,7 +222,7 @@
   pair.receive(grant);
   EXPECT_DOUBLE_EQ(pair.borrower->budget().granted, work - kJobMs)
       << "a duplicated grant has no effect";
-  double lease_length_ms = pair.borrower->bench.turns.lease_length_ms();
+  double lease_length_ms = pair.borrower->harness.slow_start_leases.lease_length_ms();
   pair.set_time(kStartedAt + 100 + lease_length_ms);
   EXPECT_FALSE(pair.borrower->play_job()) << "the lease has ended";
   pair.set_time(kStartedAt + 100 + (1 + kMaxClockDrift) * lease_length_ms +
@@ -238,13 +238,13 @@
   OwnerAndBorrower pair;
   pair.set_time(kStartedAt + 100);
   std::string request = pair.request();
-  pair.set_time(kStartedAt + 100 + pair.borrower->bench.turns.lease_length_ms());
+  pair.set_time(kStartedAt + 100 + pair.borrower->harness.slow_start_leases.lease_length_ms());
   // The request was in flight all that time; the owner cannot detect that.
   std::string grant = pair.grant(request);
   ASSERT_FALSE(grant.empty());
   pair.receive(grant);
   EXPECT_EQ(pair.borrower->budget().granted, 0);
-  EXPECT_EQ(pair.borrower->bench.turns.statistics().late, 1u);
+  EXPECT_EQ(pair.borrower->harness.slow_start_leases.statistics().late, 1u);
 }
 
 TEST(SlowStartLeases, TheUnusedRestIsReturnedOnce) {
@@ -255,12 +255,13 @@
   ASSERT_TRUE(pair.borrower->play_job());
   double left = pair.borrower->budget().granted;
   ASSERT_GT(left, 0);
-  pair.set_time(kStartedAt + 100 + 0.9 * pair.borrower->bench.turns.lease_length_ms());
-  pair.borrower->bench.play(ClientDisconnected{});  // any event
+  pair.set_time(kStartedAt + 100 +
+                0.9 * pair.borrower->harness.slow_start_leases.lease_length_ms());
+  pair.borrower->harness.handle(ClientDisconnected{});  // any event
   auto messages = pair.borrower->messages();
   ASSERT_EQ(messages.size(), 1u);
   for (int copy = 0; copy < 2; ++copy)
-    pair.owner->bench.play(PeerMessage{pair.order[10], messages[0].bytes});
+    pair.owner->harness.handle(PeerMessage{pair.order[10], messages[0].bytes});
   EXPECT_DOUBLE_EQ(pair.owner->budget().own, before - kJobMs);
   EXPECT_EQ(pair.borrower->budget().granted, 0) << "returned work is no longer available";
 }
@@ -272,7 +273,7 @@
   EXPECT_FALSE(pair.owner->play_job());
   EXPECT_TRUE(pair.grant(pair.request()).empty());
   double wait_ms = pair.settings.overload_window_ms +
-                   (1 + kMaxClockDrift) * pair.owner->bench.turns.lease_length_ms();
+                   (1 + kMaxClockDrift) * pair.owner->harness.slow_start_leases.lease_length_ms();
   pair.set_time(kStartedAt + 3000 + wait_ms - 1);
   EXPECT_FALSE(pair.owner->play_job());
   pair.set_time(kStartedAt + 3000 + wait_ms + 1);
@@ -292,12 +293,13 @@
     Node new_process(settings, 0, kStartedAt + 100);
     EXPECT_FALSE(new_process.play_job());
     // The old process may have granted until now.
-    new_process.bench.now = kStartedAt + 2000;
-    new_process.bench.play(old_process.bench.d.learned_state(kStartedAt + 2000));
-    new_process.bench.now = kStartedAt + 2000 + settings.overload_window_ms;
+    new_process.harness.now = kStartedAt + 2000;
+    new_process.harness.handle(old_process.harness.dispatcher.learned_state(kStartedAt + 2000));
+    new_process.harness.now = kStartedAt + 2000 + settings.overload_window_ms;
     new_process.play_job();
     EXPECT_EQ(new_process.play_job(), !peers_allowed);
-    new_process.bench.now += (1 + kMaxClockDrift) * new_process.bench.turns.lease_length_ms() + 1;
+    new_process.harness.now +=
+        (1 + kMaxClockDrift) * new_process.harness.slow_start_leases.lease_length_ms() + 1;
     new_process.play_job();
     EXPECT_TRUE(new_process.play_job());
   }
@@ -310,7 +312,7 @@
     pair.set_time(kStartedAt + (is_requested ? 300 : 100));
     EndpointList list;
     list.entries = {{kWarmingEndpoint, 0, 0, 0, state, 1, kStartedAt}};
-    pair.borrower->bench.play(list);
+    pair.borrower->harness.handle(list);
     EXPECT_EQ(!pair.request().empty(), is_requested);
   }
 }
@@ -340,10 +342,10 @@
   OwnerAndBorrower pair;
   pair.set_time(kStartedAt + 100);
   std::string request = pair.request();
-  pair.owner->bench.turns.set_leasing_enabled(false);
+  pair.owner->harness.slow_start_leases.set_leasing_enabled(false);
   EXPECT_TRUE(pair.grant(request).empty());
   pair.set_time(kStartedAt + 2000);
-  pair.borrower->bench.turns.set_leasing_enabled(false);
+  pair.borrower->harness.slow_start_leases.set_leasing_enabled(false);
   EXPECT_TRUE(pair.request().empty());
 }
 
@@ -355,7 +357,7 @@
   Node borrower(settings, order[10], kStartedAt - 1, is_alive);
   std::map<int, int> requests_by_owner;
   for (Time t = 100; t < 900; t += 100) {
-    borrower.bench.now = kStartedAt + t;
+    borrower.harness.now = kStartedAt + t;
     borrower.play_job();
     for (const SendPeerMessage& message : borrower.messages())
       ++requests_by_owner[message.peer];
--- a/tests/logic/slow_start_leases_world.h
+++ b/tests/logic/slow_start_leases_world.h
@@ -30,45 +30,45 @@
   Node(const scheduler::Settings& fleet_wide, int rank, scheduler::Time now,
        const std::vector<bool>& is_alive = {})
       : settings(with_rank(fleet_wide, rank)),
-        bench(settings, static_cast<std::uint64_t>(rank) + 1) {
-    bench.turns = SlowStartLeases(settings, now);
-    bench.now = now - kJobMs;
+        harness(settings, static_cast<std::uint64_t>(rank) + 1) {
+    harness.slow_start_leases = SlowStartLeases(settings, now);
+    harness.now = now - kJobMs;
     scheduler::EndpointList list;
     list.entries = {{kWarm, 0, 0, 0, scheduler::EndpointState::ready, 1, 0}};
-    bench.play(list);
+    harness.handle(list);
     if (!is_alive.empty())
-      bench.play(scheduler::MembershipChanged{is_alive});
-    bench.arrive(1, kJobMs);  // teaches the dispatcher the work of a typical job
-    bench.play(scheduler::AttemptStarted{1, 0});
-    bench.now = now;
-    bench.outcome(1, 0, scheduler::AttemptResult::ok, true);
-    bench.sends.clear();
+      harness.handle(scheduler::MembershipChanged{is_alive});
+    harness.arrive(1, kJobMs);  // teaches the dispatcher the work of a typical job
+    harness.handle(scheduler::AttemptStarted{1, 0});
+    harness.now = now;
+    harness.outcome(1, 0, scheduler::AttemptResult::ok, true);
+    harness.sends.clear();
     list.entries[0] = {kWarmingEndpoint, 0, 0, 0, scheduler::EndpointState::ready, 1, kStartedAt};
-    bench.play(list);
+    harness.handle(list);
   }
 
   // Plays a job that ends immediately. Returns whether it was sent to the endpoint.
   bool play_job() {
     scheduler::RequestId id = ++last;
-    bench.arrive(id, kJobMs);
-    bool was_sent = !bench.sends.empty();
-    bench.sends.clear();
+    harness.arrive(id, kJobMs);
+    bool was_sent = !harness.sends.empty();
+    harness.sends.clear();
     if (was_sent)
-      bench.outcome(id, 0, scheduler::AttemptResult::cancelled, true);
+      harness.outcome(id, 0, scheduler::AttemptResult::cancelled, true);
     else
-      bench.play(scheduler::ClientDisconnected{id});
+      harness.handle(scheduler::ClientDisconnected{id});
     return was_sent;
   }
   // Returns the lease messages that the node sent since the last call.
   std::vector<scheduler::SendPeerMessage> messages() {
     std::vector<scheduler::SendPeerMessage> out;
-    for (scheduler::SendPeerMessage& message : std::exchange(bench.tells, {}))
+    for (scheduler::SendPeerMessage& message : std::exchange(harness.peer_messages, {}))
       if (decode_slow_start_message(message.bytes))
         out.push_back(std::move(message));
     return out;
   }
   scheduler::SlowStartBudget budget() const {
-    return bench.d.slow_start_budget(kWarmingEndpoint, bench.now);
+    return harness.dispatcher.slow_start_budget(kWarmingEndpoint, harness.now);
   }
 
   static scheduler::Settings with_rank(scheduler::Settings settings, int rank) {
@@ -77,7 +77,7 @@
   }
 
   scheduler::Settings settings;
-  scheduler::Bench bench;
+  scheduler::DispatcherHarness harness;
   scheduler::RequestId last = 1;
 };
 
