--- a/scheduler/dispatcher.cpp
+++ b/scheduler/dispatcher.cpp
@@ -11,9 +11,8 @@
 namespace keelflow::scheduler {
 namespace {
 
-// Requests at the head of a class's queue that are tried per pass; the others wait for the next
-// event.
-constexpr int kMaxTriedPerClass = 3;
+// Requests tried per pass at the head of a class's queue; the others wait for the next event.
+constexpr int kMaxTried = 3;
 // Ticks after which endpoints are sampled again for requests that found none.
 constexpr double kReleaseIntervalTicks = 10;
 
@@ -119,8 +118,7 @@
 
   bool release_one(const RequestQueue::ClassQueue& of_class) {
     int tried = 0;
-    for (auto it = of_class.begin(); it != of_class.end() && tried < kMaxTriedPerClass;
-         ++it, ++tried) {
+    for (auto it = of_class.begin(); it != of_class.end() && tried < kMaxTried; ++it, ++tried) {
       Request& request = requests.at(it->request);
       auto slot = selector.select(request);
       if (!slot)
